--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from greengagelb import settings
-from greengagelb.coordination.fleet import watching
+from greengagelb.coordination.fleet import probe_assignment
 
 ROOT = pathlib.Path(__file__).parent.parent
 SLOPES = ROOT / 'docs' / 'measurements' / 'slopes.json'
@@ -27,8 +27,8 @@
 STORE_READS = 2_000
 STORE_WRITES = 300
 RESUME_SECONDS = 2.0
-WATCHERS = watching.WATCHERS
-TURNS_BETWEEN_REMOTE = watching.TURNS_BETWEEN_REMOTE
+WATCHERS = probe_assignment.WATCHERS_PER_UPSTREAM
+TURNS_BETWEEN_REMOTE = probe_assignment.TURNS_PER_REMOTE_PROBE
 HEARTBEAT_SECONDS = settings.PeerSettings().heartbeat_seconds
 POLL_SECONDS = 2.0
 READS_A_POLL = 2
--- a/measure/control_traffic.py
+++ b/measure/control_traffic.py
@@ -105,7 +105,9 @@
     for turn in range(ROUNDS):
         now = turn * INTERVAL
         for frame in frames:
-            member.heard(peer_api.heartbeat_of(peer_codec.open(frame)), now)
+            member.handle_heartbeat(
+                peer_api.heartbeat_of(peer_codec.open(frame)), now
+            )
     taken = (time.process_time() - begun) / ROUNDS / len(frames)
     report('one heartbeat taken in', taken * 1e6, 'us')
     begun = time.process_time()
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -253,7 +253,7 @@
     me = sample_heartbeat(0).sender
     found = membership.Membership(me, (), HEARTBEAT_SECONDS)
     for number in range(1, peers + 1):
-        found.heard(sample_heartbeat(number), 0.0)
+        found.handle_heartbeat(sample_heartbeat(number), 0.0)
     return found
 
 
@@ -263,7 +263,7 @@
     """Hear all peers once and send one heartbeat to each."""
     for number in range(1, peers + 1):
         frame = codec.seal(peer_api.message_of(sample_heartbeat(number)))
-        found.heard(peer_api.heartbeat_of(codec.open(frame)), 1.0)
+        found.handle_heartbeat(peer_api.heartbeat_of(codec.open(frame)), 1.0)
     for action in found.tick(1.0):
         if isinstance(action, membership.SendHeartbeat):
             codec.seal(peer_api.message_of(action.heartbeat))
--- a/src/greengagelb/coordination/calls/dispatching.py
+++ b/src/greengagelb/coordination/calls/dispatching.py
@@ -104,7 +104,7 @@
 
     def answer_in(
         self, event: events.Event
-    ) -> upstream_limits.Answered | None:
+    ) -> upstream_limits.UpstreamAnswer | None:
         """Return the answer of an upstream that an event brings, if any."""
         match event:
             case events.CallAnswered(said=said) | events.CallBroken(said=said):
@@ -115,7 +115,9 @@
         if said is None or call is None or number not in call.under_way:
             return None
         name = call.under_way[number].name
-        return upstream_limits.Answered(name, call.began_at[number], said)
+        return upstream_limits.UpstreamAnswer(
+            name, call.began_at[number], said
+        )
 
     def dispatch(self, call: Call, now: float) -> list[actions.Action]:
         """Hand the call to an upstream."""
@@ -124,8 +126,8 @@
         if now >= call.request.deadline:
             return self.fail(call, 'deadline-passed', None)
         account = call.request.request.account
-        self.directory.limits.ask_again_for(account, now)
-        view = self.directory.choose(
+        self.directory.limits.set_retry_requester(account, now)
+        view = self.directory.choose_upstream(
             call.pool, call.excluded, now, call.service.priority
         )
         if view is None:
@@ -135,17 +137,19 @@
     def wait_for_permit(self, call: Call, now: float) -> list[actions.Action]:
         """Wait for an upstream whose limit has no room now, or give up."""
         exchange = call.request.exchange
-        limited = self.directory.limited_alone(call.pool, now)
+        limited = self.directory.upstreams_if_all_limited(call.pool, now)
         names = [name for name in limited if name not in call.excluded]
         if not names:
             return self.fail(call, 'no-upstream', self.advice.failed())
         if call.permit_by is None:
-            patience = upstream_limits.REPEAT_SECONDS
+            patience = upstream_limits.RETRY_PERMIT_WAIT_SECONDS
             call.permit_by = min(call.request.deadline, now + patience)
         if now >= call.permit_by:
             code = 'upstream-lost' if call.may_have_run else LIMITED_CODE
             account = call.request.request.account
-            wait = self.directory.limits.wait_for(names, account, 0, now)
+            wait = self.directory.limits.estimate_wait_seconds(
+                names, account, 0, now
+            )
             return self.fail(call, code, self.advice.spread(wait))
         self.waiting[exchange] = call
         timer = f'{PERMIT_TIMER}:{exchange}'
@@ -178,8 +182,8 @@
         number = call.dispatches
         call.under_way[number] = upstream
         call.began_at[number] = now
-        self.directory.started(upstream.name)
-        self.directory.limits.use(upstream.name, now)
+        self.directory.add_in_flight(upstream.name)
+        self.directory.limits.spend_permit(upstream.name, now)
         done: list[actions.Action] = [
             self.timeline(
                 call, 'call-dispatched', f'try {number}', upstream.name
@@ -207,12 +211,14 @@
         ):
             return []
         account = call.request.request.account
-        self.directory.limits.ask_again_for(account, now)
+        self.directory.limits.set_retry_requester(account, now)
         tried = {upstream.name for upstream in call.under_way.values()}
         priority = call.service.priority
-        view = self.directory.choose(
+        view = self.directory.choose_upstream(
             call.pool, call.excluded | tried, now, priority
-        ) or self.directory.choose(call.pool, call.excluded, now, priority)
+        ) or self.directory.choose_upstream(
+            call.pool, call.excluded, now, priority
+        )
         if view is None:
             return []
         return self.hand_over(call, view.upstream, now)
@@ -233,7 +239,7 @@
         self.guard.survived(call.request, now)
         for silent in call.under_way.values():
             if silent.name != upstream.name:
-                self.directory.suspect(silent.name, now)
+                self.directory.mark_suspected(silent.name, now)
         return [
             actions.SendAnswer(event.exchange, event.status, event.body),
             *self.close(call),
@@ -247,7 +253,7 @@
         upstream = self.end_try(call, event.try_number) if call else None
         if call is None or upstream is None:
             return []
-        self.directory.suspect(upstream.name, now)
+        self.directory.mark_suspected(upstream.name, now)
         call.excluded.add(upstream.name)
         call.may_have_run = call.may_have_run or event.handed_over
         done: list[actions.Action] = []
@@ -373,7 +379,7 @@
         """Count a try as ended and return its upstream, if it had not."""
         upstream = call.under_way.pop(number, None)
         if upstream is not None:
-            self.directory.finished(upstream.name)
+            self.directory.remove_in_flight(upstream.name)
         return upstream
 
     def timeline(
--- a/src/greengagelb/coordination/configuration/capacity.py
+++ b/src/greengagelb/coordination/configuration/capacity.py
@@ -6,10 +6,10 @@
 from greengagelb.state import plans as plan_state
 
 
-def compare(
+def compare_capacity(
     before: configuration_state.Configuration,
     after: configuration_state.Configuration,
-    out: Mapping[str, int],
+    drained: Mapping[str, int],
 ) -> tuple[plan_state.Capacity, ...]:
     """Return the places per pool and account before, during and after.
 
@@ -20,9 +20,9 @@
     names += [pool.name for pool in before.pools if pool.name not in names]
     found: list[plan_state.Capacity] = []
     for name in names:
-        whole = pool_capacity(name, before, after, out.get(name, 0))
-        found.append(whole)
-        found += account_capacities(whole, before, after)
+        pool_total = pool_capacity(name, before, after, drained.get(name, 0))
+        found.append(pool_total)
+        found += account_capacities(pool_total, before, after)
     return tuple(found)
 
 
@@ -30,7 +30,7 @@
     name: str,
     before: configuration_state.Configuration,
     after: configuration_state.Configuration,
-    out: int,
+    drained: int,
 ) -> plan_state.Capacity:
     """Return the places of one pool.
 
@@ -38,16 +38,16 @@
     after, and loses those of the upstreams that are taken out.
     """
     old, new = before.find_pool(name), after.find_pool(name)
-    places_before, places_after = places(old), places(new)
-    least = min(places_before, places_after)
+    slots_before, slots_after = count_slots(old), count_slots(new)
+    least = min(slots_before, slots_after)
     slots = new.slots_per_upstream if new else 0
     during = least
-    if places_after >= places_before:
-        during = max(0, least - out * slots)
-    return plan_state.Capacity(name, '', places_before, during, places_after)
+    if slots_after >= slots_before:
+        during = max(0, least - drained * slots)
+    return plan_state.Capacity(name, '', slots_before, during, slots_after)
 
 
-def places(pool: configuration_state.Pool | None) -> int:
+def count_slots(pool: configuration_state.Pool | None) -> int:
     """Return the places on upstreams of a pool that get new work."""
     if pool is None:
         return 0
@@ -56,34 +56,34 @@
 
 
 def account_capacities(
-    whole: plan_state.Capacity,
+    pool_total: plan_state.Capacity,
     before: configuration_state.Configuration,
     after: configuration_state.Configuration,
 ) -> list[plan_state.Capacity]:
     """Return each account's share of a pool when all of them compete."""
-    old = shares(whole.pool, before)
-    new = shares(whole.pool, after)
+    old = account_shares(pool_total.pool, before)
+    new = account_shares(pool_total.pool, after)
     return [
         plan_state.Capacity(
-            whole.pool,
+            pool_total.pool,
             account,
-            int(whole.before * old.get(account, 0.0)),
-            int(whole.during * min(old.get(account, 1.0), new[account])),
-            int(whole.after * new[account]),
+            int(pool_total.before * old.get(account, 0.0)),
+            int(pool_total.during * min(old.get(account, 1.0), new[account])),
+            int(pool_total.after * new[account]),
         )
         for account in new
     ]
 
 
-def shares(
+def account_shares(
     pool: str, configuration: configuration_state.Configuration
 ) -> dict[str, float]:
     """Return the part of a pool that each account has by weight."""
     services = {s.name for s in configuration.services if s.pool == pool}
-    users = [
+    accounts = [
         account
         for account in configuration.accounts
         if services & set(account.services)
     ]
-    total = sum(account.weight for account in users)
-    return {account.name: account.weight / total for account in users}
+    total = sum(account.weight for account in accounts)
+    return {account.name: account.weight / total for account in accounts}
--- a/src/greengagelb/coordination/configuration/confirming.py
+++ b/src/greengagelb/coordination/configuration/confirming.py
@@ -22,7 +22,7 @@
 
 from greengagelb.state import plans as plan_state
 
-MOST_CHANGES_SHOWN = 20
+MAX_CHANGES_SHOWN = 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -31,14 +31,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadPast:
+class ReadArchived:
     """Read the confirmation of an earlier version, or None."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeepPast:
+class ArchiveConfirmation:
     """Insert a confirmation under its version unless one is there."""
 
     confirmation: plan_state.Confirmation
@@ -51,7 +51,7 @@
     confirmation: plan_state.Confirmation
 
 
-Request = ReadCurrent | ReadPast | KeepPast | ReplaceCurrent
+Request = ReadCurrent | ReadArchived | ArchiveConfirmation | ReplaceCurrent
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,16 +60,18 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refused:
+class WriteConflict:
     """The store did not write: the row has another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreAway:
+class StoreUnavailable:
     """The store gave no answer; a write may take effect, even later."""
 
 
-Answer = plan_state.Confirmation | Written | Refused | StoreAway | None
+Answer = (
+    plan_state.Confirmation | Written | WriteConflict | StoreUnavailable | None
+)
 Steps = Generator[Request, Answer, Any]
 
 
@@ -99,7 +101,7 @@
 Outcome = Confirmed | Proposed | Overtaken | Unsettled
 
 
-def settle(plan: plan_state.Plan) -> Steps:
+def find_outcome(plan: plan_state.Plan) -> Steps:
     """Find out what became of a plan; returns an :data:`Outcome`."""
     current = yield ReadCurrent()
     if not isinstance(current, plan_state.Confirmation):
@@ -119,7 +121,7 @@
     """Return the confirmation of a version, or None if the store is away."""
     if current.version == version:
         return current
-    found = yield ReadPast(version)
+    found = yield ReadArchived(version)
     return found if isinstance(found, plan_state.Confirmation) else None
 
 
@@ -128,9 +130,9 @@
 ) -> Steps:
     """Return the confirmations since a plan's base, the first ones of many."""
     changes = [winner]
-    end = min(current.version, winner.version + MOST_CHANGES_SHOWN)
+    end = min(current.version, winner.version + MAX_CHANGES_SHOWN)
     for version in range(winner.version + 1, end):
-        found = yield ReadPast(version)
+        found = yield ReadArchived(version)
         if isinstance(found, plan_state.Confirmation):
             changes.append(found)
     if current.version > winner.version:
@@ -145,11 +147,11 @@
     ``Proposed`` is never returned; a write that was not answered may still
     take effect later, so that is ``Unsettled``.
     """
-    found = yield from settle(plan)
+    found = yield from find_outcome(plan)
     if not isinstance(found, Proposed):
         return found
-    kept = yield from keep_base(plan.base_version)
-    if not kept:
+    archived = yield from archive_base(plan.base_version)
+    if not archived:
         return Unsettled()
     answer = yield ReplaceCurrent(
         plan_state.Confirmation(
@@ -161,11 +163,11 @@
     # The answer may have been lost after the write took effect. A failure
     # reported then would make the operator repeat what is already in force,
     # and a refusal may be this plan's own first write: so the rows decide.
-    found = yield from settle(plan)
+    found = yield from find_outcome(plan)
     return Unsettled() if isinstance(found, Proposed) else found
 
 
-def keep_base(version: int) -> Steps:
+def archive_base(version: int) -> Steps:
     """Keep the confirmation of the base before it is overwritten.
 
     Returns whether it is kept. Without that row nobody could tell any more
@@ -178,7 +180,7 @@
         return False
     if current.version != version:
         return True
-    answer = yield KeepPast(current)
-    if isinstance(answer, StoreAway):
-        answer = yield ReadPast(version)
-    return not isinstance(answer, StoreAway | None)
+    answer = yield ArchiveConfirmation(current)
+    if isinstance(answer, StoreUnavailable):
+        answer = yield ReadArchived(version)
+    return not isinstance(answer, StoreUnavailable | None)
--- a/src/greengagelb/coordination/configuration/orders.py
+++ b/src/greengagelb/coordination/configuration/orders.py
@@ -25,15 +25,15 @@
 from greengagelb.state import orders as order_state
 
 LEASE_SECONDS = 15.0
-ORDER_SECONDS = 5.0
-RENEW_SECONDS = 5.0
-READ_AGAIN_SECONDS = 3.0
-HOLD_SECONDS = 6.0
-RESEND_SECONDS = 20.0
-FRESH_REPORT_SECONDS = 5.0
-MOST_LOAD_WAIT_SECONDS = 30.0
-SHARE_AT_ONCE = 0.25
-NOBODY = order_state.Lease('')
+ORDER_TIMEOUT_SECONDS = 5.0
+RENEW_INTERVAL_SECONDS = 5.0
+READ_INTERVAL_SECONDS = 3.0
+HOLD_SPREAD_SECONDS = 6.0
+RESEND_AFTER_SECONDS = 20.0
+MAX_REPORT_AGE_SECONDS = 5.0
+MAX_LOAD_WAIT_SECONDS = 30.0
+MAX_DRAINED_SHARE = 0.25
+NO_HOLDER = order_state.Lease('')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskToLoad:
+class RequestLoad:
     """Ask the weight store whether an engine may load its target now."""
 
     upstream: str
@@ -63,7 +63,7 @@
 
     upstream: configuration_state.Upstream
     target: order_state.Target
-    number: int
+    fencing_number: int
     deadline: float
 
 
@@ -76,12 +76,12 @@
     upstream: str = ''
 
 
-Action = ReadLease | WriteLease | AskToLoad | SendOrder | Explain
+Action = ReadLease | WriteLease | RequestLoad | SendOrder | Explain
 
 
-def engines_at_once(engines: int) -> int:
+def max_drained_engines(engines: int) -> int:
     """Return how many engines of a pool may be out of work at once."""
-    return max(1, int(engines * SHARE_AT_ONCE))
+    return max(1, int(engines * MAX_DRAINED_SHARE))
 
 
 class PoolOrders:
@@ -94,113 +94,113 @@
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.wanted: dict[str, order_state.Wanted] = {}
-        self.seen: dict[str, order_state.EngineSeen] = {}
+        self.targets: dict[str, order_state.Wanted] = {}
+        self.reports: dict[str, order_state.EngineSeen] = {}
         self.progress: dict[str, order_state.OrderProgress] = {}
-        self.picked = False
-        self.number = 0
-        self.deadline = float('-inf')
-        self.row: order_state.LeaseRow | None = None
-        self.row_seen_at = float('-inf')
+        self.is_lease_candidate = False
+        self.fencing_number = 0
+        self.lease_deadline = float('-inf')
+        self.lease_row: order_state.LeaseRow | None = None
+        self.row_changed_at = float('-inf')
         self.row_read_at = float('-inf')
-        self.busy = False
-        self.written = NOBODY
-        self.written_at = float('-inf')
-        self.writes = 0
+        self.store_request_pending = False
+        self.written_lease = NO_HOLDER
+        self.write_sent_at = float('-inf')
+        self.write_count = 0
         self.next_load_at = float('-inf')
-        self.load_asked_for = ''
+        self.load_requested_for = ''
         self.load_refusals = 0
 
     # -- what comes in ------------------------------------------------------
 
-    def want(self, wanted: Iterable[order_state.Wanted]) -> None:
+    def set_targets(self, wanted: Iterable[order_state.Wanted]) -> None:
         """Take over the targets of a configuration."""
-        self.wanted = {one.upstream.name: one for one in wanted}
-        for name, under_way in list(self.progress.items()):
-            if name not in self.wanted:
+        self.targets = {one.upstream.name: one for one in wanted}
+        for name, progress in list(self.progress.items()):
+            if name not in self.targets:
                 del self.progress[name]
             else:
-                under_way.may_load = False
+                progress.may_load = False
 
-    def reported(self, name: str, seen: order_state.EngineSeen) -> None:
+    def update_report(self, name: str, seen: order_state.EngineSeen) -> None:
         """Take in an engine's report."""
-        self.seen[name] = seen
+        self.reports[name] = seen
 
-    def pause_noticed(self) -> list[Action]:
+    def handle_own_pause(self) -> list[Action]:
         """Drop the lease: it may have lapsed while this process stood still.
 
         The clock that the deadline is checked on may have stood still too.
         """
-        if not self.number:
+        if not self.fencing_number:
             return []
-        self.drop()
+        self.drop_lease()
         return [Explain('order-lease-dropped', 'this process stood still')]
 
-    def drop(self) -> None:
+    def drop_lease(self) -> None:
         """Hold the lease no more."""
-        self.number = 0
-        self.deadline = float('-inf')
+        self.fencing_number = 0
+        self.lease_deadline = float('-inf')
         self.progress.clear()
 
-    def lease_read(
+    def handle_lease_read(
         self, row: order_state.LeaseRow, now: float
     ) -> list[Action]:
         """Take in the row as it is in the store."""
-        self.busy = False
+        self.store_request_pending = False
         self.row_read_at = now
-        if row != self.row:
-            self.row = row
-            self.row_seen_at = now
+        if row != self.lease_row:
+            self.lease_row = row
+            self.row_changed_at = now
         if (
-            self.number
-            and row.number > self.number
-            and (row.lease != self.written)
+            self.fencing_number
+            and row.number > self.fencing_number
+            and (row.lease != self.written_lease)
         ):
-            self.drop()
+            self.drop_lease()
             return [Explain('order-lease-lost', f'number {row.number}')]
-        if row.lease == self.written != NOBODY:
-            return self.take(row.number)
+        if row.lease == self.written_lease != NO_HOLDER:
+            return self.hold_lease(row.number)
         return []
 
-    def lease_written(self, number: int) -> list[Action]:
+    def handle_lease_written(self, number: int) -> list[Action]:
         """Take in that this instance's own write took effect."""
-        self.busy = False
-        self.row = order_state.LeaseRow(number, self.written)
-        self.row_seen_at = self.row_read_at = self.written_at
-        if self.written == NOBODY:
+        self.store_request_pending = False
+        self.lease_row = order_state.LeaseRow(number, self.written_lease)
+        self.row_changed_at = self.row_read_at = self.write_sent_at
+        if self.written_lease == NO_HOLDER:
             return []
-        return self.take(number)
+        return self.hold_lease(number)
 
-    def lease_unsettled(self) -> None:
+    def handle_lease_failure(self) -> None:
         """Take in that a read or write failed, or was not answered.
 
         The row is read again before anything else: it may have been written.
         """
-        self.busy = False
+        self.store_request_pending = False
         self.row_read_at = float('-inf')
 
-    def take(self, number: int) -> list[Action]:
+    def hold_lease(self, number: int) -> list[Action]:
         """Hold the lease, from before the write of it was sent."""
-        first = not self.number
-        self.number = number
-        self.deadline = self.written_at + LEASE_SECONDS
-        if not first:
+        is_new = not self.fencing_number
+        self.fencing_number = number
+        self.lease_deadline = self.write_sent_at + LEASE_SECONDS
+        if not is_new:
             return []
         return [Explain('order-lease-taken', f'number {number}')]
 
-    def order_refused(self, name: str) -> list[Action]:
+    def handle_fenced_order(self, name: str) -> list[Action]:
         """Take in that an engine knows a higher fencing number."""
-        self.drop()
+        self.drop_lease()
         return [Explain('order-fenced', 'an engine knows a newer one', name)]
 
-    def load_allowed(self, name: str) -> None:
+    def handle_load_allowed(self, name: str) -> None:
         """Take in that the weight store allows an engine to load."""
-        self.load_asked_for = ''
+        self.load_requested_for = ''
         self.load_refusals = 0
         if name in self.progress:
             self.progress[name].may_load = True
 
-    def load_refused(
+    def handle_load_refused(
         self, name: str, retry_after: float, now: float
     ) -> list[Action]:
         """Take in that the weight store allows no load yet.
@@ -208,8 +208,8 @@
         Refused again and again it is asked more and more seldom: a rollout
         over many engines must not use up the store's own rate.
         """
-        self.load_asked_for = ''
-        wait = min(retry_after * 2**self.load_refusals, MOST_LOAD_WAIT_SECONDS)
+        self.load_requested_for = ''
+        wait = min(retry_after * 2**self.load_refusals, MAX_LOAD_WAIT_SECONDS)
         self.load_refusals += 1
         self.next_load_at = now + wait
         reason = f'weight store is busy; asked again in {wait:.0f} s'
@@ -217,164 +217,178 @@
 
     # -- what goes out ------------------------------------------------------
 
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Return whether an order may be sent now."""
-        return self.number > 0 and now < self.deadline
+        return self.fencing_number > 0 and now < self.lease_deadline
 
     @property
-    def held(self) -> frozenset[str]:
+    def held_engines(self) -> frozenset[str]:
         """Return the engines that shall get no new work."""
         return frozenset(self.progress)
 
     def tick(self, now: float) -> list[Action]:
         """Go on with the lease and the orders."""
-        if self.number and not self.holds(now):
-            self.drop()
-        done = self.finish_reached()
-        if not self.picked or not self.deviating():
-            return [*done, *self.give_back(now)]
-        done += self.keep_lease(now)
-        if self.holds(now):
-            done += self.go_on(now)
-        return done
-
-    def deviating(self) -> list[str]:
+        if self.fencing_number and not self.holds_lease(now):
+            self.drop_lease()
+        actions = self.release_reached_engines()
+        if not self.is_lease_candidate or not self.engines_off_target():
+            return [*actions, *self.release_lease(now)]
+        actions += self.maintain_lease(now)
+        if self.holds_lease(now):
+            actions += self.advance_orders(now)
+        return actions
+
+    def engines_off_target(self) -> list[str]:
         """Return the engines that report another than their target."""
         return [
             name
-            for name, wanted in self.wanted.items()
-            if name in self.seen and self.seen[name].target != wanted.target
+            for name, wanted in self.targets.items()
+            if name in self.reports
+            and self.reports[name].target != wanted.target
         ]
 
-    def finish_reached(self) -> list[Action]:
+    def release_reached_engines(self) -> list[Action]:
         """Give new work again to engines that have reached their target."""
-        done: list[Action] = []
-        deviating = set(self.deviating())
+        actions: list[Action] = []
+        off_target = set(self.engines_off_target())
         for name in list(self.progress):
-            if name not in deviating:
+            if name not in off_target:
                 del self.progress[name]
                 reason = 'engine reports its target'
-                done.append(Explain('order-reached', reason, name))
-        return done
+                actions.append(Explain('order-reached', reason, name))
+        return actions
 
-    def give_back(self, now: float) -> list[Action]:
+    def release_lease(self, now: float) -> list[Action]:
         """Let others take the lease at once, as no order is under way."""
-        if not self.number or self.busy:
+        if not self.fencing_number or self.store_request_pending:
             return []
         if self.progress:
             return []
-        expected = self.number
-        self.drop()
-        return [self.write(expected, NOBODY, now)]
+        expected = self.fencing_number
+        self.drop_lease()
+        return [self.build_lease_write(expected, NO_HOLDER, now)]
 
-    def keep_lease(self, now: float) -> list[Action]:
+    def maintain_lease(self, now: float) -> list[Action]:
         """Read, take or renew the lease, whichever is next."""
-        if self.busy:
+        if self.store_request_pending:
             return []
-        if self.row is None or now - self.row_read_at >= READ_AGAIN_SECONDS:
-            self.busy = True
+        if (
+            self.lease_row is None
+            or now - self.row_read_at >= READ_INTERVAL_SECONDS
+        ):
+            self.store_request_pending = True
             return [ReadLease()]
-        if self.holds(now):
-            if now - self.written_at < RENEW_SECONDS:
+        if self.holds_lease(now):
+            if now - self.write_sent_at < RENEW_INTERVAL_SECONDS:
                 return []
-        elif not self.may_take(now):
+        elif not self.can_take_lease(now):
             return []
-        self.writes += 1
-        token = order_state.Lease(f'{self.incarnation}.{self.writes}')
-        return [self.write(self.row.number, token, now)]
+        self.write_count += 1
+        token = order_state.Lease(f'{self.incarnation}.{self.write_count}')
+        return [self.build_lease_write(self.lease_row.number, token, now)]
 
-    def may_take(self, now: float) -> bool:
+    def can_take_lease(self, now: float) -> bool:
         """Return whether no other holder can have an order under way."""
-        if self.row is None:
+        if self.lease_row is None:
             return False
-        if self.row.lease == NOBODY:
+        if self.lease_row.lease == NO_HOLDER:
             return True
-        return now >= self.row_seen_at + LEASE_SECONDS + ORDER_SECONDS
+        return (
+            now >= self.row_changed_at + LEASE_SECONDS + ORDER_TIMEOUT_SECONDS
+        )
 
-    def write(
+    def build_lease_write(
         self, expected: int, lease: order_state.Lease, now: float
     ) -> WriteLease:
         """Return the write of a lease, and note when it was sent."""
-        self.busy = True
-        self.written = lease
-        self.written_at = now
+        self.store_request_pending = True
+        self.written_lease = lease
+        self.write_sent_at = now
         return WriteLease(expected, lease)
 
-    def go_on(self, now: float) -> list[Action]:
+    def advance_orders(self, now: float) -> list[Action]:
         """Hold engines, wait until they are idle, and order them."""
-        done = self.hold_more(now)
-        for name, under_way in self.progress.items():
-            done += self.advance(name, under_way, now)
-        if len(self.progress) > engines_at_once(len(self.wanted)):
+        actions = self.hold_engines(now)
+        for name, progress in self.progress.items():
+            actions += self.advance_order(name, progress, now)
+        if len(self.progress) > max_drained_engines(len(self.targets)):
             raise errors.InvariantViolated('too many engines out of work')
-        return done
+        return actions
 
-    def hold_more(self, now: float) -> list[Action]:
+    def hold_engines(self, now: float) -> list[Action]:
         """Take the idlest engines out of work, as many as may be."""
-        done: list[Action] = []
-        room = engines_at_once(len(self.wanted)) - len(self.progress)
-        waiting = [n for n in self.deviating() if n not in self.progress]
-        waiting.sort(key=lambda name: (self.seen[name].busy, name))
+        actions: list[Action] = []
+        room = max_drained_engines(len(self.targets)) - len(self.progress)
+        waiting = [
+            n for n in self.engines_off_target() if n not in self.progress
+        ]
+        waiting.sort(key=lambda name: (self.reports[name].busy, name))
         for name in waiting[: max(0, room)]:
             self.progress[name] = order_state.OrderProgress(now)
-            target = self.wanted[name].target
+            target = self.targets[name].target
             reason = f'drained for {target.model} {target.version}'
-            done.append(Explain('order-held', reason, name))
-        return done
+            actions.append(Explain('order-held', reason, name))
+        return actions
 
-    def advance(
-        self, name: str, under_way: order_state.OrderProgress, now: float
+    def advance_order(
+        self, name: str, progress: order_state.OrderProgress, now: float
     ) -> list[Action]:
         """Order one engine once it runs nothing any more.
 
         Other instances hear of the hold with a delay; until all have, an
         engine that is idle now may be given work in the next moment.
         """
-        seen = self.seen[name]
-        if now < under_way.held_at + HOLD_SECONDS or seen.busy:
+        seen = self.reports[name]
+        if now < progress.held_at + HOLD_SPREAD_SECONDS or seen.busy:
             return []
-        if now - seen.reported_at > FRESH_REPORT_SECONDS:
+        if now - seen.reported_at > MAX_REPORT_AGE_SECONDS:
             return []
-        if now < under_way.resend_at:
+        if now < progress.resend_at:
             return []
-        if self.needs_load(name) and not under_way.may_load:
-            return self.ask_to_load(name, now)
-        return [*self.explain_send(name, under_way), self.order(name, now)]
+        if self.needs_other_weights(name) and not progress.may_load:
+            return self.request_load(name, now)
+        return [
+            *self.explain_order(name, progress),
+            self.build_order(name, now),
+        ]
 
-    def needs_load(self, name: str) -> bool:
+    def needs_other_weights(self, name: str) -> bool:
         """Return whether the target needs other weights than are loaded."""
-        wanted, seen = self.wanted[name].target, self.seen[name].target
+        wanted, seen = self.targets[name].target, self.reports[name].target
         return (wanted.model, wanted.version, wanted.adapter) != (
             seen.model,
             seen.version,
             seen.adapter,
         )
 
-    def ask_to_load(self, name: str, now: float) -> list[Action]:
+    def request_load(self, name: str, now: float) -> list[Action]:
         """Ask the weight store for one load at a time."""
-        if now < self.next_load_at or self.load_asked_for:
+        if now < self.next_load_at or self.load_requested_for:
             return []
-        self.load_asked_for = name
-        return [AskToLoad(name, self.wanted[name].target)]
+        self.load_requested_for = name
+        return [RequestLoad(name, self.targets[name].target)]
 
-    def explain_send(
-        self, name: str, under_way: order_state.OrderProgress
+    def explain_order(
+        self, name: str, progress: order_state.OrderProgress
     ) -> list[Action]:
         """Return why an order is sent."""
-        reason = f'engine reports {self.seen[name].target.version}'
-        if under_way.sent:
+        reason = f'engine reports {self.reports[name].target.version}'
+        if progress.sent:
             return [Explain('order-repeated', reason, name)]
         return [Explain('order-sent', reason, name)]
 
-    def order(self, name: str, now: float) -> SendOrder:
+    def build_order(self, name: str, now: float) -> SendOrder:
         """Return the order that sets an engine's target."""
-        if not self.holds(now):
+        if not self.holds_lease(now):
             raise errors.InvariantViolated('order without a lease')
-        under_way = self.progress[name]
-        under_way.resend_at = now + RESEND_SECONDS
-        under_way.may_load = False
-        under_way.sent += 1
-        wanted = self.wanted[name]
+        progress = self.progress[name]
+        progress.resend_at = now + RESEND_AFTER_SECONDS
+        progress.may_load = False
+        progress.sent += 1
+        wanted = self.targets[name]
         return SendOrder(
-            wanted.upstream, wanted.target, self.number, self.deadline
+            wanted.upstream,
+            wanted.target,
+            self.fencing_number,
+            self.lease_deadline,
         )
--- a/src/greengagelb/coordination/configuration/plans.py
+++ b/src/greengagelb/coordination/configuration/plans.py
@@ -13,7 +13,7 @@
 IN_FORCE_SECONDS = 11.0
 DRAIN_SECONDS = 300.0
 LOAD_SECONDS = 60.0
-ROLLOUT_SHARE = 0.25
+MAX_DRAINED_SHARE = 0.25
 """The part of a pool's engines that a rollout takes out at once."""
 
 
@@ -28,9 +28,9 @@
 
     result: configuration_state.Configuration
     steps: tuple[str, ...]
-    out: frozenset[str] = frozenset()
+    drained: frozenset[str] = frozenset()
     batches: int = 1
-    loads: bool = False
+    loads_weights: bool = False
     warnings: tuple[str, ...] = ()
 
 
@@ -46,29 +46,31 @@
     Raises :class:`~greengagelb.errors.IntentRefused` where the intent leads
     to no valid configuration.
     """
-    change = change_of(intent, current)
-    validation.check(change.result)
+    change = derive_change(intent, current)
+    validation.check_configuration(change.result)
     result = dataclasses.replace(
         change.result, version=current.version + 1, confirmed_by=plan_id
     )
-    moved = sum((running or {}).get(name, 0) for name in change.out)
+    moved = sum((running or {}).get(name, 0) for name in change.drained)
     return plan_state.Plan(
         plan_id=plan_id,
         base_version=current.version,
         steps=change.steps,
         warnings=(
             *change.warnings,
-            *validation.warnings_of(current, result, running or {}),
+            *validation.collect_warnings(current, result, running or {}),
         ),
         result=result,
         cut=0,
         moved=moved,
-        capacity=capacity.compare(current, result, taken_out(current, change)),
-        estimated_seconds=estimate(change),
+        capacity=capacity.compare_capacity(
+            current, result, count_drained_by_pool(current, change)
+        ),
+        estimated_seconds=estimate_seconds(change),
     )
 
 
-def change_of(
+def derive_change(
     intent: plan_state.Intent, current: configuration_state.Configuration
 ) -> Change:
     """Return what an intent changes."""
@@ -77,41 +79,43 @@
             step = f'replace configuration {current.version} whole'
             return Change(wanted, (step,))
         case plan_state.PutAccount(account):
-            accounts = put(current.accounts, account)
+            accounts = put_named(current.accounts, account)
             result = dataclasses.replace(current, accounts=accounts)
-            return Change(result, (put_step('client account', account),))
+            return Change(result, (describe_put('client account', account),))
         case plan_state.PutService(service):
-            services = put(current.services, service)
+            services = put_named(current.services, service)
             result = dataclasses.replace(current, services=services)
-            return Change(result, (put_step('service', service),))
+            return Change(result, (describe_put('service', service),))
         case plan_state.PutPool(pool):
             result = with_pool(current, pool)
-            return Change(result, (put_step('pool', pool),))
+            return Change(result, (describe_put('pool', pool),))
         case plan_state.DrainUpstream(name):
-            return drain(current, name)
+            return drain_upstream(current, name)
         case plan_state.ReturnUpstream(name):
             result = with_upstream(current, name, draining=False)
             return Change(result, (f'give {name} new work again',))
         case plan_state.ChangeModel():
             return change_model(current, intent)
         case plan_state.MoveUpstream():
-            return move(current, intent)
+            return move_upstream(current, intent)
         case plan_state.ChangeRole(name, role):
             return change_role(current, name, role)
 
 
-def drain(current: configuration_state.Configuration, name: str) -> Change:
+def drain_upstream(
+    current: configuration_state.Configuration, name: str
+) -> Change:
     """Return the change that gives an upstream no new work."""
     result = with_upstream(current, name, draining=True)
     steps = (f'give {name} no new work', 'let what it runs end there')
-    return Change(result, steps, out=frozenset({name}))
+    return Change(result, steps, drained=frozenset({name}))
 
 
 def change_model(
     current: configuration_state.Configuration, intent: plan_state.ChangeModel
 ) -> Change:
     """Return the change of a pool's model, version or adapter."""
-    pool = pool_named(current, intent.pool)
+    pool = require_pool(current, intent.pool)
     changed = dataclasses.replace(
         pool,
         model=intent.model,
@@ -129,7 +133,7 @@
         intent.adapter,
     ):
         return Change(result, (f'{pool.name} has that version already',))
-    at_once = engines_at_once(len(names))
+    at_once = max_drained_engines(len(names))
     batches = math.ceil(len(names) / at_once) if names else 0
     steps = (
         f'drain {at_once} of {len(names)} engines of {pool.name} at a time',
@@ -137,40 +141,44 @@
         f'load {intent.model} {intent.version} {intent.adapter}'.rstrip(),
         'give them new work of the new version',
     )
-    return Change(result, steps, names, batches, loads=True)
+    return Change(result, steps, names, batches, loads_weights=True)
 
 
-def engines_at_once(engines: int) -> int:
+def max_drained_engines(engines: int) -> int:
     """Return how many engines of a pool a rollout takes out at once."""
-    return max(1, int(engines * ROLLOUT_SHARE))
+    return max(1, int(engines * MAX_DRAINED_SHARE))
 
 
-def move(
+def move_upstream(
     current: configuration_state.Configuration,
     intent: plan_state.MoveUpstream,
 ) -> Change:
     """Return the change of an upstream's pool or data centre."""
     name = intent.upstream
-    source, upstream = located(current, name)
-    target = pool_named(current, intent.pool or source.name)
+    source, upstream = require_upstream(current, name)
+    target = require_pool(current, intent.pool or source.name)
     data_centre = intent.data_centre or upstream.data_centre
     moved = dataclasses.replace(
         upstream, data_centre=data_centre, draining=False
     )
-    left = tuple(u for u in source.upstreams if u.name != name)
-    result = with_pool(current, dataclasses.replace(source, upstreams=left))
-    target = pool_named(result, target.name)
+    remaining = tuple(u for u in source.upstreams if u.name != name)
+    result = with_pool(
+        current, dataclasses.replace(source, upstreams=remaining)
+    )
+    target = require_pool(result, target.name)
     result = with_pool(
         result,
         dataclasses.replace(target, upstreams=(*target.upstreams, moved)),
     )
     steps = [f'count {name} to {target.name} in {data_centre}']
-    loads = versions_differ(source, target)
+    loads_weights = versions_differ(source, target)
     if target.name != source.name:
         steps.append(f'let what {name} runs for {source.name} end there')
-    if loads:
+    if loads_weights:
         steps.append(f'load {target.model} {target.version} on {name}')
-    return Change(result, tuple(steps), frozenset({name}), loads=loads)
+    return Change(
+        result, tuple(steps), frozenset({name}), loads_weights=loads_weights
+    )
 
 
 def versions_differ(
@@ -197,7 +205,7 @@
     return Change(result, steps, frozenset({name}))
 
 
-def taken_out(
+def count_drained_by_pool(
     current: configuration_state.Configuration, change: Change
 ) -> dict[str, int]:
     """Return how many upstreams of each pool are out at the same time.
@@ -206,21 +214,23 @@
     """
     counts = {}
     for pool in current.pools:
-        out = sum(u.name in change.out for u in pool.upstreams)
-        if out:
-            counts[pool.name] = math.ceil(out / max(1, change.batches))
+        drained = sum(u.name in change.drained for u in pool.upstreams)
+        if drained:
+            counts[pool.name] = math.ceil(drained / max(1, change.batches))
     return counts
 
 
-def estimate(change: Change) -> float:
+def estimate_seconds(change: Change) -> float:
     """Return how many seconds a change takes, at the longest as a rule."""
-    if not change.out:
+    if not change.drained:
         return IN_FORCE_SECONDS
-    each = DRAIN_SECONDS + (LOAD_SECONDS if change.loads else 0.0)
-    return IN_FORCE_SECONDS + change.batches * each
+    batch_seconds = DRAIN_SECONDS + (
+        LOAD_SECONDS if change.loads_weights else 0.0
+    )
+    return IN_FORCE_SECONDS + change.batches * batch_seconds
 
 
-def put(parts: tuple, part: object) -> tuple:
+def put_named(parts: tuple, part: object) -> tuple:
     """Return the parts with one more, or with the one of its name replaced."""
     if any(found.name == part.name for found in parts):
         return tuple(
@@ -229,7 +239,7 @@
     return (*parts, part)
 
 
-def put_step(kind: str, part: object) -> str:
+def describe_put(kind: str, part: object) -> str:
     """Return the step that puts a part into the configuration."""
     return f'create or change {kind} {part.name}'
 
@@ -238,10 +248,10 @@
     current: configuration_state.Configuration, pool: configuration_state.Pool
 ) -> configuration_state.Configuration:
     """Return the configuration with a pool put into it."""
-    return dataclasses.replace(current, pools=put(current.pools, pool))
+    return dataclasses.replace(current, pools=put_named(current.pools, pool))
 
 
-def pool_named(
+def require_pool(
     current: configuration_state.Configuration, name: str
 ) -> configuration_state.Pool:
     """Return the pool of a name, or raise that there is none."""
@@ -251,7 +261,7 @@
     return pool
 
 
-def located(
+def require_upstream(
     current: configuration_state.Configuration, name: str
 ) -> tuple[configuration_state.Pool, configuration_state.Upstream]:
     """Return an upstream and its pool, or raise that there is none."""
@@ -266,9 +276,11 @@
     current: configuration_state.Configuration, name: str, **changes: object
 ) -> configuration_state.Configuration:
     """Return the configuration with attributes of an upstream changed."""
-    pool, upstream = located(current, name)
+    pool, upstream = require_upstream(current, name)
     changed = dataclasses.replace(upstream, **changes)
     return with_pool(
         current,
-        dataclasses.replace(pool, upstreams=put(pool.upstreams, changed)),
+        dataclasses.replace(
+            pool, upstreams=put_named(pool.upstreams, changed)
+        ),
     )
--- a/src/greengagelb/coordination/configuration/validation.py
+++ b/src/greengagelb/coordination/configuration/validation.py
@@ -7,7 +7,7 @@
 from greengagelb.state import configuration as configuration_state
 
 
-def check(wanted: configuration_state.Configuration) -> None:
+def check_configuration(wanted: configuration_state.Configuration) -> None:
     """Raise the first mistake in a configuration.
 
     An instance looks services, pools and upstreams up by name. A name that
@@ -77,7 +77,7 @@
         )
 
 
-def warnings_of(
+def collect_warnings(
     before: configuration_state.Configuration,
     after: configuration_state.Configuration,
     running: Mapping[str, int],
@@ -89,8 +89,10 @@
     for pool in before.pools:
         if after.find_pool(pool.name) is None:
             found.append(f'pool {pool.name} is removed')
-    lost = {a.name for a in before.accounts} - {a.name for a in after.accounts}
-    found += [f'client account {name} is removed' for name in sorted(lost)]
+    removed = {a.name for a in before.accounts} - {
+        a.name for a in after.accounts
+    }
+    found += [f'client account {name} is removed' for name in sorted(removed)]
     return tuple(found)
 
 
--- a/src/greengagelb/coordination/fleet/membership.py
+++ b/src/greengagelb/coordination/fleet/membership.py
@@ -20,13 +20,13 @@
 from greengagelb.state import identity
 from greengagelb.state import timeline
 
-SILENT_INTERVALS = 3.25
-FORGET_SECONDS = 60.0
-FORGET_ELSEWHERE_SECONDS = 3600.0
-NOTICE_SECONDS = 30.0
-ASK_AGAIN_SECONDS = 1.0
-RELAYS = 2
-MOST_MISSING_NAMED = 4
+SILENT_AFTER_INTERVALS = 3.25
+FORGET_AFTER_SECONDS = 60.0
+FORGET_REMOTE_AFTER_SECONDS = 3600.0
+LEAVING_NOTICE_SECONDS = 30.0
+CONFIGURATION_RETRY_SECONDS = 1.0
+GATEWAYS_PER_DATA_CENTRE = 2
+MAX_MISSING_NAMES = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Report:
+class EmitEvent:
     """Pass an event to the other decisions of this instance."""
 
     event: events.Event
@@ -79,7 +79,7 @@
     | AskForConfiguration
     | IntroducePeers
     | Disconnect
-    | Report
+    | EmitEvent
     | Explain
 )
 
@@ -94,93 +94,105 @@
 
     def __init__(
         self,
-        me: fleet.PeerId,
+        own_id: fleet.PeerId,
         seeds: Iterable[fleet.PeerAddress],
-        interval: float,
+        interval_seconds: float,
     ) -> None:
-        self.me = me
-        self.seeds = {seed for seed in seeds if seed != me.address}
-        self.interval = interval
-        self.own = fleet.OwnState()
+        self.own_id = own_id
+        self.seeds = {seed for seed in seeds if seed != own_id.address}
+        self.interval_seconds = interval_seconds
+        self.own_state = fleet.OwnState()
         self.stamp = timeline.Stamp(0, 0)
         self.loads: tuple[fleet.UpstreamLoad, ...] = ()
         self.peers: dict[str, fleet.PeerView] = {}
-        self.noticed: dict[identity.EngineId, float] = {}
+        self.leaving_noticed_at: dict[identity.EngineId, float] = {}
         self.summaries: dict[str, tuple[float, fleet.DataCentreSummary]] = {}
-        self.asked_version = 0
-        self.ask_again_at = float('-inf')
-        self.reported_size = 0
+        self.requested_version = 0
+        self.request_again_at = float('-inf')
+        self.reported_instance_count = 0
         self.reported_peers: tuple[tuple[str, str], ...] = ()
-        self.connected: set[fleet.PeerAddress] = set()
+        self.contacted_addresses: set[fleet.PeerAddress] = set()
 
     # -- what comes in ------------------------------------------------------
 
-    def own_changed(self, own: fleet.OwnState, now: float) -> list[Action]:
+    def update_own_state(
+        self, own: fleet.OwnState, now: float
+    ) -> list[Action]:
         """Take over this instance's own state; tell others if it changed."""
-        if own == self.own:
+        if own == self.own_state:
             return []
-        for engine in own.leaving_upstreams - self.own.leaving_upstreams:
-            self.noticed[engine] = now
-        self.own = own
-        return self.tell(now)
+        for engine in own.leaving_upstreams - self.own_state.leaving_upstreams:
+            self.leaving_noticed_at[engine] = now
+        self.own_state = own
+        return self.send_heartbeats(now)
 
-    def listed(
+    def apply_instance_list(
         self, instances: Iterable[fleet.ListedInstance], now: float
     ) -> list[Action]:
         """Take in the platform's list."""
         for view in self.peers.values():
             view.listed = False
         for instance in instances:
-            self.list_one(instance, now)
-        return self.sized(now)
+            self.apply_list_entry(instance, now)
+        return self.emit_size_changes(now)
 
-    def list_one(self, instance: fleet.ListedInstance, now: float) -> None:
+    def apply_list_entry(
+        self, instance: fleet.ListedInstance, now: float
+    ) -> None:
         """Take in one entry of the list, unless a newer start is known."""
         peer = instance.peer
-        if peer.address == self.me.address:
+        if peer.address == self.own_id.address:
             return
         view = self.peers.get(peer.incarnation)
         if view is None:
-            if self.heard_at_address(peer.address, now):
+            if self.has_live_peer_at(peer.address, now):
                 return
-            self.drop_address(peer.address)
+            self.forget_address(peer.address)
             view = self.peers[peer.incarnation] = fleet.PeerView(peer, now)
         view.listed = True
         view.leaving = view.leaving or instance.leaving
 
-    def heard(self, heartbeat: fleet.Heartbeat, now: float) -> list[Action]:
+    def handle_heartbeat(
+        self, heartbeat: fleet.Heartbeat, now: float
+    ) -> list[Action]:
         """Take in a heartbeat."""
         peer = heartbeat.sender
-        if peer.incarnation == self.me.incarnation:
+        if peer.incarnation == self.own_id.incarnation:
             return []
-        done: list[Action] = []
+        actions: list[Action] = []
         view = self.peers.get(peer.incarnation)
         if view is None:
-            self.drop_address(peer.address)
+            self.forget_address(peer.address)
             view = self.peers[peer.incarnation] = fleet.PeerView(peer, now)
-        if not self.is_heard(view, now):
-            done += self.welcome(peer, now)
+        if not self.is_recently_heard(view, now):
+            actions += self.greet_peer(peer, now)
         if heartbeat.held or view.holds:
             view.holds = bool(heartbeat.held)
-            done.append(
-                Report(events.UpstreamsHeld(peer.incarnation, heartbeat.held))
+            actions.append(
+                EmitEvent(
+                    events.UpstreamsHeld(peer.incarnation, heartbeat.held)
+                )
             )
         view.heard_at = now
         view.version = max(view.version, heartbeat.version)
         view.leaving = view.leaving or heartbeat.leaving
-        self.take_summaries(heartbeat, now)
+        self.store_summaries(heartbeat, now)
         for engine in heartbeat.leaving_upstreams:
-            done.append(
-                Report(events.UpstreamLeaving(engine, f'peer {peer.name}'))
+            actions.append(
+                EmitEvent(events.UpstreamLeaving(engine, f'peer {peer.name}'))
             )
         if heartbeat.crash_reports:
-            heard = events.CrashesHeard(heartbeat.crash_reports)
-            done.append(Report(heard))
-        if heartbeat.loads and heartbeat.version == self.own.version:
-            done.append(Report(events.LoadsHeard(heartbeat.loads)))
-        return [*done, *self.ask_if_newer(view, now), *self.sized(now)]
+            crashes_heard = events.CrashesHeard(heartbeat.crash_reports)
+            actions.append(EmitEvent(crashes_heard))
+        if heartbeat.loads and heartbeat.version == self.own_state.version:
+            actions.append(EmitEvent(events.LoadsHeard(heartbeat.loads)))
+        return [
+            *actions,
+            *self.request_newer_configuration(view, now),
+            *self.emit_size_changes(now),
+        ]
 
-    def welcome(self, peer: fleet.PeerId, now: float) -> list[Action]:
+    def greet_peer(self, peer: fleet.PeerId, now: float) -> list[Action]:
         """Tell a newly heard instance all that it may have missed.
 
         That includes who else is in its own data centre.
@@ -191,18 +203,20 @@
             if view.heard_at is not None
             and view.peer.data_centre == peer.data_centre
         )
-        self.connected.add(peer.address)
-        done: list[Action] = [
+        self.contacted_addresses.add(peer.address)
+        actions: list[Action] = [
             Explain('peer-heard', f'{peer.name} {peer.incarnation}'),
-            SendHeartbeat(peer.address, self.heartbeat(now, whole=True)),
+            SendHeartbeat(
+                peer.address, self.build_heartbeat(now, include_all=True)
+            ),
         ]
         if others:
-            done.append(IntroducePeers(peer.address, others))
-        if peer.data_centre != self.me.data_centre:
-            done += self.introduce_stranger(peer)
-        return done
+            actions.append(IntroducePeers(peer.address, others))
+        if peer.data_centre != self.own_id.data_centre:
+            actions += self.announce_remote_peer(peer)
+        return actions
 
-    def introduce_stranger(self, peer: fleet.PeerId) -> list[Action]:
+    def announce_remote_peer(self, peer: fleet.PeerId) -> list[Action]:
         """Tell this data centre of an instance of another one.
 
         Without the platform's list, those who are to speak to the other data
@@ -212,42 +226,47 @@
             IntroducePeers(view.peer.address, (peer.address,))
             for view in self.peers.values()
             if view.heard_at is not None
-            and view.peer.data_centre == self.me.data_centre
+            and view.peer.data_centre == self.own_id.data_centre
         ]
 
-    def introduced(
+    def handle_introduction(
         self, addresses: Iterable[fleet.PeerAddress], now: float
     ) -> list[Action]:
         """Make oneself known to instances that a peer has told of."""
         known = {view.peer.address for view in self.peers.values()}
         return [
-            SendHeartbeat(address, self.heartbeat(now, whole=True))
+            SendHeartbeat(address, self.build_heartbeat(now, include_all=True))
             for address in addresses
-            if address not in known and address != self.me.address
+            if address not in known and address != self.own_id.address
         ]
 
-    def take_summaries(self, heartbeat: fleet.Heartbeat, now: float) -> None:
+    def store_summaries(self, heartbeat: fleet.Heartbeat, now: float) -> None:
         """Remember what other data centres say of themselves."""
         for summary in heartbeat.summaries:
-            if summary.data_centre != self.me.data_centre:
+            if summary.data_centre != self.own_id.data_centre:
                 self.summaries[summary.data_centre] = (now, summary)
 
-    def ask_if_newer(self, view: fleet.PeerView, now: float) -> list[Action]:
+    def request_newer_configuration(
+        self, view: fleet.PeerView, now: float
+    ) -> list[Action]:
         """Ask for a configuration that this instance has not applied yet.
 
         The same version is asked for again after a while only: until the
         answer is here, every heartbeat would else ask for a large document.
         """
-        if view.version <= self.own.version:
+        if view.version <= self.own_state.version:
             return []
-        if view.version <= self.asked_version and now < self.ask_again_at:
+        if (
+            view.version <= self.requested_version
+            and now < self.request_again_at
+        ):
             return []
-        self.asked_version = view.version
-        self.ask_again_at = now + ASK_AGAIN_SECONDS
-        self.connected.add(view.peer.address)
+        self.requested_version = view.version
+        self.request_again_at = now + CONFIGURATION_RETRY_SECONDS
+        self.contacted_addresses.add(view.peer.address)
         return [AskForConfiguration(view.peer.address)]
 
-    def pause_noticed(self, seconds: float, now: float) -> None:
+    def handle_own_pause(self, seconds: float, now: float) -> None:
         """Forgive others the silence of a time in which nothing was read.
 
         To a process that stood still all others seem to have fallen silent.
@@ -257,66 +276,71 @@
             if view.heard_at is not None:
                 view.heard_at = min(now, view.heard_at + seconds)
 
-    def asked(self, address: fleet.PeerAddress) -> None:
+    def mark_contacted(self, address: fleet.PeerAddress) -> None:
         """Note that an answer goes to an address, to disconnect it later."""
-        self.connected.add(address)
+        self.contacted_addresses.add(address)
 
     # -- what goes out ------------------------------------------------------
 
     def tick(self, now: float) -> list[Action]:
         """Send the regular heartbeats and forget who has gone for good."""
-        done = self.tell(now)
+        actions = self.send_heartbeats(now)
         for incarnation, view in list(self.peers.items()):
-            if not view.listed and self.is_gone(view, now):
+            if not view.listed and self.can_forget(view, now):
                 del self.peers[incarnation]
                 reason = f'{view.peer.name} {incarnation}'
-                done.append(Explain('peer-forgotten', reason))
-        self.noticed = {
+                actions.append(Explain('peer-forgotten', reason))
+        self.leaving_noticed_at = {
             engine: since
-            for engine, since in self.noticed.items()
-            if now - since < NOTICE_SECONDS
+            for engine, since in self.leaving_noticed_at.items()
+            if now - since < LEAVING_NOTICE_SECONDS
         }
-        return [*done, *self.sized(now)]
+        return [*actions, *self.emit_size_changes(now)]
 
-    def tell(self, now: float) -> list[Action]:
+    def send_heartbeats(self, now: float) -> list[Action]:
         """Send a heartbeat to all that should have one."""
-        heartbeat = self.heartbeat(now)
+        heartbeat = self.build_heartbeat(now)
         local = self.local_addresses()
         remote = self.remote_addresses(now)
         with_loads = dataclasses.replace(heartbeat, loads=self.loads)
-        done: list[Action] = [
+        actions: list[Action] = [
             SendHeartbeat(address, with_loads) for address in sorted(local)
         ]
         if remote:
-            summary = self.summary(now)
+            summary = self.build_summary(now)
             heartbeat = dataclasses.replace(heartbeat, summaries=(summary,))
-            done += [SendHeartbeat(a, heartbeat) for a in sorted(remote)]
-        wanted = local | remote
-        done += [Disconnect(a) for a in sorted(self.connected - wanted)]
-        self.connected = wanted
-        return done
+            actions += [SendHeartbeat(a, heartbeat) for a in sorted(remote)]
+        recipients = local | remote
+        actions += [
+            Disconnect(a)
+            for a in sorted(self.contacted_addresses - recipients)
+        ]
+        self.contacted_addresses = recipients
+        return actions
 
-    def heartbeat(self, now: float, whole: bool = False) -> fleet.Heartbeat:
+    def build_heartbeat(
+        self, now: float, include_all: bool = False
+    ) -> fleet.Heartbeat:
         """Return a heartbeat; a ``whole`` one leaves no notice out."""
-        notices = self.own.leaving_upstreams
-        if not whole:
-            notices = frozenset(self.noticed) & notices
-        relayed = tuple(
+        notices = self.own_state.leaving_upstreams
+        if not include_all:
+            notices = frozenset(self.leaving_noticed_at) & notices
+        summaries = tuple(
             summary
             for heard_at, summary in self.summaries.values()
-            if now - heard_at < self.silent_seconds
-            and self.relays_from(summary.data_centre, now)
+            if now - heard_at < self.silent_after_seconds
+            and self.has_live_peer_in(summary.data_centre, now)
         )
         return fleet.Heartbeat(
-            self.me,
-            self.own.version,
-            self.own.leaving,
+            self.own_id,
+            self.own_state.version,
+            self.own_state.leaving,
             self.stamp,
             tuple(sorted(notices, key=lambda e: (e.name, e.incarnation))),
-            relayed,
-            self.own.held,
+            summaries,
+            self.own_state.held,
             crash_reports=crash_guard.reports_of(
-                self.own.suspects, now, whole=whole
+                self.own_state.suspects, now, whole=include_all
             ),
         )
 
@@ -325,10 +349,10 @@
         known = {
             view.peer.address
             for view in self.peers.values()
-            if view.peer.data_centre == self.me.data_centre
+            if view.peer.data_centre == self.own_id.data_centre
         }
-        elsewhere = {v.peer.address for v in self.peers.values()} - known
-        return known | (self.seeds - elsewhere)
+        remote = {v.peer.address for v in self.peers.values()} - known
+        return known | (self.seeds - remote)
 
     def remote_addresses(self, now: float) -> set[fleet.PeerAddress]:
         """Return the addresses elsewhere that this instance relays to.
@@ -339,19 +363,21 @@
         """
         chosen: set[fleet.PeerAddress] = set()
         for data_centre in self.other_data_centres():
-            if not self.relays_to(data_centre, now):
+            if not self.is_gateway_to(data_centre, now):
                 continue
-            views = self.usable_elsewhere(data_centre, now)
-            picked = rendezvous.highest(self.me.data_centre, views, RELAYS)
+            views = self.remote_candidates(data_centre, now)
+            picked = rendezvous.highest_scoring(
+                self.own_id.data_centre, views, GATEWAYS_PER_DATA_CENTRE
+            )
             chosen |= {views[name].peer.address for name in picked}
         return chosen
 
     def other_data_centres(self) -> list[str]:
         """Return the names of all other data centres that are known."""
         names = {view.peer.data_centre for view in self.peers.values()}
-        return sorted(names - {self.me.data_centre})
+        return sorted(names - {self.own_id.data_centre})
 
-    def usable_elsewhere(
+    def remote_candidates(
         self, data_centre: str, now: float
     ) -> dict[str, fleet.PeerView]:
         """Return views of another data centre by incarnation.
@@ -364,93 +390,101 @@
             for incarnation, view in self.peers.items()
             if view.peer.data_centre == data_centre and not view.leaving
         }
-        live = {i: v for i, v in views.items() if self.is_heard(v, now)}
-        if len(live) >= RELAYS or not views:
+        live = {
+            i: v for i, v in views.items() if self.is_recently_heard(v, now)
+        }
+        if len(live) >= GATEWAYS_PER_DATA_CENTRE or not views:
             return live or views
-        turn = f'{self.me.incarnation}{int(now / self.interval)}'
-        tried = rendezvous.highest(turn, set(views) - set(live), RELAYS)
+        turn = f'{self.own_id.incarnation}{int(now / self.interval_seconds)}'
+        tried = rendezvous.highest_scoring(
+            turn, set(views) - set(live), GATEWAYS_PER_DATA_CENTRE
+        )
         return {i: views[i] for i in {*live, *tried}}
 
-    def relays_to(self, data_centre: str, now: float) -> bool:
+    def is_gateway_to(self, data_centre: str, now: float) -> bool:
         """Return whether this instance speaks to another data centre."""
-        return self.is_relay(f'{self.me.data_centre}>{data_centre}', now)
+        return self.is_gateway(f'{self.own_id.data_centre}>{data_centre}', now)
 
-    def relays_from(self, data_centre: str, now: float) -> bool:
+    def has_live_peer_in(self, data_centre: str, now: float) -> bool:
         """Return whether this instance passes on what it was told there."""
         return any(
-            self.is_heard(view, now)
+            self.is_recently_heard(view, now)
             for view in self.peers.values()
             if view.peer.data_centre == data_centre
         )
 
-    def is_relay(self, key: str, now: float) -> bool:
+    def is_gateway(self, key: str, now: float) -> bool:
         """Return whether this instance is one of the few for a task."""
-        names = {
+        incarnations = {
             incarnation
             for incarnation, view in self.peers.items()
-            if view.peer.data_centre == self.me.data_centre
-            and self.is_heard(view, now)
+            if view.peer.data_centre == self.own_id.data_centre
+            and self.is_recently_heard(view, now)
             and not view.leaving
         }
-        names.add(self.me.incarnation)
-        return self.me.incarnation in rendezvous.highest(key, names, RELAYS)
+        incarnations.add(self.own_id.incarnation)
+        return self.own_id.incarnation in rendezvous.highest_scoring(
+            key, incarnations, GATEWAYS_PER_DATA_CENTRE
+        )
 
     # -- what is known ------------------------------------------------------
 
     @property
-    def silent_seconds(self) -> float:
+    def silent_after_seconds(self) -> float:
         """The silence after which an instance is not counted as live."""
-        return self.interval * SILENT_INTERVALS
+        return self.interval_seconds * SILENT_AFTER_INTERVALS
 
-    def silence(self, view: fleet.PeerView, now: float) -> float:
+    def silence_seconds(self, view: fleet.PeerView, now: float) -> float:
         """Return for how many seconds nothing has been heard of it."""
         since = view.known_at if view.heard_at is None else view.heard_at
         return now - since
 
-    def is_gone(self, view: fleet.PeerView, now: float) -> bool:
+    def can_forget(self, view: fleet.PeerView, now: float) -> bool:
         """Return whether an instance that is not listed can be forgotten.
 
         Those elsewhere are kept for long. Few instances hear of them, and
         when these few die the others have to know whom to speak to.
         """
-        local = view.peer.data_centre == self.me.data_centre
-        patience = FORGET_SECONDS if local else FORGET_ELSEWHERE_SECONDS
-        return self.silence(view, now) > patience
+        local = view.peer.data_centre == self.own_id.data_centre
+        forget_after_seconds = (
+            FORGET_AFTER_SECONDS if local else FORGET_REMOTE_AFTER_SECONDS
+        )
+        return self.silence_seconds(view, now) > forget_after_seconds
 
-    def is_heard(self, view: fleet.PeerView, now: float) -> bool:
+    def is_recently_heard(self, view: fleet.PeerView, now: float) -> bool:
         """Return whether an instance was heard of lately."""
         if view.heard_at is None:
             return False
-        return self.silence(view, now) < self.silent_seconds
+        return self.silence_seconds(view, now) < self.silent_after_seconds
 
-    def heard_at_address(self, address: fleet.PeerAddress, now: float) -> bool:
+    def has_live_peer_at(self, address: fleet.PeerAddress, now: float) -> bool:
         """Return whether some instance is heard at an address.
 
         The list lags: what it shows there is then an older start.
         """
         return any(
-            self.is_heard(view, now)
+            self.is_recently_heard(view, now)
             for view in self.peers.values()
             if view.peer.address == address
         )
 
-    def drop_address(self, address: fleet.PeerAddress) -> None:
+    def forget_address(self, address: fleet.PeerAddress) -> None:
         """Forget what was at an address before."""
         for incarnation, view in list(self.peers.items()):
             if view.peer.address == address:
                 del self.peers[incarnation]
 
-    def standing(self, view: fleet.PeerView, now: float) -> fleet.Standing:
+    def standing_of(self, view: fleet.PeerView, now: float) -> fleet.Standing:
         """Return what an instance can be counted on for."""
         if view.leaving:
             return fleet.Standing.LEAVING
-        if self.is_heard(view, now):
+        if self.is_recently_heard(view, now):
             return fleet.Standing.LIVE
         if view.heard_at is None:
             return fleet.Standing.LISTED
         return fleet.Standing.SILENT
 
-    def counted(self, view: fleet.PeerView, now: float) -> bool:
+    def counts_as_serving(self, view: fleet.PeerView, now: float) -> bool:
         """Return whether an instance may be serving.
 
         One that is listed counts for a minute though it is not heard: counted
@@ -458,30 +492,33 @@
         """
         if view.leaving:
             return False
-        if self.is_heard(view, now):
+        if self.is_recently_heard(view, now):
             return True
-        return view.listed and self.silence(view, now) < FORGET_SECONDS
+        return (
+            view.listed
+            and self.silence_seconds(view, now) < FORGET_AFTER_SECONDS
+        )
 
-    def live_instances(self, now: float) -> int:
+    def count_live_instances(self, now: float) -> int:
         """Return how many instances of this data centre may be serving."""
         return 1 + sum(
-            self.counted(view, now)
+            self.counts_as_serving(view, now)
             for view in self.peers.values()
-            if view.peer.data_centre == self.me.data_centre
+            if view.peer.data_centre == self.own_id.data_centre
         )
 
-    def sized(self, now: float) -> list[Action]:
+    def emit_size_changes(self, now: float) -> list[Action]:
         """Report the size of the fleet here if it has changed."""
-        done: list[Action] = []
+        actions: list[Action] = []
         peers = self.serving_peers(now)
         if peers != self.reported_peers:
             self.reported_peers = peers
-            done.append(Report(events.PeersKnown(peers)))
-        size = self.live_instances(now)
-        if size != self.reported_size:
-            self.reported_size = size
-            done.append(Report(events.FleetSized(size)))
-        return done
+            actions.append(EmitEvent(events.PeersKnown(peers)))
+        size = self.count_live_instances(now)
+        if size != self.reported_instance_count:
+            self.reported_instance_count = size
+            actions.append(EmitEvent(events.FleetSized(size)))
+        return actions
 
     def serving_peers(self, now: float) -> tuple[tuple[str, str], ...]:
         """Return who else may be serving, here and elsewhere."""
@@ -489,7 +526,7 @@
             sorted(
                 (incarnation, view.peer.data_centre)
                 for incarnation, view in self.peers.items()
-                if self.counted(view, now)
+                if self.counts_as_serving(view, now)
             )
         )
 
@@ -503,31 +540,31 @@
         found = {
             incarnation
             for incarnation, view in self.peers.items()
-            if view.peer.data_centre == self.me.data_centre
-            and self.standing(view, now) is fleet.Standing.LIVE
+            if view.peer.data_centre == self.own_id.data_centre
+            and self.standing_of(view, now) is fleet.Standing.LIVE
         }
-        return found | {self.me.incarnation}
+        return found | {self.own_id.incarnation}
 
-    def summary(self, now: float) -> fleet.DataCentreSummary:
+    def build_summary(self, now: float) -> fleet.DataCentreSummary:
         """Return what this data centre says of its instances."""
         views = [
             view
             for view in self.peers.values()
-            if view.peer.data_centre == self.me.data_centre
+            if view.peer.data_centre == self.own_id.data_centre
             and not view.leaving
         ]
-        version = max([self.own.version, *(v.version for v in views)])
+        version = max([self.own_state.version, *(v.version for v in views)])
         missing = sorted(v.peer.name for v in views if v.version < version)
-        if self.own.version < version:
-            missing.append(self.me.name)
+        if self.own_state.version < version:
+            missing.append(self.own_id.name)
         return fleet.DataCentreSummary(
-            self.me.data_centre,
+            self.own_id.data_centre,
             version,
             len(views) + 1 - len(missing),
             len(views) + 1,
-            tuple(missing[:MOST_MISSING_NAMED]),
+            tuple(missing[:MAX_MISSING_NAMES]),
         )
 
-    def fresh_summaries(self) -> list[fleet.DataCentreSummary]:
+    def latest_summaries(self) -> list[fleet.DataCentreSummary]:
         """Return the last word of each other data centre."""
         return [summary for _, summary in self.summaries.values()]
--- a/src/greengagelb/coordination/fleet/watching.py
+++ b/src/greengagelb/coordination/fleet/probe_assignment.py
@@ -13,12 +13,12 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import upstreams as upstream_state
 
-WATCHERS = 2
-TURNS_BETWEEN_REMOTE = 30
-MOST_PROBES = 32
+WATCHERS_PER_UPSTREAM = 2
+TURNS_PER_REMOTE_PROBE = 30
+MAX_UNASSIGNED_PROBES = 32
 
 
-class Watch:
+class ProbeAssignment:
     """The part of the watching that falls to one instance.
 
     Invariant: ``watched`` are the upstreams that fall to this instance out of
@@ -29,9 +29,9 @@
     def __init__(self, incarnation: str, data_centre: str) -> None:
         self.incarnation = incarnation
         self.data_centre = data_centre
-        self.names: frozenset[str] = frozenset()
+        self.upstream_names: frozenset[str] = frozenset()
         self.instances: frozenset[str] = frozenset()
-        self.watched: frozenset[str] = frozenset()
+        self.assigned: frozenset[str] = frozenset()
         self.turn = 0
 
     def upstreams_to_probe(
@@ -51,30 +51,38 @@
         at once, and asking them all each second would cost the time that the
         callers' streams need.
         """
-        self.share_out(frozenset(views), frozenset(instances))
-        remote_too = self.turn % TURNS_BETWEEN_REMOTE == 0
+        self.update_assignment(frozenset(views), frozenset(instances))
+        probes_remote = self.turn % TURNS_PER_REMOTE_PROBE == 0
         self.turn += 1
-        watched = []
-        doubtful = []
+        assigned = []
+        unassigned = []
         for name, view in views.items():
-            if name in self.watched:
-                if remote_too or view.upstream.data_centre == self.data_centre:
-                    watched.append(view.upstream)
+            if name in self.assigned:
+                if (
+                    probes_remote
+                    or view.upstream.data_centre == self.data_centre
+                ):
+                    assigned.append(view.upstream)
             elif view.leaving or now < view.suspected_until:
-                doubtful.append(view.upstream)
-        return [*watched, *doubtful[:MOST_PROBES]]
+                unassigned.append(view.upstream)
+        return [*assigned, *unassigned[:MAX_UNASSIGNED_PROBES]]
 
-    def share_out(
-        self, names: frozenset[str], instances: frozenset[str]
+    def update_assignment(
+        self, upstream_names: frozenset[str], instances: frozenset[str]
     ) -> None:
         """Work out what falls to this instance, if anything has changed."""
-        if (names, instances) == (self.names, self.instances):
+        if (upstream_names, instances) == (
+            self.upstream_names,
+            self.instances,
+        ):
             return
-        self.names = names
+        self.upstream_names = upstream_names
         self.instances = instances
-        self.watched = frozenset(
+        self.assigned = frozenset(
             name
-            for name in names
+            for name in upstream_names
             if self.incarnation
-            in rendezvous.highest(name, instances, WATCHERS)
+            in rendezvous.highest_scoring(
+                name, instances, WATCHERS_PER_UPSTREAM
+            )
         )
--- a/src/greengagelb/coordination/fleet/rendezvous.py
+++ b/src/greengagelb/coordination/fleet/rendezvous.py
@@ -11,7 +11,9 @@
 SCORE_BYTES = 8
 
 
-def highest(key: str, names: Iterable[str], count: int = 1) -> list[str]:
+def highest_scoring(
+    key: str, names: Iterable[str], count: int = 1
+) -> list[str]:
     """Return the ``count`` names that score highest for a key."""
     ranked = sorted(names, key=lambda name: score(key, name), reverse=True)
     return ranked[:count]
--- a/src/greengagelb/coordination/fleet/routing.py
+++ b/src/greengagelb/coordination/fleet/routing.py
@@ -12,18 +12,18 @@
 import math
 import random
 
-from greengagelb.coordination.fleet import members
+from greengagelb.coordination.fleet import pool_candidates
 from greengagelb.coordination.fleet import upstream_views
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import upstreams as upstream_state
 
-RETURN_SECONDS = 2.0
-CHOICES = 2
-SAMPLES = 4
-TRIES = 16
-FULL_SECONDS = 0.1
-SLOTS_PER_SHORT_RESERVE = 8
-AFFINITY_BOUND = 1.5
+RAMP_UP_SECONDS = 2.0
+COMPARED_CANDIDATES = 2
+MAX_CANDIDATES = 4
+MAX_SAMPLED_UPSTREAMS = 16
+FULL_POOL_RECHECK_SECONDS = 0.1
+SLOTS_PER_RESERVED_SLOT = 8
+AFFINITY_LOAD_FACTOR = 1.5
 SHORT = configuration_state.Priority.SHORT
 RESUME = configuration_state.Priority.RESUME
 
@@ -35,8 +35,8 @@
     ``until`` is the monotonic time at which all are looked at again.
     """
 
-    until: float
-    changed: set[str] = dataclasses.field(default_factory=set)
+    recheck_at: float
+    changed_upstreams: set[str] = dataclasses.field(default_factory=set)
 
 
 class UpstreamDirectory(upstream_views.UpstreamViews):
@@ -50,31 +50,35 @@
     ) -> None:
         super().__init__(data_centre, incarnation)
         self.rng = rng
-        self.members: dict[tuple[str, str], members.PoolMembers] = {}
-        self.full: dict[
+        self.candidates_by_pool: dict[
+            tuple[str, str], pool_candidates.PoolCandidates
+        ] = {}
+        self.full_pools: dict[
             tuple[str, str, configuration_state.Priority], FullPool
         ] = {}
 
-    def apply(self, configuration: configuration_state.Configuration) -> None:
+    def apply_configuration(
+        self, configuration: configuration_state.Configuration
+    ) -> None:
         """Adopt the upstreams of a configuration, keeping what is known."""
-        super().apply(configuration)
-        self.members.clear()
-        self.full.clear()
+        super().apply_configuration(configuration)
+        self.candidates_by_pool.clear()
+        self.full_pools.clear()
 
-    def resize(self, live_instances: int) -> None:
+    def set_live_instances(self, live_instances: int) -> None:
         """Share the upstreams' places with that many instances."""
-        super().resize(live_instances)
-        self.full.clear()
+        super().set_live_instances(live_instances)
+        self.full_pools.clear()
 
-    def touch(self, name: str) -> None:
+    def mark_possible_room(self, name: str) -> None:
         """Note that an upstream may have room that it had not before."""
-        super().touch(name)
-        for full in self.full.values():
-            full.changed.add(name)
+        super().mark_possible_room(name)
+        for full_pool in self.full_pools.values():
+            full_pool.changed_upstreams.add(name)
 
     # -- choice -------------------------------------------------------------
 
-    def choose(
+    def choose_upstream(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -87,16 +91,24 @@
         Upstreams of other data centres get only what finds no room here: a
         partition would break the streams on them.
         """
-        picked = self.pick(pool, excluded, now, priority)
-        if not picked:
+        candidates = self.find_candidates(pool, excluded, now, priority)
+        if not candidates:
             return None
         if prefix:
-            near = self.choose_by_prefix(pool, picked, prefix, now, priority)
-            if near is not None and near.upstream.name not in excluded:
-                return near
-        return min(picked[:CHOICES], key=lambda view: self.score(view, now))
+            preferred = self.choose_by_prefix(
+                pool, candidates, prefix, now, priority
+            )
+            if (
+                preferred is not None
+                and preferred.upstream.name not in excluded
+            ):
+                return preferred
+        return min(
+            candidates[:COMPARED_CANDIDATES],
+            key=lambda view: self.relative_delay(view, now),
+        )
 
-    def pick(
+    def find_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -111,24 +123,32 @@
         with time alone, when a suspicion ends, is found after that moment.
         """
         key = (pool.name, pool.version, priority)
-        full = self.full.get(key)
-        if full is not None and now < full.until and not excluded:
-            changed = [self.views[n] for n in full.changed if n in self.views]
-            names = set(self.members_of(pool).names)
+        full_pool = self.full_pools.get(key)
+        if (
+            full_pool is not None
+            and now < full_pool.recheck_at
+            and not excluded
+        ):
+            changed = [
+                self.views[n]
+                for n in full_pool.changed_upstreams
+                if n in self.views
+            ]
+            names = set(self.candidates_of(pool).names)
             return [
                 view
                 for view in changed
                 if view.upstream.name in names
-                and self.is_open(view, pool, priority, now)
+                and self.can_accept(view, pool, priority, now)
             ]
-        picked = self.sample(pool, excluded, now, priority)
-        if len(picked) < CHOICES:
-            picked = self.scan(pool, excluded, now, priority)
-        if not picked and not excluded:
-            self.full[key] = FullPool(now + FULL_SECONDS)
-        return picked
-
-    def sample(
+        candidates = self.sample_candidates(pool, excluded, now, priority)
+        if len(candidates) < COMPARED_CANDIDATES:
+            candidates = self.scan_candidates(pool, excluded, now, priority)
+        if not candidates and not excluded:
+            self.full_pools[key] = FullPool(now + FULL_POOL_RECHECK_SECONDS)
+        return candidates
+
+    def sample_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -136,19 +156,21 @@
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
         """Return some near views with room out of a few random ones."""
-        names = self.members_of(pool).names
+        names = self.candidates_of(pool).names
         found: list[upstream_state.UpstreamView] = []
-        for name in self.rng.sample(names, min(TRIES, len(names))):
+        for name in self.rng.sample(
+            names, min(MAX_SAMPLED_UPSTREAMS, len(names))
+        ):
             view = self.views.get(name)
             if view is None or name in excluded:
                 continue
-            if self.is_open(view, pool, priority, now):
+            if self.can_accept(view, pool, priority, now):
                 found.append(view)
-                if len(found) == SAMPLES:
+                if len(found) == MAX_CANDIDATES:
                     break
         return found
 
-    def scan(
+    def scan_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -164,9 +186,9 @@
             return []
         local = [view for view in usable if self.is_local(view)]
         usable = local or usable
-        return self.rng.sample(usable, min(SAMPLES, len(usable)))
+        return self.rng.sample(usable, min(MAX_CANDIDATES, len(usable)))
 
-    def is_open(
+    def can_accept(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
@@ -176,26 +198,28 @@
         """Return whether a trusted upstream has room for a class."""
         return (
             now >= view.suspected_until
-            and not (self.holds and view.upstream.name in self.held(now))
+            and not (
+                self.holds and view.upstream.name in self.held_upstreams(now)
+            )
             and self.may_get_work(view, pool, now)
             and self.has_room(view, pool, priority, now)
         )
 
-    def members_of(
+    def candidates_of(
         self, pool: configuration_state.Pool
-    ) -> members.PoolMembers:
+    ) -> pool_candidates.PoolCandidates:
         """Return a pool's members, prepared once per configuration."""
         key = (pool.name, pool.version)
-        known = self.members.get(key)
-        if known is None or known.upstreams is not pool.upstreams:
-            known = members.members_of(pool, self.data_centre)
-            self.members[key] = known
-        return known
+        prepared = self.candidates_by_pool.get(key)
+        if prepared is None or prepared.upstreams is not pool.upstreams:
+            prepared = pool_candidates.local_candidates(pool, self.data_centre)
+            self.candidates_by_pool[key] = prepared
+        return prepared
 
     def choose_by_prefix(
         self,
         pool: configuration_state.Pool,
-        others: list[upstream_state.UpstreamView],
+        candidates: list[upstream_state.UpstreamView],
         prefix: str,
         now: float,
         priority: configuration_state.Priority,
@@ -205,15 +229,15 @@
         Without the bound the upstream of a popular prefix would be swamped
         while the others idle.
         """
-        key = members.digest(prefix)
-        scores = [self.score(view, now) for view in others]
-        most = AFFINITY_BOUND * sum(scores) / len(scores)
-        known = self.members_of(pool)
-        views = [self.views[name] for name in known.names]
-        holding = [view for view in views if key in view.prefixes]
-        for view in [*holding, self.views[known.likely(key)]]:
-            calm = self.score(view, now) <= most
-            if calm and self.is_open(view, pool, priority, now):
+        key = pool_candidates.prefix_digest(prefix)
+        delays = [self.relative_delay(view, now) for view in candidates]
+        max_delay = AFFINITY_LOAD_FACTOR * sum(delays) / len(delays)
+        prepared = self.candidates_of(pool)
+        views = [self.views[name] for name in prepared.names]
+        holders = [view for view in views if key in view.prefixes]
+        for view in [*holders, self.views[prepared.preferred_upstream(key)]]:
+            is_within_limit = self.relative_delay(view, now) <= max_delay
+            if is_within_limit and self.can_accept(view, pool, priority, now):
                 return view
         return None
 
@@ -232,9 +256,9 @@
         if pool.former is None:
             return pool
         former = with_version(pool, pool.former)
-        if self.choose(pool, set(), now, priority) is not None:
+        if self.choose_upstream(pool, set(), now, priority) is not None:
             return pool
-        if self.choose(former, set(), now, priority) is not None:
+        if self.choose_upstream(former, set(), now, priority) is not None:
             return former
         return pool
 
@@ -278,12 +302,12 @@
         """
         if view.leaving or view.upstream.draining:
             return False
-        if self.holds and view.upstream.name in self.held(now):
+        if self.holds and view.upstream.name in self.held_upstreams(now):
             return False
         if not view.incarnation or not pool.version:
             return True
         stale = now - view.probed_at >= upstream_views.PROBE_TRUST_SECONDS
-        if stale and not self.tells_in_change(view, pool):
+        if stale and not self.is_old_report_usable(view, pool):
             return True
         return (view.model, view.version, view.adapter) == (
             pool.model,
@@ -291,7 +315,7 @@
             pool.adapter,
         )
 
-    def tells_in_change(
+    def is_old_report_usable(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
@@ -310,11 +334,11 @@
             (pool.model, pool.version, pool.adapter),
         )
 
-    def limited_alone(
+    def upstreams_if_all_limited(
         self, pool: configuration_state.Pool, now: float
     ) -> list[str]:
         """Return a pool's usable upstreams, if all of them have limits."""
-        if not self.limits.lives:
+        if not self.limits.limited_lives:
             return []
         names = [
             view.upstream.name for view in self.usable_views(pool, set(), now)
@@ -323,11 +347,11 @@
             return []
         return names
 
-    def may_ever_serve(
+    def can_ever_serve(
         self, pool: configuration_state.Pool, now: float
     ) -> bool:
         """Return whether waiting may bring an upstream with room."""
-        views = (self.views.get(found.name) for found in pool.upstreams)
+        views = (self.views.get(upstream.name) for upstream in pool.upstreams)
         return any(
             view and self.may_get_work(view, pool, now) for view in views
         )
@@ -340,11 +364,11 @@
         now: float,
     ) -> bool:
         """Return whether an upstream takes one more request of a class."""
-        if not self.has_place(view, pool, priority, now):
+        if not self.has_free_slot(view, pool, priority, now):
             return False
-        return self.limits.admits(view.upstream.name, now)
+        return self.limits.has_or_requests_permit(view.upstream.name, now)
 
-    def has_place(
+    def has_free_slot(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
@@ -357,19 +381,19 @@
         looks like one that has stalled. So no instance gives an engine more
         between two reports than its part of the places that were free.
         """
-        slots = self.slots(view, pool, priority, now)
+        slots = self.available_slots(view, pool, priority, now)
         if now - view.reported_at >= upstream_views.REPORT_TRUST_SECONDS:
             share = math.ceil(slots / self.live_instances)
             return view.in_flight < share
-        if self.load(view, now) >= slots:
+        if self.estimated_load(view, now) >= slots:
             return False
-        others = view.reported_running + view.reported_queued
-        free = slots - max(others, view.in_flight_at_report)
+        other_load = view.reported_running + view.reported_queued
+        free = slots - max(other_load, view.in_flight_at_report)
         allowed = max(1, math.ceil(free / self.live_instances))
-        grown = view.in_flight - view.in_flight_at_report
-        return grown < allowed
+        sent_since_report = view.in_flight - view.in_flight_at_report
+        return sent_since_report < allowed
 
-    def slots(
+    def available_slots(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
@@ -383,32 +407,41 @@
         may fail again, so that it is filled up over some seconds.
         """
         slots = pool.slots_per_upstream
-        if pool.name in self.short_pools and priority is not SHORT:
-            reserve = math.ceil(slots / SLOTS_PER_SHORT_RESERVE)
+        if pool.name in self.mixed_pools and priority is not SHORT:
+            reserve = math.ceil(slots / SLOTS_PER_RESERVED_SLOT)
             slots = max(1, slots - reserve)
-        back = now - view.returned_at
-        if back >= RETURN_SECONDS:
+        seconds_since_return = now - view.returned_at
+        if seconds_since_return >= RAMP_UP_SECONDS:
             return slots
-        return max(1, math.floor(slots * max(0.0, back) / RETURN_SECONDS))
+        return max(
+            1,
+            math.floor(
+                slots * max(0.0, seconds_since_return) / RAMP_UP_SECONDS
+            ),
+        )
 
-    def load(self, view: upstream_state.UpstreamView, now: float) -> float:
+    def estimated_load(
+        self, view: upstream_state.UpstreamView, now: float
+    ) -> float:
         """Return the load of an upstream in requests, aged by its lag."""
         age = now - view.reported_at
         trust = max(0.0, 1.0 - age / upstream_views.REPORT_TRUST_SECONDS)
         reported = view.reported_running + view.reported_queued
-        others = max(0.0, reported - view.in_flight_at_report)
-        return view.in_flight + trust * others
+        other_load = max(0.0, reported - view.in_flight_at_report)
+        return view.in_flight + trust * other_load
 
-    def score(self, view: upstream_state.UpstreamView, now: float) -> float:
+    def relative_delay(
+        self, view: upstream_state.UpstreamView, now: float
+    ) -> float:
         """Return how long an upstream takes, relative to others.
 
         A slow engine counts as a busy one. An engine whose step is unknown
         counts by its load alone.
         """
-        pace = view.step_seconds or self.usual_step()
-        return (self.load(view, now) + 1.0) * pace
+        step_seconds = view.step_seconds or self.typical_step_seconds()
+        return (self.estimated_load(view, now) + 1.0) * step_seconds
 
-    def usual_step(self) -> float:
+    def typical_step_seconds(self) -> float:
         """Return a step that upstreams have which report one, or 1."""
         for view in self.views.values():
             if view.step_seconds:
@@ -417,12 +450,13 @@
 
 
 def with_version(
-    pool: configuration_state.Pool, serves: configuration_state.ModelVersion
+    pool: configuration_state.Pool,
+    model_version: configuration_state.ModelVersion,
 ) -> configuration_state.Pool:
     """Return the pool with another model version to serve."""
     return dataclasses.replace(
         pool,
-        model=serves.model,
-        version=serves.version,
-        adapter=serves.adapter,
+        model=model_version.model,
+        version=model_version.version,
+        adapter=model_version.adapter,
     )
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -20,17 +20,17 @@
 LIMITS_TIMER = 'limits'
 # How long a permit is waited for at most, how long one is kept that is not
 # used yet, and how long for a request that is being claimed. In seconds.
-MOST_PERMIT_SECONDS = 60.0
-STOCK_SECONDS = 0.25
-RESERVED_SECONDS = 2.0
+MAX_PERMIT_WAIT_SECONDS = 60.0
+UNUSED_PERMIT_SECONDS = 0.25
+RESERVED_PERMIT_SECONDS = 2.0
 # How long what has lost its upstream waits for a permit, in seconds.
-REPEAT_SECONDS = 1.0
+RETRY_PERMIT_WAIT_SECONDS = 1.0
 # Permits of the last so many seconds tell how many come in.
-FLOW_SECONDS = 5.0
+GRANT_WINDOW_SECONDS = 5.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class UpstreamAnswer:
     """An upstream's answer to a request that was sent at ``asked_at``."""
 
     upstream: str
@@ -44,11 +44,11 @@
 
     life: str
     granted: limit_keeper.Granted
-    until: float
+    expires_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asker:
+class PermitRequester:
     """For whom an upstream is looked for, and until when it can wait.
 
     An ``urgent`` request goes on with what was begun.
@@ -59,7 +59,7 @@
     urgent: bool = False
 
 
-NOBODY = Asker()
+NO_REQUESTER = PermitRequester()
 
 
 class UpstreamLimits:
@@ -75,96 +75,104 @@
     def __init__(self, incarnation: str = '', data_centre: str = '') -> None:
         self.data_centre = data_centre
         self.keeper = limit_keeper.LimitKeeper(incarnation)
-        self.keeper.ranking.members = self.members
-        self.keeper.ranking.has_part = self.has_part
-        self.lives: dict[str, str] = {}
-        self.places: dict[str, str] = {}
-        self.peers: dict[str, str] = {}
-        self.asker = NOBODY
+        self.keeper.ranking.members = self.local_peers_of
+        self.keeper.ranking.has_part = self.shares_limit
+        self.limited_lives: dict[str, str] = {}
+        self.upstream_data_centres: dict[str, str] = {}
+        self.peer_data_centres: dict[str, str] = {}
+        self.requester = NO_REQUESTER
         self.denied_at: dict[str, float] = {}
-        self.asking: dict[str, int] = {}
-        self.stock: dict[str, list[Permit]] = {}
-        self.reserved: dict[int, tuple[str, Permit]] = {}
-        self.came: dict[str, collections.deque[float]] = {}
-        self.news: set[str] = set()
+        self.pending_requests: dict[str, int] = {}
+        self.unused_permits: dict[str, list[Permit]] = {}
+        self.reserved_permits: dict[int, tuple[str, Permit]] = {}
+        self.granted_at: dict[str, collections.deque[float]] = {}
+        self.changed_upstreams: set[str] = set()
         self.timer_at = float('inf')
 
     # -- what is known ------------------------------------------------------
 
     def rate(self, name: str) -> float | None:
         """Return the limit in force of an upstream, or None without one."""
-        life = self.lives.get(name)
+        life = self.limited_lives.get(name)
         return None if life is None else self.keeper.book.rate(life)
 
-    def place_of(self, life: str) -> str:
+    def data_centre_of(self, life: str) -> str:
         """Return the data centre of an upstream."""
-        return self.places.get(name_of(life), self.data_centre)
+        return self.upstream_data_centres.get(
+            upstream_of_life(life), self.data_centre
+        )
 
-    def members(self, life: str) -> Collection[str]:
+    def local_peers_of(self, life: str) -> Collection[str]:
         """Return the other instances of an upstream's data centre."""
-        place = self.place_of(life)
-        return [name for name, at in self.peers.items() if at == place]
+        data_centre = self.data_centre_of(life)
+        return [
+            name
+            for name, at in self.peer_data_centres.items()
+            if at == data_centre
+        ]
 
-    def has_part(self, life: str) -> bool:
+    def shares_limit(self, life: str) -> bool:
         """Return whether this instance has a part of an upstream's limit."""
-        return self.place_of(life) == self.data_centre
+        return self.data_centre_of(life) == self.data_centre
 
-    def know_peers(self, peers: dict[str, str], now: float) -> None:
+    def update_peers(self, peers: dict[str, str], now: float) -> None:
         """Take in which other instances there are, and where."""
-        gone = self.peers.keys() - peers.keys()
-        come = peers.keys() - self.peers.keys()
-        self.peers = peers
+        departed = self.peer_data_centres.keys() - peers.keys()
+        joined = peers.keys() - self.peer_data_centres.keys()
+        self.peer_data_centres = peers
         own = self.keeper.own
         self.keeper.parts.rank = sum(
-            name < own and place == self.data_centre
-            for name, place in peers.items()
+            name < own and data_centre == self.data_centre
+            for name, data_centre in peers.items()
         )
-        for incarnation in gone:
+        for incarnation in departed:
             self.keeper.left(incarnation, now)
-        for incarnation in come:
+        for incarnation in joined:
             if peers[incarnation] == self.data_centre:
                 for news in self.keeper.book.reports():
                     self.keeper.tell(incarnation, news)
 
-    def answered(
-        self, answer: Answered, known: str, now: float
+    def handle_answer(
+        self, answer: UpstreamAnswer, known: str, now: float
     ) -> list[actions.Action]:
         """Take in an answer of an upstream; ``known`` is its incarnation."""
         name, said = answer.upstream, answer.said
         incarnation = said.incarnation or known
-        self.met(name, incarnation)
+        self.reset_for_incarnation(name, incarnation)
         if isinstance(said.limit, limits.Unusable):
-            why = f'limit-unusable: {said.limit.text}'
-            told = actions.Record('engine-limit-refused', why, upstream=name)
-            return [told]
+            reason = f'limit-unusable: {said.limit.text}'
+            refusal = actions.Record(
+                'engine-limit-refused', reason, upstream=name
+            )
+            return [refusal]
         life = f'{name} {incarnation}'
         news = self.keeper.named(life, said.limit, answer.asked_at, now)
         if news is None:
             return []
-        return self.changed(news)
+        return self.apply_limit(news)
 
-    def changed(
+    def apply_limit(
         self, news: limits.LimitNews, source: str = ''
     ) -> list[actions.Action]:
         """Go by a limit that has changed."""
-        name = name_of(news.life)
-        self.lives[name] = news.life
-        self.news.add(name)
-        why = limit_book.told(news)
+        name = upstream_of_life(news.life)
+        self.limited_lives[name] = news.life
+        self.changed_upstreams.add(name)
+        reason = limit_book.told(news)
         if source:
-            why += f', from {source}'
-        return [actions.Record('engine-limit', why, upstream=name)]
+            reason += f', from {source}'
+        return [actions.Record('engine-limit', reason, upstream=name)]
 
-    def met(self, name: str, incarnation: str) -> None:
+    def reset_for_incarnation(self, name: str, incarnation: str) -> None:
         """Forget the limit of a life that is over."""
-        life = self.lives.get(name)
+        life = self.limited_lives.get(name)
         if life is not None and life != f'{name} {incarnation}':
-            del self.lives[name]
-            self.stock.pop(name, None)
+            del self.limited_lives[name]
+            self.unused_permits.pop(name, None)
             self.keeper.ended(life)
-            self.news.add(name)
+            self.changed_upstreams.add(name)
 
-    def heard(
+    def handle_peer_message(
         self, sender: str, message: limits.Message, known: str, now: float
     ) -> list[actions.Action]:
         """Take in what another instance says.
@@ -173,184 +181,211 @@
         """
         match message:
             case limits.LimitNews(life):
-                if known and life != f'{name_of(life)} {known}':
+                if known and life != f'{upstream_of_life(life)} {known}':
                     return []
                 if not self.keeper.told(message, now):
                     return []
-                return self.changed(message, sender)
+                return self.apply_limit(message, sender)
         self.keeper.hear(sender, message, now)
         return []
 
     # -- permits ------------------------------------------------------------
 
-    def ask_again_for(
+    def set_retry_requester(
         self, account: str, now: float, *, urgent: bool = False
     ) -> None:
         """Ask from now on for a request that has had an upstream before."""
-        self.asker = Asker(account, now + REPEAT_SECONDS, urgent)
+        self.requester = PermitRequester(
+            account, now + RETRY_PERMIT_WAIT_SECONDS, urgent
+        )
 
-    def admits(self, name: str, now: float) -> bool:
+    def has_or_requests_permit(self, name: str, now: float) -> bool:
         """Return whether an upstream may get a request now.
 
         If it may not for want of a permit, one is asked for.
         """
         if self.rate(name) is None:
             return True
-        if any(now < permit.until for permit in self.stock.get(name, ())):
+        if any(
+            now < permit.expires_at
+            for permit in self.unused_permits.get(name, ())
+        ):
             return True
-        life = self.lives[name]
-        asker = self.asker
-        closed = self.keeper.back_at(life, asker.account, now) is not None
-        if name not in self.asking and not closed:
-            self.asking[name] = self.keeper.ask(
+        life = self.limited_lives[name]
+        requester = self.requester
+        is_backing_off = (
+            self.keeper.back_at(life, requester.account, now) is not None
+        )
+        if name not in self.pending_requests and not is_backing_off:
+            self.pending_requests[name] = self.keeper.ask(
                 life,
-                asker.account,
-                min(asker.deadline, now + MOST_PERMIT_SECONDS),
+                requester.account,
+                min(requester.deadline, now + MAX_PERMIT_WAIT_SECONDS),
                 now,
-                urgent=asker.urgent,
+                urgent=requester.urgent,
             )
         return False
 
-    def use(self, name: str, now: float) -> None:
+    def spend_permit(self, name: str, now: float) -> None:
         """Count a request that is sent to an upstream."""
         if self.rate(name) is None:
             return
-        found = self.stock.get(name)
+        found = self.unused_permits.get(name)
         if found:
             found.pop(0)
         else:
-            self.keeper.spend(self.lives[name], 1, now)
+            self.keeper.spend(self.limited_lives[name], 1, now)
 
-    def reserve(self, name: str, exchange: int, now: float) -> None:
+    def reserve_permit(self, name: str, exchange: int, now: float) -> None:
         """Keep a permit for a request that is being claimed."""
-        found = self.stock.get(name)
+        found = self.unused_permits.get(name)
         if found:
             permit = found.pop(0)
-            until = now + RESERVED_SECONDS
-            kept = Permit(permit.life, permit.granted, until)
-            self.reserved[exchange] = (name, kept)
+            expires_at = now + RESERVED_PERMIT_SECONDS
+            kept = Permit(permit.life, permit.granted, expires_at)
+            self.reserved_permits[exchange] = (name, kept)
 
-    def unreserve(self, exchange: int) -> str:
+    def unreserve_permit(self, exchange: int) -> str:
         """Have a permit in stock that was kept for a request.
 
         Returns the upstream that it is for, empty if there is none.
         """
-        name, permit = self.reserved.pop(exchange, ('', None))
+        name, permit = self.reserved_permits.pop(exchange, ('', None))
         if permit is not None:
-            self.stock.setdefault(name, []).insert(0, permit)
+            self.unused_permits.setdefault(name, []).insert(0, permit)
         return name
 
-    def flow(self, name: str, now: float) -> float:
+    def available_rate(self, name: str, now: float) -> float:
         """Return the permits of an upstream that may be had here a second.
 
         All of them, unless some were denied lately.
         """
         rate = self.rate(name) or 0.0
-        if now >= self.denied_at.get(name, float('-inf')) + FLOW_SECONDS:
+        if (
+            now
+            >= self.denied_at.get(name, float('-inf')) + GRANT_WINDOW_SECONDS
+        ):
             return rate
-        came = self.came.get(name, ())
-        lately = sum(at > now - FLOW_SECONDS for at in came)
-        return max(lately / FLOW_SECONDS, rate / (1 + len(self.peers)))
+        granted_at = self.granted_at.get(name, ())
+        recent_grants = sum(
+            at > now - GRANT_WINDOW_SECONDS for at in granted_at
+        )
+        return max(
+            recent_grants / GRANT_WINDOW_SECONDS,
+            rate / (1 + len(self.peer_data_centres)),
+        )
 
-    def wait_for(
-        self, names: Collection[str], account: str, ahead: float, now: float
+    def estimate_wait_seconds(
+        self,
+        names: Collection[str],
+        account: str,
+        requests_ahead: float,
+        now: float,
     ) -> float:
         """Return how long a request waits for any of some upstreams.
 
         All of them have limits; ``ahead`` is how many requests of this
         instance go before it.
         """
-        flow = sum(self.flow(name, now) for name in names)
-        wait = ahead / flow if flow > 0.0 else permits.NO_PART_WAIT
-        back = [
-            self.keeper.back_at(self.lives[name], account, now)
+        available_rate = sum(self.available_rate(name, now) for name in names)
+        wait = (
+            requests_ahead / available_rate
+            if available_rate > 0.0
+            else permits.NO_PART_WAIT
+        )
+        retry_times = [
+            self.keeper.back_at(self.limited_lives[name], account, now)
             for name in names
         ]
-        if None in back:
+        if None in retry_times:
             return wait
-        return wait + min(at for at in back if at is not None) - now
+        return wait + min(at for at in retry_times if at is not None) - now
 
     # -- after each event ---------------------------------------------------
 
-    def take_outcomes(self, now: float) -> set[str]:
+    def process_permit_outcomes(self, now: float) -> set[str]:
         """Take in what has come of what was asked for.
 
         Returns the upstreams that may take a request now.
         """
         outcomes, self.keeper.outcomes = self.keeper.outcomes, []
-        numbers = {number: name for name, number in self.asking.items()}
+        numbers = {
+            number: name for name, number in self.pending_requests.items()
+        }
         for outcome in outcomes:
             name = numbers.get(outcome.number)
             if name is None:
                 continue
-            del self.asking[name]
-            self.news.add(name)
+            del self.pending_requests[name]
+            self.changed_upstreams.add(name)
             match outcome:
                 case limit_keeper.Granted():
-                    self.put_in_stock(name, outcome, now)
+                    self.store_permit(name, outcome, now)
                 case limit_keeper.Denied():
                     self.denied_at[name] = now
-        news, self.news = self.news, set()
-        return news
+        changed, self.changed_upstreams = self.changed_upstreams, set()
+        return changed
 
-    def put_in_stock(
+    def store_permit(
         self, name: str, granted: limit_keeper.Granted, now: float
     ) -> None:
         """Keep a permit until it is used."""
-        life = self.lives.get(name)
+        life = self.limited_lives.get(name)
         if life is None or not granted.issuer:
             return
-        permit = Permit(life, granted, now + STOCK_SECONDS)
-        self.stock.setdefault(name, []).append(permit)
-        came = self.came.setdefault(name, collections.deque())
-        came.append(now)
-        while came and came[0] <= now - FLOW_SECONDS:
-            came.popleft()
-
-    def give_back(self, wanted: bool, now: float) -> None:
+        permit = Permit(life, granted, now + UNUSED_PERMIT_SECONDS)
+        self.unused_permits.setdefault(name, []).append(permit)
+        granted_at = self.granted_at.setdefault(name, collections.deque())
+        granted_at.append(now)
+        while granted_at and granted_at[0] <= now - GRANT_WINDOW_SECONDS:
+            granted_at.popleft()
+
+    def return_permits(self, wanted: bool, now: float) -> None:
         """Return the permits that are too old, and all if none are wanted."""
-        for name, found in list(self.stock.items()):
+        for name, found in list(self.unused_permits.items()):
             for permit in found:
-                if now >= permit.until or not wanted:
+                if now >= permit.expires_at or not wanted:
                     self.keeper.give_back(permit.life, permit.granted, now)
-            kept = [p for p in found if now < p.until and wanted]
-            self.stock[name] = kept
+            kept = [p for p in found if now < p.expires_at and wanted]
+            self.unused_permits[name] = kept
             if not kept:
-                del self.stock[name]
-        for exchange, (_, permit) in list(self.reserved.items()):
-            if now >= permit.until:
-                del self.reserved[exchange]
+                del self.unused_permits[name]
+        for exchange, (_, permit) in list(self.reserved_permits.items()):
+            if now >= permit.expires_at:
+                del self.reserved_permits[exchange]
                 self.keeper.give_back(permit.life, permit.granted, now)
 
-    def actions(self, now: float) -> list[actions.Action]:
+    def pending_actions(self, now: float) -> list[actions.Action]:
         """Return what is to be told to others, and when to look again."""
-        done: list[actions.Action] = [
+        due_actions: list[actions.Action] = [
             actions.TellPeer(outgoing.receiver, outgoing.message)
             for outgoing in self.keeper.outgoing
         ]
         self.keeper.outgoing.clear()
-        if not (self.keeper.stirred or self.stock or self.reserved):
-            return done
+        if not (
+            self.keeper.stirred or self.unused_permits or self.reserved_permits
+        ):
+            return due_actions
         self.keeper.stirred = False
         due_at = self.keeper.next_at(now)
-        for found in self.stock.values():
-            due_at = min([due_at, *(permit.until for permit in found)])
-        for _, permit in self.reserved.values():
-            due_at = min(due_at, permit.until)
+        for found in self.unused_permits.values():
+            due_at = min([due_at, *(permit.expires_at for permit in found)])
+        for _, permit in self.reserved_permits.values():
+            due_at = min(due_at, permit.expires_at)
         if due_at == self.timer_at:
-            return done
+            return due_actions
         self.timer_at = due_at
         name = timers.timer_name(LIMITS_TIMER, 0)
         if due_at == float('inf'):
-            return [*done, actions.ClearTimer(name)]
-        return [*done, actions.SetTimer(name, due_at)]
+            return [*due_actions, actions.ClearTimer(name)]
+        return [*due_actions, actions.SetTimer(name, due_at)]
 
-    def due(self, now: float) -> None:
+    def handle_timer(self, now: float) -> None:
         """Do what it is time for."""
         self.timer_at = float('inf')
         self.keeper.due(now)
 
 
-def name_of(life: str) -> str:
+def upstream_of_life(life: str) -> str:
     """Return the upstream of a life."""
     return life.rpartition(' ')[0]
--- a/src/greengagelb/coordination/fleet/upstream_views.py
+++ b/src/greengagelb/coordination/fleet/upstream_views.py
@@ -18,10 +18,10 @@
 REPORT_TRUST_SECONDS = 5.0
 PROBE_TRUST_SECONDS = 3.0
 SUSPICION_SECONDS = 2.0
-MOST_SUSPICION_SECONDS = 30.0
-FORGIVE_SECONDS = 30.0
-HOLD_SECONDS = 20.0
-MOST_CACHED_PREFIXES = 4096
+MAX_SUSPICION_SECONDS = 30.0
+FAILURE_RESET_SECONDS = 30.0
+HOLD_EXPIRY_SECONDS = 20.0
+MAX_CACHED_PREFIXES = 4096
 SHORT = configuration_state.Priority.SHORT
 
 
@@ -30,7 +30,7 @@
     """Upstreams that an instance holds, until a monotonic time."""
 
     upstreams: frozenset[str]
-    deadline: float
+    expires_at: float
 
 
 class UpstreamViews:
@@ -44,46 +44,52 @@
         self.data_centre = data_centre
         self.limits = upstream_limits.UpstreamLimits(incarnation, data_centre)
         self.views: dict[str, upstream_state.UpstreamView] = {}
-        self.short_pools: set[str] = set()
-        self.leaving: set[identity.EngineId] = set()
+        self.mixed_pools: set[str] = set()
+        self.leaving_engines: set[identity.EngineId] = set()
         self.holds: dict[str, Hold] = {}
         self.live_instances = 1
-        self.order: list[str] = []
-        self.changed = False
+        self.upstream_names: list[str] = []
+        self.room_changed = False
 
-    def apply(self, configuration: configuration_state.Configuration) -> None:
+    def apply_configuration(
+        self, configuration: configuration_state.Configuration
+    ) -> None:
         """Adopt the upstreams of a configuration, keeping what is known."""
-        named = {
+        upstreams = {
             upstream.name: upstream
             for pool in configuration.pools
             for upstream in pool.upstreams
         }
-        for name, upstream in named.items():
+        for name, upstream in upstreams.items():
             view = self.views.setdefault(
                 name, upstream_state.UpstreamView(upstream)
             )
             view.upstream = upstream
         for name in list(self.views):
-            if name not in named and not self.views[name].in_flight:
+            if name not in upstreams and not self.views[name].in_flight:
                 del self.views[name]
-        self.leaving = {e for e in self.leaving if e.name in self.views}
-        self.order = list(named)
-        self.limits.places = {
-            name: upstream.data_centre for name, upstream in named.items()
+        self.leaving_engines = {
+            e for e in self.leaving_engines if e.name in self.views
+        }
+        self.upstream_names = list(upstreams)
+        self.limits.upstream_data_centres = {
+            name: upstream.data_centre for name, upstream in upstreams.items()
         }
-        self.short_pools = shared_pools(configuration)
-        self.changed = True
+        self.mixed_pools = pools_with_mixed_priorities(configuration)
+        self.room_changed = True
 
-    def resize(self, live_instances: int) -> None:
+    def set_live_instances(self, live_instances: int) -> None:
         """Share the upstreams' places with that many instances."""
         self.live_instances = max(1, live_instances)
-        self.changed = True
+        self.room_changed = True
 
-    def touch(self, name: str) -> None:
+    def mark_possible_room(self, name: str) -> None:
         """Note that an upstream may have room that it had not before."""
-        self.changed = True
+        self.room_changed = True
 
-    def observe(self, report: events.UpstreamReported, now: float) -> None:
+    def apply_report(
+        self, report: events.UpstreamReported, now: float
+    ) -> None:
         """Take in an upstream's report.
 
         A report proves that the upstream is there. It does not prove that
@@ -93,9 +99,9 @@
         if view is None:
             return
         if report.leaving:
-            self.leaving.add(report.engine)
+            self.leaving_engines.add(report.engine)
         if view.incarnation != report.engine.incarnation:
-            self.meet_incarnation(view, report.engine.incarnation, now)
+            self.reset_for_incarnation(view, report.engine.incarnation, now)
         view.model = report.model
         view.version = report.version
         view.adapter = report.adapter
@@ -106,8 +112,8 @@
         view.probed_at = now
         view.in_flight_at_report = view.in_flight
         view.step_seconds = report.step_seconds
-        view.leaving = report.engine in self.leaving
-        self.touch(report.engine.name)
+        view.leaving = report.engine in self.leaving_engines
+        self.mark_possible_room(report.engine.name)
 
     def own_loads(self, now: float) -> tuple[fleet.UpstreamLoad, ...]:
         """Return the loads that upstreams have told this instance itself.
@@ -122,20 +128,20 @@
                 view.reported_queued,
                 view.step_seconds,
             )
-            for index, name in enumerate(self.order)
+            for index, name in enumerate(self.upstream_names)
             if self.is_local(view := self.views[name])
             and view.reported_at == view.probed_at
             and now - view.probed_at < REPORT_TRUST_SECONDS
         )
 
-    def hear_loads(
+    def apply_peer_loads(
         self, loads: tuple[fleet.UpstreamLoad, ...], now: float
     ) -> None:
         """Take in loads that another instance passes on."""
         for load in loads:
-            if load.index >= len(self.order):
+            if load.index >= len(self.upstream_names):
                 continue
-            view = self.views[self.order[load.index]]
+            view = self.views[self.upstream_names[load.index]]
             if now - view.probed_at < REPORT_TRUST_SECONDS:
                 continue
             view.reported_running = load.running
@@ -143,9 +149,9 @@
             view.reported_at = now
             view.in_flight_at_report = view.in_flight
             view.step_seconds = load.step_seconds
-            self.touch(self.order[load.index])
+            self.mark_possible_room(self.upstream_names[load.index])
 
-    def meet_incarnation(
+    def reset_for_incarnation(
         self,
         view: upstream_state.UpstreamView,
         incarnation: str,
@@ -178,15 +184,15 @@
         engine = event.engine
         if not engine.incarnation:
             engine = identity.EngineId(engine.name, view.incarnation)
-        self.leaving.add(engine)
+        self.leaving_engines.add(engine)
         # An instance that does not watch the upstream may know none or an
         # old incarnation of it, and would take the notice for another's. It
         # gives no work until its own next question is answered.
-        unsure = now - view.probed_at >= PROBE_TRUST_SECONDS
-        same = view.incarnation == engine.incarnation
-        view.leaving = view.leaving or same or unsure
+        report_is_old = now - view.probed_at >= PROBE_TRUST_SECONDS
+        same_incarnation = view.incarnation == engine.incarnation
+        view.leaving = view.leaving or same_incarnation or report_is_old
 
-    def suspect(self, name: str, now: float) -> None:
+    def mark_suspected(self, name: str, now: float) -> None:
         """Keep new work away from an upstream that has just failed.
 
         Each time in a row it is kept away for longer. An upstream that
@@ -197,17 +203,17 @@
         view = self.views.get(name)
         if view is None or now < view.suspected_until:
             return
-        if now - view.suspected_until > FORGIVE_SECONDS:
+        if now - view.suspected_until > FAILURE_RESET_SECONDS:
             view.failures = 0
-        wait = min(
-            SUSPICION_SECONDS * 2**view.failures, MOST_SUSPICION_SECONDS
+        suspicion_seconds = min(
+            SUSPICION_SECONDS * 2**view.failures, MAX_SUSPICION_SECONDS
         )
         view.failures += 1
         view.suspected_at = now
-        view.suspected_until = now + wait
+        view.suspected_until = now + suspicion_seconds
         view.returned_at = view.suspected_until
 
-    def cache_changed(self, event: events.EngineCacheChanged) -> None:
+    def apply_cache_event(self, event: events.EngineCacheChanged) -> None:
         """Take in what an engine says of its prefix cache.
 
         Where an event is missing, the prefixes that it dropped would be
@@ -224,10 +230,10 @@
         view.cache_sequence = event.sequence
         view.prefixes.difference_update(event.dropped)
         view.prefixes.update(event.stored)
-        if len(view.prefixes) > MOST_CACHED_PREFIXES:
+        if len(view.prefixes) > MAX_CACHED_PREFIXES:
             view.prefixes.clear()
 
-    def hold(
+    def hold_upstreams(
         self, event: events.UpstreamsHeld, now: float
     ) -> list[configuration_state.Upstream]:
         """Give no new work to engines that are about to be ordered.
@@ -236,31 +242,31 @@
         something else, and should be asked what. A hold lapses by itself,
         as the instance that ordered it may have died.
         """
-        before = self.holds.pop(event.source, Hold(frozenset(), now))
+        previous = self.holds.pop(event.source, Hold(frozenset(), now))
         if event.upstreams:
-            deadline = now + HOLD_SECONDS
-            self.holds[event.source] = Hold(event.upstreams, deadline)
-        self.changed = True
+            expires_at = now + HOLD_EXPIRY_SECONDS
+            self.holds[event.source] = Hold(event.upstreams, expires_at)
+        self.room_changed = True
         return [
             self.views[name].upstream
-            for name in sorted(before.upstreams - event.upstreams)
+            for name in sorted(previous.upstreams - event.upstreams)
             if name in self.views
         ]
 
-    def held(self, now: float) -> set[str]:
+    def held_upstreams(self, now: float) -> set[str]:
         """Return the names of all upstreams that are held now."""
         return {
             name
             for hold in self.holds.values()
-            if now < hold.deadline
+            if now < hold.expires_at
             for name in hold.upstreams
         }
 
-    def started(self, name: str) -> None:
+    def add_in_flight(self, name: str) -> None:
         """Count a request that has been given to an upstream."""
         self.views[name].in_flight += 1
 
-    def finished(self, name: str) -> None:
+    def remove_in_flight(self, name: str) -> None:
         """Count a request that an upstream no longer has."""
         view = self.views.get(name)
         if view is None:
@@ -268,10 +274,10 @@
         if not view.in_flight:
             raise errors.InvariantViolated(f'{name} has nothing in flight')
         view.in_flight -= 1
-        self.touch(name)
+        self.mark_possible_room(name)
 
 
-def shared_pools(
+def pools_with_mixed_priorities(
     configuration: configuration_state.Configuration,
 ) -> set[str]:
     """Return the pools that serve short calls beside other work."""
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -84,8 +84,8 @@
         done = self.decide(event, now)
         done += self.claims.served(done, now)
         self.release_finished(event, done, now)
-        for name in self.limits.take_outcomes(now):
-            self.directory.touch(name)
+        for name in self.limits.process_permit_outcomes(now):
+            self.directory.mark_possible_room(name)
         started = self.start_waiting(now)
         self.release_finished(event, started, now)
         done += started
@@ -94,8 +94,8 @@
             or self.streams.ladder.recovering
             or self.calls.waiting
         )
-        self.limits.give_back(wanted, now)
-        done += self.limits.actions(now)
+        self.limits.return_permits(wanted, now)
+        done += self.limits.pending_actions(now)
         if isinstance(event, arrivals.Arrival):
             done += self.queue_timer(event.request.exchange)
         if self.progress.phase is lifecycle.Phase.STOPPING and self.idle:
@@ -109,14 +109,14 @@
         return not (self.running or self.waiting or self.claims.claims)
 
     def answered(
-        self, found: upstream_limits.Answered | None, now: float
+        self, found: upstream_limits.UpstreamAnswer | None, now: float
     ) -> list[actions.Action]:
         """Take in what an answer says of its upstream."""
         if found is None:
             return []
         view = self.directory.views.get(found.upstream)
         known = view.incarnation if view else ''
-        return self.limits.answered(found, known, now)
+        return self.limits.handle_answer(found, known, now)
 
     def decide(self, event: events.Event, now: float) -> list[actions.Action]:
         """Pass an event to the object that it concerns."""
@@ -185,21 +185,23 @@
         match event:
             case events.UpstreamReported():
                 crashed = self.guard.reported(event, now)
-                self.limits.met(event.engine.name, event.engine.incarnation)
-                self.directory.observe(event, now)
+                self.limits.reset_for_incarnation(
+                    event.engine.name, event.engine.incarnation
+                )
+                self.directory.apply_report(event, now)
                 return [
                     *self.crashes_found(crashed, event.engine.name, now),
                     *self.cancels.engine_reported(event.engine),
                     *self.streams.engine_reported(event, now),
                 ]
             case events.LoadsHeard(loads):
-                self.directory.hear_loads(loads, now)
+                self.directory.apply_peer_loads(loads, now)
                 return []
             case events.EngineCacheChanged():
-                self.directory.cache_changed(event)
+                self.directory.apply_cache_event(event)
                 return []
             case events.UpstreamUnreachable(name):
-                self.directory.suspect(name, now)
+                self.directory.mark_suspected(name, now)
                 crashed = self.guard.unreachable(event, now)
                 return [
                     *self.crashes_found(crashed, name, now),
@@ -212,17 +214,17 @@
                 self.directory.mark_leaving(event, now)
                 return []
             case events.UpstreamsHeld():
-                freed = self.directory.hold(event, now)
+                freed = self.directory.hold_upstreams(event, now)
                 return [actions.ProbeUpstream(upstream) for upstream in freed]
             case events.ConfigurationOffered():
                 return self.configure(event)
             case events.FleetSized(live_instances):
                 self.admission.resize(live_instances)
-                self.directory.resize(live_instances)
+                self.directory.set_live_instances(live_instances)
                 self.limits.keeper.resize(live_instances, 0.0, now)
                 return []
             case events.PeersKnown(peers):
-                self.limits.know_peers(dict(peers), now)
+                self.limits.update_peers(dict(peers), now)
                 return []
             case events.PeerTold(incarnation, message):
                 return self.peer_told(incarnation, message, now)
@@ -242,10 +244,12 @@
         """Take in what another instance says about limits."""
         known = ''
         if isinstance(message, limits.LimitNews):
-            name = upstream_limits.name_of(message.life)
+            name = upstream_limits.upstream_of_life(message.life)
             view = self.directory.views.get(name)
             known = view.incarnation if view else ''
-        return self.limits.heard(incarnation, message, known, now)
+        return self.limits.handle_peer_message(
+            incarnation, message, known, now
+        )
 
     # -- requests that crash engines ----------------------------------------
 
@@ -322,10 +326,14 @@
     ) -> float:
         """Return how long limits keep a request with others ahead of it."""
         pool = self.configuration.find_pool(ticket.pool)
-        names = self.directory.limited_alone(pool, now) if pool else []
+        names = (
+            self.directory.upstreams_if_all_limited(pool, now) if pool else []
+        )
         if not names:
             return 0.0
-        return self.limits.wait_for(names, ticket.account, ahead, now)
+        return self.limits.estimate_wait_seconds(
+            names, ticket.account, ahead, now
+        )
 
     def refusal(
         self,
@@ -358,10 +366,10 @@
         Tokens are by far the most frequent events, and free no place: where
         nothing has changed nothing is looked at.
         """
-        if not (self.admission.changed or self.directory.changed):
+        if not (self.admission.changed or self.directory.room_changed):
             return []
         self.admission.changed = False
-        self.directory.changed = False
+        self.directory.room_changed = False
         done = self.streams.recover_waiting(now)
         done += self.calls.go_on_waiting(now)
         for key in self.admission.keys:
@@ -409,9 +417,11 @@
         ):
             return None
         start_by = min(ticket.deadline, ticket.start_by)
-        self.limits.asker = upstream_limits.Asker(ticket.account, start_by)
+        self.limits.requester = upstream_limits.PermitRequester(
+            ticket.account, start_by
+        )
         pool = self.directory.serving_pool(pool, ticket.priority, now)
-        view = self.directory.choose(
+        view = self.directory.choose_upstream(
             pool, set(), now, ticket.priority, arrivals.prefix_of(event)
         )
         resumes = isinstance(event, events.GenerationResumed)
@@ -428,7 +438,7 @@
         if arrivals.needs_claim(event, service):
             if view is not None:
                 name, exchange = view.upstream.name, ticket.exchange
-                self.limits.reserve(name, exchange, now)
+                self.limits.reserve_permit(name, exchange, now)
             return done + self.claims.begin(event.request)
         match event:
             case events.GenerationSubmitted(request):
@@ -445,9 +455,9 @@
         """Dispatch a request whose claim this instance holds now."""
         if request is None:
             return []
-        reserved_at = self.limits.unreserve(request.exchange)
+        reserved_at = self.limits.unreserve_permit(request.exchange)
         if reserved_at:
-            self.directory.touch(reserved_at)
+            self.directory.mark_possible_room(reserved_at)
         service = arrivals.service_of(self.configuration, request)
         pool = self.configuration.find_pool(service.pool) if service else None
         if service is None or pool is None:
@@ -457,9 +467,11 @@
             return [actions.SendFailure(request.exchange, failure)]
         if isinstance(request, requests.CallRequest):
             return self.calls.begin(request, service, pool, now)
-        self.limits.ask_again_for(request.request.account, now)
+        self.limits.set_retry_requester(request.request.account, now)
         pool = self.directory.serving_pool(pool, service.priority, now)
-        view = self.directory.choose(pool, set(), now, service.priority)
+        view = self.directory.choose_upstream(
+            pool, set(), now, service.priority
+        )
         if view is None:
             wait = self.claims.advice.failed()
             failure = arrivals.not_run('no-upstream', service.name, wait)
@@ -540,7 +552,7 @@
             case cancellations.CANCEL_TIMER:
                 return self.cancels.timer_fired(name)
             case upstream_limits.LIMITS_TIMER:
-                self.limits.due(now)
+                self.limits.handle_timer(now)
                 return []
             case crash_guard.ASK_TIMER:
                 return self.guard.ask_due(rest)
@@ -608,7 +620,7 @@
         self.configuration = offered
         self.lifecycle.configured()
         self.accounts = {a.name: a for a in offered.accounts}
-        self.directory.apply(offered)
+        self.directory.apply_configuration(offered)
         self.streams.apply(offered)
         self.admission.keep_accounts(set(self.accounts))
         return [
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -101,7 +101,7 @@
             found = set(self.members(life))
             if self.has_part(life):
                 found.add(self.own)
-            names = rendezvous.highest(life, found, MOST_RANKED)
+            names = rendezvous.highest_scoring(life, found, MOST_RANKED)
             ranking = Ranking(tuple(names), now + RANKED_SECONDS)
             self.rankings[life] = ranking
             self.look_at_next(ranking, now)
--- a/src/greengagelb/coordination/streams/attempts.py
+++ b/src/greengagelb/coordination/streams/attempts.py
@@ -64,7 +64,7 @@
             stream.attempt = attempt
             told = record(stream, attempt, 'attempt-started', where)
         self.count(stream, attempt)
-        self.directory.limits.use(attempt.upstream.name, now)
+        self.directory.limits.spend_permit(attempt.upstream.name, now)
         return [
             told,
             actions.StartAttempt(
@@ -92,7 +92,7 @@
         attempt.suspected = True
         attempt.answered = False
         attempt.attached_at = now
-        self.directory.limits.use(attempt.upstream.name, now)
+        self.directory.limits.spend_permit(attempt.upstream.name, now)
         view = self.directory.views.get(attempt.upstream.name)
         if view is not None:
             attempt.incarnation = view.incarnation
@@ -129,7 +129,7 @@
         name = attempt.upstream.name
         self.exchanges[attempt.attempt_id] = stream.request.exchange
         self.by_upstream.setdefault(name, set()).add(attempt.attempt_id)
-        self.directory.started(name)
+        self.directory.add_in_flight(name)
 
     def release(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
@@ -140,7 +140,7 @@
         self.by_upstream[name].discard(attempt.attempt_id)
         if not self.by_upstream[name]:
             del self.by_upstream[name]
-        self.directory.finished(name)
+        self.directory.remove_in_flight(name)
         if stream.attempt is attempt:
             stream.attempt = None
         if stream.spare is attempt:
--- a/src/greengagelb/coordination/streams/continuing.py
+++ b/src/greengagelb/coordination/streams/continuing.py
@@ -102,7 +102,7 @@
 
     def answer_in(
         self, event: events.AttemptAccepted | events.AttemptRefused
-    ) -> upstream_limits.Answered | None:
+    ) -> upstream_limits.UpstreamAnswer | None:
         """Return the answer of an engine that an event brings."""
         source = self.find(event.attempt)
         if source is None:
@@ -112,7 +112,7 @@
         if not attempt.suspected:
             asked_at = attempt.ordered_at
         name = attempt.upstream.name
-        return upstream_limits.Answered(name, asked_at, event.said)
+        return upstream_limits.UpstreamAnswer(name, asked_at, event.said)
 
     def accepted(
         self, event: events.AttemptAccepted, now: float
@@ -230,7 +230,7 @@
                 asked = self.suspect(stream, attempt, now)
             lost = self.ladder.lost(stream, attempt, now, event.detail)
             return asked + lost
-        self.directory.suspect(attempt.upstream.name, now)
+        self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
         return self.ladder.replace(stream, attempt, now, event.detail)
 
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -82,7 +82,7 @@
             return []
         excluded = {suspected.upstream.name}
         pool = pinning.pinned_pool(self.configuration, stream)
-        view = self.directory.choose(pool, excluded, now)
+        view = self.directory.choose_upstream(pool, excluded, now)
         if view is None or self.budget_wait(stream, now):
             return []
         return self.table.order(stream, view, now, spare=True)
@@ -98,7 +98,7 @@
     ) -> list[actions.Action]:
         """Take an attempt's engine for dead."""
         stream.engine_deaths += 1
-        self.directory.suspect(attempt.upstream.name, now)
+        self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
         return self.replace(stream, attempt, now, reason)
 
@@ -146,12 +146,12 @@
         if self.guard.holds(stream.request, now):
             return self.wait(stream, now)
         account = stream.request.request.account
-        self.directory.limits.ask_again_for(account, now, urgent=True)
+        self.directory.limits.set_retry_requester(account, now, urgent=True)
         pool = pinning.pinned_pool(self.configuration, stream)
-        view = self.directory.choose(pool, stream.excluded, now)
+        view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is not None:
             return self.go_on(stream, pool, view, now)
-        if not self.directory.may_ever_serve(pool, now):
+        if not self.directory.can_ever_serve(pool, now):
             return self.restart(stream, now)
         return self.wait(stream, now)
 
@@ -203,7 +203,9 @@
         pool = pinning.pool_in_force(self.configuration, stream)
         if self.guard.must_not_run(stream.request, now):
             return self.fail(stream, crash_guard.RAN_CODE, None)
-        if pool is not None and self.directory.choose(pool, set(), now):
+        if pool is not None and self.directory.choose_upstream(
+            pool, set(), now
+        ):
             stream.excluded.clear()
             return self.restart(stream, now)
         return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
@@ -215,13 +217,13 @@
     ) -> list[actions.Action]:
         """Start afresh on the version in force, if the request may repeat."""
         pool = pinning.pool_in_force(self.configuration, stream)
-        if pool is None or not self.directory.may_ever_serve(pool, now):
+        if pool is None or not self.directory.can_ever_serve(pool, now):
             return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
         if not stream.service.idempotent and stream.may_have_run:
             return self.fail(stream, 'version-withdrawn', None)
         if stream.generation >= MOST_GENERATIONS:
             return self.fail(stream, 'restarts-exceeded', None)
-        view = self.directory.choose(pool, stream.excluded, now)
+        view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is None:
             return self.wait(stream, now)
         if not stream.may_have_run:
--- a/src/greengagelb/measure/baselines.py
+++ b/src/greengagelb/measure/baselines.py
@@ -35,7 +35,7 @@
 
     turn = 0
 
-    def choose(
+    def choose_upstream(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -54,7 +54,7 @@
 class LeastReported(PlainDirectory):
     """Takes the upstream whose last report was the lowest."""
 
-    def choose(
+    def choose_upstream(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
--- a/src/greengagelb/transport/instance.py
+++ b/src/greengagelb/transport/instance.py
@@ -14,7 +14,7 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
 from greengagelb.coordination import node
-from greengagelb.coordination.fleet import watching
+from greengagelb.coordination.fleet import probe_assignment
 from greengagelb.protocol import codec
 from greengagelb.protocol import operator_api
 from greengagelb.state import fleet
@@ -98,7 +98,7 @@
             self.dispatch,
             self.recorder.record,
         )
-        self.watch = watching.Watch(
+        self.watch = probe_assignment.ProbeAssignment(
             self.incarnation, instance_settings.instance.data_centre
         )
         self.sites: list[listening.DrainingFactory] = []
@@ -229,7 +229,9 @@
         if self.reactor.seconds() < self.next_list_poll:
             return
         instances = yield self.platform.list_instances()
-        turns = self.peers.membership.live_instances(self.reactor.seconds())
+        turns = self.peers.membership.count_live_instances(
+            self.reactor.seconds()
+        )
         seconds = self.settings.platform.poll_seconds * turns / 2
         self.next_list_poll = self.reactor.seconds() + seconds * (
             random.uniform(*LIST_POLL_JITTER)
@@ -250,7 +252,7 @@
     def status(self) -> operator_api.Status:
         """Return what this instance says of itself."""
         members = self.peers.membership
-        own = members.summary(self.reactor.seconds())
+        own = members.build_summary(self.reactor.seconds())
         return operator_api.Status(
             process=self.settings.instance.name,
             data_centre=self.settings.instance.data_centre,
@@ -264,9 +266,9 @@
             instances_known=own.instances,
             missing=list(own.missing),
             instances=self.known_instances(),
-            data_centres=[own, *members.fresh_summaries()],
+            data_centres=[own, *members.latest_summaries()],
             leaving_upstreams=sorted(
-                engine.name for engine in members.own.leaving_upstreams
+                engine.name for engine in members.own_state.leaving_upstreams
             ),
         )
 
@@ -303,7 +305,7 @@
                 view.peer.data_centre,
                 view.peer.incarnation,
                 view.version,
-                members.standing(view, now),
+                members.standing_of(view, now),
             )
             for view in members.peers.values()
         ]
--- a/src/greengagelb/transport/order_keeper.py
+++ b/src/greengagelb/transport/order_keeper.py
@@ -55,12 +55,14 @@
         self.adopt()
         for name, pool in self.pools.items():
             self.report_all(pool)
-            chosen = rendezvous.highest(f'orders {name}', live)
-            pool.picked = (
+            chosen = rendezvous.highest_scoring(f'orders {name}', live)
+            pool.is_lease_candidate = (
                 chosen == [self.node.incarnation] and not self.node.stopping
             )
             self.carry_out(name, pool.tick(self.reactor.seconds()))
-        held = frozenset().union(*(p.held for p in self.pools.values()))
+        held = frozenset().union(
+            *(p.held_engines for p in self.pools.values())
+        )
         if held or self.held:
             self.held = held
             source = self.node.incarnation
@@ -77,7 +79,7 @@
             kept = self.pools.setdefault(
                 name, orders.PoolOrders(self.node.incarnation)
             )
-            kept.want(self.wanted(pool))
+            kept.set_targets(self.wanted(pool))
         for name in set(self.pools) - set(engine_pools):
             del self.pools[name]
 
@@ -98,10 +100,10 @@
 
     def report_all(self, pool: orders.PoolOrders) -> None:
         """Pass on what the engines of a pool say of themselves."""
-        for name in pool.wanted:
+        for name in pool.targets:
             view = self.node.directory.views.get(name)
             if view is not None and view.incarnation:
-                pool.reported(name, seen_of(view))
+                pool.update_report(name, seen_of(view))
 
     def watched(self) -> list[configuration_state.Upstream]:
         """Return the engines whose reports the orders wait for.
@@ -110,16 +112,16 @@
         it has to see for itself that it is idle, and what it has become.
         """
         return [
-            pool.wanted[name].upstream
+            pool.targets[name].upstream
             for pool in self.pools.values()
-            for name in pool.held
-            if name in pool.wanted
+            for name in pool.held_engines
+            if name in pool.targets
         ]
 
     def pause_noticed(self) -> None:
         """Drop all leases: they may have lapsed meanwhile."""
         for name, pool in self.pools.items():
-            self.carry_out(name, pool.pause_noticed())
+            self.carry_out(name, pool.handle_own_pause())
 
     # -- actions ------------------------------------------------------------
 
@@ -131,7 +133,7 @@
                     self.read_lease(name)
                 case orders.WriteLease():
                     self.write_lease(name, action)
-                case orders.AskToLoad():
+                case orders.RequestLoad():
                     self.ask_to_load(name, action)
                 case orders.SendOrder():
                     self.send(name, action)
@@ -150,14 +152,14 @@
         try:
             row = yield self.platform.read(LEASE_TABLE, self.lease_key(name))
         except errors.GreengagelbError:
-            pool.lease_unsettled()
+            pool.handle_lease_failure()
             return
-        found = order_state.LeaseRow(0, orders.NOBODY)
+        found = order_state.LeaseRow(0, orders.NO_HOLDER)
         if row is not None:
             lease = codec.decode(row.value, order_state.Lease)
             found = order_state.LeaseRow(row.version, lease)
         now = self.reactor.seconds()
-        self.carry_out(name, pool.lease_read(found, now))
+        self.carry_out(name, pool.handle_lease_read(found, now))
 
     @defer.inlineCallbacks
     def write_lease(self, name: str, action: orders.WriteLease) -> Any:
@@ -169,12 +171,12 @@
                 LEASE_TABLE, self.lease_key(name), action.expected, value
             )
         except errors.GreengagelbError:
-            pool.lease_unsettled()
+            pool.handle_lease_failure()
             return
-        self.carry_out(name, pool.lease_written(row.version))
+        self.carry_out(name, pool.handle_lease_written(row.version))
 
     @defer.inlineCallbacks
-    def ask_to_load(self, name: str, action: orders.AskToLoad) -> Any:
+    def ask_to_load(self, name: str, action: orders.RequestLoad) -> Any:
         """Ask the weight store whether an engine may load now."""
         pool = self.pools[name]
         target = action.target
@@ -185,10 +187,12 @@
         except errors.PlatformUnavailable:
             wait = platform_client.LOAD_RETRY_SECONDS
         if wait is None:
-            pool.load_allowed(action.upstream)
+            pool.handle_load_allowed(action.upstream)
             return
         now = self.reactor.seconds()
-        self.carry_out(name, pool.load_refused(action.upstream, wait, now))
+        self.carry_out(
+            name, pool.handle_load_refused(action.upstream, wait, now)
+        )
 
     @defer.inlineCallbacks
     def send(self, name: str, action: orders.SendOrder) -> Any:
@@ -200,7 +204,7 @@
         if self.reactor.seconds() >= action.deadline:
             return
         order = engine_api.TargetOrder(
-            fencing_number=action.number,
+            fencing_number=action.fencing_number,
             model=action.target.model,
             version=action.target.version,
             adapter=action.target.adapter,
@@ -208,7 +212,7 @@
         )
         url = engine_client.url_of(action.upstream, '/v1/target')
         answer = self.treq.post(url, data=codec.encode(order))
-        answer.addTimeout(orders.ORDER_SECONDS, self.reactor)
+        answer.addTimeout(orders.ORDER_TIMEOUT_SECONDS, self.reactor)
         pool = self.pools[name]
         upstream = action.upstream.name
         try:
@@ -221,7 +225,7 @@
             )
             return
         if response.code == web_http.CONFLICT:
-            self.carry_out(name, pool.order_refused(upstream))
+            self.carry_out(name, pool.handle_fenced_order(upstream))
 
 
 def seen_of(view: upstream_state.UpstreamView) -> order_state.EngineSeen:
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -210,13 +210,13 @@
     def own_changed(self, own: fleet.OwnState) -> None:
         """Tell others what has changed here."""
         self.carry_out(
-            self.membership.own_changed(own, self.reactor.seconds())
+            self.membership.update_own_state(own, self.reactor.seconds())
         )
 
     def pause_noticed(self, seconds: float) -> None:
         """Read what has come in meanwhile before anybody is judged."""
         now = self.reactor.seconds()
-        self.membership.pause_noticed(seconds, now)
+        self.membership.handle_own_pause(seconds, now)
         self.socket.doRead()
 
     def listed(self, instances: Iterable[platform_api.Instance]) -> None:
@@ -234,7 +234,7 @@
                 source = 'platform list'
                 self.dispatch(events.UpstreamLeaving(engine, source))
         now = self.reactor.seconds()
-        self.carry_out(self.membership.listed(found, now))
+        self.carry_out(self.membership.apply_instance_list(found, now))
 
     def receive(self, frame: bytes) -> None:
         """Take in a message; one that can't be understood is dropped."""
@@ -251,7 +251,9 @@
             case peer_api.HeartbeatMessage():
                 heartbeat = peer_api.heartbeat_of(message)
                 self.observe_clock(heartbeat)
-                self.carry_out(self.membership.heard(heartbeat, now))
+                self.carry_out(
+                    self.membership.handle_heartbeat(heartbeat, now)
+                )
             case peer_api.ConfigurationQuery(host, port):
                 self.answer_query(fleet.PeerAddress(host, port))
             case peer_api.ConfigurationCopy(name, document):
@@ -266,7 +268,9 @@
                 self.dispatch(events.PeerTold(incarnation, told))
             case peer_api.Introduction(pairs):
                 addresses = [fleet.PeerAddress(*pair) for pair in pairs]
-                self.carry_out(self.membership.introduced(addresses, now))
+                self.carry_out(
+                    self.membership.handle_introduction(addresses, now)
+                )
 
     def observe_clock(self, heartbeat: fleet.Heartbeat) -> None:
         """Keep this instance's stamps behind no other's."""
@@ -282,7 +286,7 @@
         """Send the configuration in force here."""
         applied = self.configuration()
         if applied.version:
-            self.membership.asked(address)
+            self.membership.mark_contacted(address)
             document = codec.compress(applied)
             self.send(
                 address, peer_api.ConfigurationCopy(self.me.name, document)
@@ -305,7 +309,7 @@
                     self.send(address, peer_api.Introduction(pairs))
                 case membership.Disconnect(address):
                     self.socket.disconnect(address)
-                case membership.Report(event):
+                case membership.EmitEvent(event):
                     self.dispatch(event)
                 case membership.Explain(kind, reason):
                     self.record(kind, reason)
--- a/src/greengagelb/transport/plan_store.py
+++ b/src/greengagelb/transport/plan_store.py
@@ -82,7 +82,7 @@
 
     def settle(self, plan: plan_state.Plan) -> 'defer.Deferred':
         """Return the outcome of a plan without changing anything."""
-        return self.run(confirming.settle(plan))
+        return self.run(confirming.find_outcome(plan))
 
     @defer.inlineCallbacks
     def run(self, steps: confirming.Steps) -> Any:
@@ -102,18 +102,18 @@
             match request:
                 case confirming.ReadCurrent():
                     return (yield self.read_current())
-                case confirming.ReadPast(version):
+                case confirming.ReadArchived(version):
                     return (yield self.read_past(version))
-                case confirming.KeepPast(confirmation):
+                case confirming.ArchiveConfirmation(confirmation):
                     key = str(confirmation.version)
                     yield self.write(key, 0, confirmation)
                 case confirming.ReplaceCurrent(confirmation):
                     expected = confirmation.version - 1
                     yield self.write(CURRENT_KEY, expected, confirmation)
         except errors.VersionConflict:
-            return confirming.Refused()
+            return confirming.WriteConflict()
         except (errors.PlatformUnavailable, errors.ProtocolError):
-            return confirming.StoreAway()
+            return confirming.StoreUnavailable()
         return confirming.Written()
 
     @defer.inlineCallbacks
--- a/tests/common/confirmations.py
+++ b/tests/common/confirmations.py
@@ -35,13 +35,13 @@
         """Return the answer to a request in this weather."""
         match weather:
             case Weather.DOWN:
-                return confirming.StoreAway()
+                return confirming.StoreUnavailable()
             case Weather.LATE:
                 self.late.append(request)
-                return confirming.StoreAway()
+                return confirming.StoreUnavailable()
             case Weather.ANSWER_LOST:
                 self.carry_out(request)
-                return confirming.StoreAway()
+                return confirming.StoreUnavailable()
         return self.carry_out(request)
 
     def carry_out(self, request):
@@ -49,15 +49,15 @@
         match request:
             case confirming.ReadCurrent():
                 return self.current
-            case confirming.ReadPast(version):
+            case confirming.ReadArchived(version):
                 return self.past.get(version)
-            case confirming.KeepPast(confirmation):
+            case confirming.ArchiveConfirmation(confirmation):
                 if confirmation.version in self.past:
-                    return confirming.Refused()
+                    return confirming.WriteConflict()
                 self.past[confirmation.version] = confirmation
             case confirming.ReplaceCurrent(confirmation):
                 if confirmation.version != self.current.version + 1:
-                    return confirming.Refused()
+                    return confirming.WriteConflict()
                 self.current = confirmation
                 self.winners[confirmation.version] = confirmation.plan_id
         return confirming.Written()
--- a/tests/common/members.py
+++ b/tests/common/members.py
@@ -46,36 +46,39 @@
         for action in wanted:
             match action:
                 case membership.SendHeartbeat(address, heartbeat):
-                    self.sent.append((member.me, address))
+                    self.sent.append((member.own_id, address))
                     target = self.reach(member, address)
                     if target is not None:
-                        self.deliver(target, target.heard(heartbeat, self.now))
+                        self.deliver(
+                            target,
+                            target.handle_heartbeat(heartbeat, self.now),
+                        )
                 case membership.IntroducePeers(address, peers):
                     target = self.reach(member, address)
                     if target is not None:
-                        found = target.introduced(peers, self.now)
+                        found = target.handle_introduction(peers, self.now)
                         self.deliver(target, found)
                 case membership.AskForConfiguration(address):
                     source = self.reach(member, address)
                     if source is not None:
-                        self.apply(member, source.own.version)
-                case membership.Report(event):
-                    self.reports[member.me.incarnation].append(event)
+                        self.apply(member, source.own_state.version)
+                case membership.EmitEvent(event):
+                    self.reports[member.own_id.incarnation].append(event)
 
     def reach(self, member, address):
         """Return the membership at an address, if messages get there."""
-        if frozenset({member.me.address, address}) in self.cut:
+        if frozenset({member.own_id.address, address}) in self.cut:
             return None
         return self.members.get(address)
 
     def apply(self, member, version):
         """Have an instance apply a version, unless it is lower."""
         own = fleet.OwnState(
-            max(version, member.own.version),
-            member.own.leaving,
-            member.own.leaving_upstreams,
+            max(version, member.own_state.version),
+            member.own_state.leaving,
+            member.own_state.leaving_upstreams,
         )
-        self.deliver(member, member.own_changed(own, self.now))
+        self.deliver(member, member.update_own_state(own, self.now))
 
     def run(self, seconds):
         """Let time pass, with heartbeats at their interval."""
--- a/tests/common/order_world.py
+++ b/tests/common/order_world.py
@@ -23,9 +23,9 @@
 
     def take(self, order):
         """Take an order; return whether it was not refused."""
-        if self.checks_fencing and order.number < self.number:
+        if self.checks_fencing and order.fencing_number < self.number:
             return False
-        self.number = max(self.number, order.number)
+        self.number = max(self.number, order.fencing_number)
         self.target = order.target
         return True
 
@@ -42,7 +42,7 @@
         self.engines = {
             f'engine-{n}': Engine(n % 2 == 0) for n in range(engines)
         }
-        self.lease = order_state.LeaseRow(0, orders.NOBODY)
+        self.lease = order_state.LeaseRow(0, orders.NO_HOLDER)
         self.stopped = set()
         self.store_weather = 'fair'
         self.delayed = False
@@ -54,14 +54,14 @@
         self.loads_allowed = 0
         self.loads_refused = 0
         for member in self.members:
-            member.picked = True
+            member.is_lease_candidate = True
 
     def set_version(self, version):
         """Put a version in force."""
         self.version = version
         target = order_state.Target('m', version, '', 'generate')
         for member in self.members:
-            member.want(
+            member.set_targets(
                 order_state.Wanted(
                     configuration.Upstream(
                         name, '127.0.0.1', 1, 'kl-1', engine.checks_fencing
@@ -89,12 +89,12 @@
         """Let a stopped instance go on, and notice that it was stopped."""
         if who in self.stopped:
             self.stopped.discard(who)
-            self.members[who].pause_noticed()
+            self.members[who].handle_own_pause()
 
     def report(self, who):
         """Let an instance read the reports of all engines."""
         for name, engine in self.engines.items():
-            self.members[who].reported(
+            self.members[who].update_report(
                 name,
                 order_state.EngineSeen(
                     'x', engine.target, engine.busy, self.now
@@ -112,12 +112,12 @@
         match action:
             case orders.ReadLease():
                 if self.store_weather == 'down':
-                    member.lease_unsettled()
+                    member.handle_lease_failure()
                 else:
-                    member.lease_read(self.lease, self.now)
+                    member.handle_lease_read(self.lease, self.now)
             case orders.WriteLease(expected, lease):
                 self.write(member, expected, lease)
-            case orders.AskToLoad(name):
+            case orders.RequestLoad(name):
                 self.load(member, name)
             case orders.SendOrder():
                 self.send(who, action)
@@ -125,25 +125,25 @@
     def write(self, member, expected, lease):
         """Write the lease's row under the store's weather."""
         if self.store_weather == 'down' or expected != self.lease.number:
-            member.lease_unsettled()
+            member.handle_lease_failure()
             return
         self.lease = order_state.LeaseRow(expected + 1, lease)
-        if lease != orders.NOBODY:
+        if lease != orders.NO_HOLDER:
             self.owners[expected + 1] = self.members.index(member)
         if self.store_weather == 'lost':
-            member.lease_unsettled()
+            member.handle_lease_failure()
         else:
-            member.lease_written(expected + 1)
+            member.handle_lease_written(expected + 1)
 
     def load(self, member, name):
         """Allow a load, unless loads come too fast."""
         if self.now < self.next_load_at:
             self.loads_refused += 1
-            member.load_refused(name, RETRY_SECONDS, self.now)
+            member.handle_load_refused(name, RETRY_SECONDS, self.now)
             return
         self.loads_allowed += 1
         self.next_load_at = self.now + self.loads_apart
-        member.load_allowed(name)
+        member.handle_load_allowed(name)
 
     def send(self, who, order):
         """Bring an order to its engine, now or late."""
@@ -152,7 +152,7 @@
         if self.delayed:
             self.late.append(order)
         elif not self.engines[order.upstream.name].take(order):
-            self.members[who].order_refused(order.upstream.name)
+            self.members[who].handle_fenced_order(order.upstream.name)
 
     def deliver_late_orders(self):
         """Bring the delayed orders to their engines."""
--- a/tests/fleet/test_changes_under_way.py
+++ b/tests/fleet/test_changes_under_way.py
@@ -13,33 +13,35 @@
 CHOICES = 60
 
 
-def directory_of(former=None, version='1'):
+def make_directory(former=None, version='1'):
     upstreams = tuple(
         configurations.upstream(f'engine-{n}', 9000 + n) for n in range(6)
     )
     pool = configuration.Pool(
         'drafting', upstreams, 'm', version, former=former
     )
-    found = routing.UpstreamDirectory(random.Random(5))
-    found.apply(configuration.Configuration(1, pools=(pool,)))
+    directory = routing.UpstreamDirectory(random.Random(5))
+    directory.apply_configuration(
+        configuration.Configuration(1, pools=(pool,))
+    )
     for number in range(6):
-        report(found, number, '1', 0.0)
-    return found, pool
+        report(directory, number, '1', 0.0)
+    return directory, pool
 
 
 def report(directory, number, version, now):
     name = f'engine-{number}'
     engine = identity.EngineId(name, f'start-{number}')
-    directory.observe(
+    directory.apply_report(
         events.UpstreamReported(engine, 'm', version, '', 0, 0, 0.01, False),
         now,
     )
 
 
-def chosen(directory, pool, now, prefix=''):
+def chosen_names(directory, pool, now, prefix=''):
     found = set()
     for _ in range(CHOICES):
-        view = directory.choose(pool, set(), now, LONG, prefix)
+        view = directory.choose_upstream(pool, set(), now, LONG, prefix)
         found.add(view.upstream.name if view else None)
     return found
 
@@ -49,20 +51,22 @@
 
     Work given to them now would keep them from ever being idle.
     """
-    directory, pool = directory_of()
+    directory, pool = make_directory()
     held = frozenset({'engine-1', 'engine-4'})
-    directory.hold(events.UpstreamsHeld('holder', held), 1.0)
+    directory.hold_upstreams(events.UpstreamsHeld('holder', held), 1.0)
     for prefix in ['', 'house rules', 'fault log', 'season']:
-        assert not chosen(directory, pool, 2.0, prefix) & held
-    later = 1.0 + upstream_views.HOLD_SECONDS
-    assert chosen(directory, pool, later) >= held
+        assert not chosen_names(directory, pool, 2.0, prefix) & held
+    later = 1.0 + upstream_views.HOLD_EXPIRY_SECONDS
+    assert chosen_names(directory, pool, later) >= held
 
 
-def test_release_asks_the_engines_what_they_have_become():
-    directory, _ = directory_of()
+def test_released_engines_are_probed():
+    directory, _ = make_directory()
     held = frozenset({'engine-1'})
-    directory.hold(events.UpstreamsHeld('holder', held), 1.0)
-    freed = directory.hold(events.UpstreamsHeld('holder', frozenset()), 2.0)
+    directory.hold_upstreams(events.UpstreamsHeld('holder', held), 1.0)
+    freed = directory.hold_upstreams(
+        events.UpstreamsHeld('holder', frozenset()), 2.0
+    )
     assert [upstream.name for upstream in freed] == ['engine-1']
 
 
@@ -74,12 +78,12 @@
     the other.
     """
     former = configuration.ModelVersion('m', '1')
-    directory, pool = directory_of(former, '2')
+    directory, pool = make_directory(former, '2')
     now = 1000.0
     serving = directory.serving_pool(pool, LONG, now)
     assert serving.version == '1'
-    assert chosen(directory, serving, now) != {None}
+    assert chosen_names(directory, serving, now) != {None}
     report(directory, 3, '2', now)
     serving = directory.serving_pool(pool, LONG, now)
     assert serving.version == '2'
-    assert chosen(directory, serving, now) == {'engine-3'}
+    assert chosen_names(directory, serving, now) == {'engine-3'}
--- a/tests/fleet/test_leaving.py
+++ b/tests/fleet/test_leaving.py
@@ -42,7 +42,9 @@
     upstream = configurations.upstream('engine', 9000)
     pool = configuration.Pool('drafting', (upstream,), 'm', '1')
     directory = routing.UpstreamDirectory(random.Random(1))
-    directory.apply(configuration.Configuration(1, pools=(pool,)))
+    directory.apply_configuration(
+        configuration.Configuration(1, pools=(pool,))
+    )
     leaving, reported = set(), None
     for number, (kind, start) in enumerate(messages):
         message = message_of(kind, start)
@@ -50,10 +52,10 @@
         if kind == 'notice':
             directory.mark_leaving(message, now)
         else:
-            directory.observe(message, now)
+            directory.apply_report(message, now)
             reported = start
         if kind != 'report':
             leaving.add(start)
         if reported is not None:
-            chosen = directory.choose(pool, set(), now, LONG)
+            chosen = directory.choose_upstream(pool, set(), now, LONG)
             assert (chosen is None) == (reported in leaving)
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -57,7 +57,9 @@
     def platform_shows(self, number, shown):
         peers = [self.who(n) for n in sorted(shown)]
         member = self.member(number)
-        done = member.listed(members.listed(*peers), self.network.now)
+        done = member.apply_instance_list(
+            members.listed(*peers), self.network.now
+        )
         self.network.deliver(member, done)
 
     @stateful.rule(seconds=st.sampled_from([4, 12, 30]))
@@ -68,37 +70,41 @@
     def engine_leaves(self, number):
         engine = identity.EngineId(f'engine-{number}', 'a')
         member = self.member(number)
-        own = fleet.OwnState(member.own.version, False, frozenset({engine}))
-        self.network.deliver(member, member.own_changed(own, self.network.now))
+        own = fleet.OwnState(
+            member.own_state.version, False, frozenset({engine})
+        )
+        self.network.deliver(
+            member, member.update_own_state(own, self.network.now)
+        )
 
     @stateful.invariant()
     def no_view_is_ahead_of_what_was_confirmed(self):
         for member in self.network.members.values():
-            assert member.own.version <= self.highest
+            assert member.own_state.version <= self.highest
             for view in member.peers.values():
                 assert view.version <= self.highest
-                assert view.peer.address != member.me.address
+                assert view.peer.address != member.own_id.address
 
     @stateful.invariant()
     def whoever_is_heard_is_kept(self):
         for member in self.network.members.values():
-            size = member.live_instances(self.network.now)
+            size = member.count_live_instances(self.network.now)
             assert 1 <= size <= 4
 
     def teardown(self):
         self.network.cut.clear()
         for number in range(6):
             everyone = [self.who(n) for n in range(6)]
-            self.member(number).listed(
+            self.member(number).apply_instance_list(
                 members.listed(*everyone), self.network.now
             )
         self.network.run(40)
-        applied = {m.own.version for m in self.network.members.values()}
+        applied = {m.own_state.version for m in self.network.members.values()}
         assert len(applied) == 1
         for number in range(4):
             member = self.member(number)
-            assert member.live_instances(self.network.now) == 4
-            assert member.summary(self.network.now).in_force_on == 4
+            assert member.count_live_instances(self.network.now) == 4
+            assert member.build_summary(self.network.now).in_force_on == 4
 
 
 TestFleet = Fleet.TestCase
@@ -113,7 +119,8 @@
     for who in peers:
         member = network.start(who, seeds)
         network.deliver(
-            member, member.listed(members.listed(*peers), network.now)
+            member,
+            member.apply_instance_list(members.listed(*peers), network.now),
         )
     network.run(members.INTERVAL)
     return network, list(network.members.values())
@@ -127,43 +134,43 @@
     """
     network, found = data_centre(5)
     for member in found:
-        network.deliver(member, member.listed([], network.now))
+        network.deliver(member, member.apply_instance_list([], network.now))
     network.run(120)
     for member in found:
-        assert member.live_instances(network.now) == 5
+        assert member.count_live_instances(network.now) == 5
 
 
-def test_own_pause_makes_nobody_else_look_dead():
+def test_own_pause_marks_no_peer_as_dead():
     """An instance is stopped for a minute and wakes."""
     network, found = data_centre(3)
     network.now += 60.0
-    found[0].pause_noticed(60.0, network.now)
-    assert found[0].live_instances(network.now) == 3
+    found[0].handle_own_pause(60.0, network.now)
+    assert found[0].count_live_instances(network.now) == 3
 
 
 def test_killed_instance_is_counted_out_and_forgotten():
     network, found = data_centre(3)
-    del network.members[found[2].me.address]
+    del network.members[found[2].own_id.address]
     for member in found[:2]:
-        shown = members.listed(found[0].me, found[1].me)
-        network.deliver(member, member.listed(shown, network.now))
+        shown = members.listed(found[0].own_id, found[1].own_id)
+        network.deliver(member, member.apply_instance_list(shown, network.now))
     network.run(20)
-    assert found[0].live_instances(network.now) == 2
+    assert found[0].count_live_instances(network.now) == 2
     network.run(80)
-    assert found[2].me.incarnation not in found[0].peers
-    sizes = network.reports[found[0].me.incarnation]
+    assert found[2].own_id.incarnation not in found[0].peers
+    sizes = network.reports[found[0].own_id.incarnation]
     assert sizes[-1] == events.FleetSized(2)
 
 
 def test_list_that_shows_an_older_start_does_not_replace_the_new_one():
     """An instance restarts at its address; the list still shows the old."""
     network, found = data_centre(2)
-    new = network.start(members.peer(1, start=1), [found[0].me.address])
+    new = network.start(members.peer(1, start=1), [found[0].own_id.address])
     network.deliver(new, new.tick(network.now))
     old = members.listed(members.peer(1), leaving=True)
-    network.deliver(found[0], found[0].listed(old, network.now))
+    network.deliver(found[0], found[0].apply_instance_list(old, network.now))
     assert set(found[0].peers) == {'1.1'}
-    assert found[0].live_instances(network.now) == 2
+    assert found[0].count_live_instances(network.now) == 2
 
 
 def test_instance_that_starts_without_the_list_learns_of_all_by_one_seed():
@@ -174,25 +181,25 @@
     """
     network, found = data_centre(4)
     network.apply(found[2], 9)
-    new = network.start(members.peer(7), [found[0].me.address])
+    new = network.start(members.peer(7), [found[0].own_id.address])
     network.deliver(new, new.tick(network.now))
-    assert new.own.version == 9
-    assert new.live_instances(network.now) == 5
+    assert new.own_state.version == 9
+    assert new.count_live_instances(network.now) == 5
     network.run(members.INTERVAL)
-    assert {m.live_instances(network.now) for m in found} == {5}
+    assert {m.count_live_instances(network.now) for m in found} == {5}
 
 
 def test_leaving_upstream_is_told_to_all_at_once():
     network, found = data_centre(4)
     engine = identity.EngineId('engine-1', 'x')
     own = fleet.OwnState(0, False, frozenset({engine}))
-    network.deliver(found[0], found[0].own_changed(own, network.now))
+    network.deliver(found[0], found[0].update_own_state(own, network.now))
     for member in found[1:]:
-        told = network.reports[member.me.incarnation][-1]
+        told = network.reports[member.own_id.incarnation][-1]
         assert told == events.UpstreamLeaving(engine, 'peer router-0')
 
 
-def test_few_instances_speak_to_another_data_centre():
+def test_few_instances_send_to_another_data_centre():
     """At the design size each message counts.
 
     66 instances that all spoke to the 264 elsewhere would use more than a
@@ -203,12 +210,13 @@
     for who in peers:
         member = network.start(who)
         network.deliver(
-            member, member.listed(members.listed(*peers), network.now)
+            member,
+            member.apply_instance_list(members.listed(*peers), network.now),
         )
     network.run(40)
     network.apply(network.members[peers[3].address], 5)
     network.run(8)
-    assert {m.own.version for m in network.members.values()} == {5}
+    assert {m.own_state.version for m in network.members.values()} == {5}
     network.sent.clear()
     network.run(members.INTERVAL)
     where = {who.address: who.data_centre for who in peers}
@@ -218,9 +226,13 @@
         if where[to] != sender.data_centre
     ]
     pairs_of_data_centres = 3 * 2
-    steady = pairs_of_data_centres * membership.RELAYS * membership.RELAYS
+    steady = (
+        pairs_of_data_centres
+        * membership.GATEWAYS_PER_DATA_CENTRE
+        * membership.GATEWAYS_PER_DATA_CENTRE
+    )
     assert steady <= len(across) <= 2 * steady
-    summaries = network.members[peers[0].address].fresh_summaries()
+    summaries = network.members[peers[0].address].latest_summaries()
     assert {s.data_centre for s in summaries} == {'kl-1', 'kl-2'}
     assert {s.in_force_on for s in summaries} == {10}
 
@@ -241,5 +253,5 @@
     network.run(20)
     network.apply(network.members[members.peer(2).address], 3)
     network.run(members.INTERVAL)
-    applied = [member.own.version for member in network.members.values()]
+    applied = [member.own_state.version for member in network.members.values()]
     assert applied == [3] * 8
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -36,7 +36,7 @@
     @stateful.rule(seconds=st.sampled_from([3, 10, 25]))
     def holder_is_stopped_for_a_while(self, seconds):
         for who, member in enumerate(self.world.members):
-            if member.number and who not in self.world.stopped:
+            if member.fencing_number and who not in self.world.stopped:
                 self.world.stopped.add(who)
         self.world.run(seconds)
 
@@ -75,7 +75,9 @@
 
     @stateful.invariant()
     def at_most_one_holds_the_lease(self):
-        holders = [m for m in self.world.members if m.holds(self.world.now)]
+        holders = [
+            m for m in self.world.members if m.holds_lease(self.world.now)
+        ]
         assert len(holders) <= 1
 
     def teardown(self):
@@ -97,26 +99,26 @@
 )
 
 
-def world_with(instances=1, engines=4):
+def make_world(instances=1, engines=4):
     world = order_world.OrderWorld(instances, engines)
     world.set_version('2')
     return world
 
 
 def test_rollout_changes_few_engines_at_a_time_and_ends():
-    world = world_with(engines=8)
+    world = make_world(engines=8)
     most = 0
     for _ in range(300):
         world.run(1)
-        most = max(most, len(world.members[0].held))
+        most = max(most, len(world.members[0].held_engines))
     assert world.versions() == {'2'}
     assert most == 2
-    assert world.members[0].number == 0
-    assert world.lease.lease == orders.NOBODY
+    assert world.members[0].fencing_number == 0
+    assert world.lease.lease == orders.NO_HOLDER
 
 
 def test_engine_is_not_ordered_before_its_streams_have_ended():
-    world = world_with(engines=1)
+    world = make_world(engines=1)
     world.engines['engine-0'].busy = 1
     world.run(120)
     assert world.versions() == {'1'}
@@ -130,22 +132,22 @@
 
     Callers of its pool would find one engine less from then on.
     """
-    world = world_with()
+    world = make_world()
     world.run(300)
     world.engines['engine-0'].restart()
     world.run(100)
     assert world.versions() == {'2'}
 
 
-def test_woken_holder_sends_nothing_more():
+def test_resumed_holder_without_lease_sends_no_order():
     """The holder is stopped for a minute; another takes over and rolls back.
 
     The first wakes and still believes that it holds the lease. One engine
     ignores fencing numbers and would take the old order.
     """
-    world = world_with(instances=2)
+    world = make_world(instances=2)
     world.run(10)
-    first = next(m for m in world.members if m.number)
+    first = next(m for m in world.members if m.fencing_number)
     who = world.members.index(first)
     world.stopped.add(who)
     world.set_version('1')
@@ -153,22 +155,22 @@
     sent = len(world.sent)
     world.stopped.discard(who)
     world.tick(who)
-    assert first.number == 0
+    assert first.fencing_number == 0
     assert [order for w, order in world.sent[sent:] if w == who] == []
 
 
 def test_next_holder_waits_for_orders_of_the_one_before():
-    world = world_with(instances=2)
+    world = make_world(instances=2)
     world.run(10)
     taken_at = world.now
-    first = next(m for m in world.members if m.number)
-    other = next(m for m in world.members if not m.number)
+    first = next(m for m in world.members if m.fencing_number)
+    other = next(m for m in world.members if not m.fencing_number)
     world.stopped.add(world.members.index(first))
-    while not other.number:
+    while not other.fencing_number:
         world.run(1)
     waited = world.now - taken_at
-    least = orders.LEASE_SECONDS + orders.ORDER_SECONDS
-    assert least - 2 * orders.RENEW_SECONDS <= waited <= 2 * least
+    least = orders.LEASE_SECONDS + orders.ORDER_TIMEOUT_SECONDS
+    assert least - 2 * orders.RENEW_INTERVAL_SECONDS <= waited <= 2 * least
 
 
 def test_lost_answer_of_the_lease_is_found_in_the_row():
@@ -176,15 +178,15 @@
 
     Read as a failure, nobody would send orders until the lease has lapsed.
     """
-    world = world_with()
+    world = make_world()
     world.store_weather = 'lost'
     world.run(10)
-    assert world.members[0].holds(world.now)
+    assert world.members[0].holds_lease(world.now)
 
 
 def test_weight_store_is_asked_no_faster_than_it_allows():
     """A rollout over many engines would ask for all loads at once."""
-    world = world_with(engines=40)
+    world = make_world(engines=40)
     world.loads_apart = 7.0
     world.run(700)
     assert world.versions() == {'2'}
@@ -194,7 +196,7 @@
 @pytest.mark.parametrize('late', [1.0, 100.0])
 def test_late_order_is_undone_at_an_engine_that_ignores_fencing(late):
     """An order of a former holder hangs in the network and lands at last."""
-    world = world_with(engines=1)
+    world = make_world(engines=1)
     engine = world.engines['engine-0']
     engine.checks_fencing = False
     world.run(200)
--- a/tests/fleet/test_watching.py
+++ b/tests/fleet/test_watching.py
@@ -4,8 +4,8 @@
 import random
 
 from greengagelb.coordination import events
+from greengagelb.coordination.fleet import probe_assignment
 from greengagelb.coordination.fleet import routing
-from greengagelb.coordination.fleet import watching
 from greengagelb.protocol import peer_api
 from greengagelb.state import configuration
 from greengagelb.state import fleet
@@ -29,7 +29,7 @@
 
 
 def probes(found, me, instances=INSTANCES, turn=0, now=0.0):
-    watch = watching.Watch(me, 'kl-1')
+    watch = probe_assignment.ProbeAssignment(me, 'kl-1')
     watch.turn = turn
     named = {view.upstream.name: view for view in found}
     return watch.upstreams_to_probe(named, instances, now)
@@ -42,7 +42,7 @@
 def test_each_engine_is_watched_by_two_instances():
     found = probes_by_instance(views())
     names = [u.name for probed in found.values() for u in probed]
-    assert len(names) == ENGINES * watching.WATCHERS
+    assert len(names) == ENGINES * probe_assignment.WATCHERS_PER_UPSTREAM
     assert len(set(names)) == ENGINES
 
 
@@ -70,7 +70,7 @@
         view.suspected_until = 2.0
     probed = probes(lost, 'incarnation-7', now=1.0)
     own = probes(lost, 'incarnation-7', now=3.0)
-    assert len(probed) == len(own) + watching.MOST_PROBES
+    assert len(probed) == len(own) + probe_assignment.MAX_UNASSIGNED_PROBES
 
 
 def test_upstreams_of_other_data_centres_are_asked_every_few_turns():
@@ -88,11 +88,11 @@
     each time, and in the end by none.
     """
     found = {view.upstream.name: view for view in views(20)}
-    watch = watching.Watch('a', 'kl-1')
+    watch = probe_assignment.ProbeAssignment('a', 'kl-1')
     shared = {'a', 'b', 'c', 'd', 'e'}
     before = len(watch.upstreams_to_probe(found, shared, 0.0))
     watch.upstreams_to_probe(found, {'a', 'b'}, 1.0)
-    assert len(watch.watched) == 20 > before
+    assert len(watch.assigned) == 20 > before
 
 
 def report_of(name, incarnation, **changes):
@@ -109,12 +109,14 @@
     return events.UpstreamReported(engine, **(fields | changes))
 
 
-def directory():
+def make_directory():
     pool = configuration.Pool(
         'drafting', tuple(view.upstream for view in views(2)), 'm', '1'
     )
     found = routing.UpstreamDirectory(random.Random(1), 'kl-1')
-    found.apply(configuration.Configuration(version=1, pools=(pool,)))
+    found.apply_configuration(
+        configuration.Configuration(version=1, pools=(pool,))
+    )
     return found, pool
 
 
@@ -129,14 +131,14 @@
     Would it take the notice for another engine's, new requests would go on
     to an engine that is about to stop.
     """
-    found, pool = directory()
-    found.observe(report_of('engine-0', 'old'), 0.0)
+    found, pool = make_directory()
+    found.apply_report(report_of('engine-0', 'old'), 0.0)
     notice = events.UpstreamLeaving(
         identity.EngineId('engine-0', 'new'), 'peer i2'
     )
     found.mark_leaving(notice, 60.0)
     assert usable(found, pool, 60.0) == {'engine-1'}
-    found.observe(report_of('engine-0', 'newer'), 61.0)
+    found.apply_report(report_of('engine-0', 'newer'), 61.0)
     assert usable(found, pool, 61.0) == {'engine-0', 'engine-1'}
 
 
@@ -146,23 +148,23 @@
     An instance that asked an engine once, long ago, remembers the old
     version and would never give it work again.
     """
-    found, pool = directory()
-    found.observe(report_of('engine-0', 'a', version='0'), 0.0)
+    found, pool = make_directory()
+    found.apply_report(report_of('engine-0', 'a', version='0'), 0.0)
     assert usable(found, pool, 1.0) == {'engine-1'}
     assert usable(found, pool, 10.0) == {'engine-0', 'engine-1'}
 
 
 def test_loads_heard_from_watchers_are_used_and_not_passed_on():
-    found, _ = directory()
+    found, _ = make_directory()
     heard = (
         fleet.UpstreamLoad(1, 7, 2, 0.004),
         fleet.UpstreamLoad(9, 1, 1, 0),
     )
-    found.hear_loads(heard, 10.0)
-    assert found.load(found.views['engine-1'], 10.0) == 9.0
+    found.apply_peer_loads(heard, 10.0)
+    assert found.estimated_load(found.views['engine-1'], 10.0) == 9.0
     assert found.own_loads(10.0) == ()
-    found.observe(report_of('engine-1', 'a', running=3), 11.0)
-    found.hear_loads(heard, 11.5)
+    found.apply_report(report_of('engine-1', 'a', running=3), 11.0)
+    found.apply_peer_loads(heard, 11.5)
     assert found.own_loads(12.0) == (fleet.UpstreamLoad(1, 3, 0, 0.004),)
 
 
@@ -174,17 +176,21 @@
         'p', (near.upstream, elsewhere), 'm', '1', slots_per_upstream=2
     )
     found = routing.UpstreamDirectory(random.Random(1), 'kl-1')
-    found.apply(configuration.Configuration(version=1, pools=(pool,)))
+    found.apply_configuration(
+        configuration.Configuration(version=1, pools=(pool,))
+    )
     taken = []
     for _ in range(3):
-        view = found.choose(pool, set(), 0.0)
-        found.started(view.upstream.name)
+        view = found.choose_upstream(pool, set(), 0.0)
+        found.add_in_flight(view.upstream.name)
         taken.append(view.upstream.name)
     assert taken == ['engine-0', 'engine-0', 'engine-1']
 
 
 def test_heartbeat_with_loads_keeps_to_the_budget_of_the_design_size():
-    per_instance = ENGINES * watching.WATCHERS // len(INSTANCES) + 1
+    per_instance = (
+        ENGINES * probe_assignment.WATCHERS_PER_UPSTREAM // len(INSTANCES) + 1
+    )
     heartbeat = fleet.Heartbeat(
         fleet.PeerId(
             'instance-17',
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -277,7 +277,8 @@
     for who in everyone:
         member = network.start(who)
         network.deliver(
-            member, member.listed(members.listed(*everyone), network.now)
+            member,
+            member.apply_instance_list(members.listed(*everyone), network.now),
         )
     network.run(8)
     return network
@@ -286,8 +287,8 @@
 def find_suspect(network, number):
     """Have an instance find a suspect."""
     member = network.members[members.peer(number).address]
-    own = dataclasses.replace(member.own, suspects=(SUSPECT,))
-    network.deliver(member, member.own_changed(own, network.now))
+    own = dataclasses.replace(member.own_state, suspects=(SUSPECT,))
+    network.deliver(member, member.update_own_state(own, network.now))
 
 
 def heard_of(network, who):
--- a/tests/load/test_fair_start.py
+++ b/tests/load/test_fair_start.py
@@ -89,7 +89,7 @@
     for exchange in (1, 2):
         node.handle(loaded_node.draft(exchange, 'a'), 1.0)
     attempt = node.streams.streams[1].attempt.attempt_id
-    monkeypatch.setattr(node.directory, 'choose', None)
+    monkeypatch.setattr(node.directory, 'choose_upstream', None)
     done = node.handle(events.TokensArrived(attempt, 0, ('x',)), 1.0)
     assert loaded_node.only(actions.SendTokens, done)
 
--- a/tests/load/test_measured_policies.py
+++ b/tests/load/test_measured_policies.py
@@ -13,16 +13,16 @@
 SECONDS = 30.0
 
 
-def of_account(fleet, name):
+def count_outcomes(fleet, name):
     """Return outcomes of an account, and how many of them were good."""
     found = [o for o in fleet.outcomes.values() if o.account == name]
     return len(found), sum(outcome.good for outcome in found)
 
 
-def victim_beside(aggressor, policy=load.keep_policy):
+def run_victim_beside(aggressor, policy=load.keep_policy):
     victim = load.Source('victim', 0.2 * load.capacity_rate())
     fleet = load.run(SEED, [victim, aggressor], SECONDS, policy)
-    return fleet, of_account(fleet, 'victim')
+    return fleet, count_outcomes(fleet, 'victim')
 
 
 def test_flood_of_one_account_costs_another_no_request():
@@ -32,16 +32,16 @@
     wait behind it until their callers give up.
     """
     flood = load.Source('flood', 3 * load.capacity_rate(), short_share=0.1)
-    _, (asked, good) = victim_beside(flood)
+    _, (asked, good) = run_victim_beside(flood)
     assert good == asked
-    _, (asked, good) = victim_beside(flood, baselines.make_naive)
+    _, (asked, good) = run_victim_beside(flood, baselines.make_naive)
     assert good < asked / 2
 
 
 def test_callers_that_hang_up_cost_another_account_no_request():
     """A broken client sends requests and hangs up after a moment."""
     rude = load.Source('rude', 3 * load.capacity_rate(), hangs_up=True)
-    fleet, (asked, good) = victim_beside(rude)
+    fleet, (asked, good) = run_victim_beside(rude)
     assert good == asked
     assert not any(engine.runs for engine in fleet.engines.values())
 
@@ -54,7 +54,7 @@
     attempts), and it had no answer before its deadline.
     """
     poison = load.Source('poison', 1.0, poison=True)
-    fleet, (asked, good) = victim_beside(poison)
+    fleet, (asked, good) = run_victim_beside(poison)
     assert good == asked
     codes = collections.Counter(
         o.failure for o in fleet.outcomes.values() if o.account == 'poison'
@@ -63,7 +63,7 @@
     assert fleet.attempts < asked + 400 * codes.total()
 
 
-def check_counts(node):
+def check_in_flight_counts(node):
     """Check that what is counted as running is what is in progress."""
     assert set(node.running) == set(node.streams.streams)
     for queue in node.admission.queues.values():
@@ -77,7 +77,7 @@
         assert view.in_flight == len(held)
 
 
-def checked(strike, checks):
+def check_after_fault(strike, checks):
     """Return a function that checks all nodes after a fault has struck."""
 
     def strike_and_check(fleet, fault):
@@ -102,13 +102,13 @@
     sources = [load.Source('a', rate / 2), load.Source('b', rate / 2)]
     checks = []
 
-    def watched(node):
-        checks.append(functools.partial(check_counts, node))
+    def watch_node(node):
+        checks.append(functools.partial(check_in_flight_counts, node))
 
     monkeypatch.setattr(
-        load, 'strike', checked(load.strike, checks), raising=True
+        load, 'strike', check_after_fault(load.strike, checks), raising=True
     )
-    fleet = load.run(SEED, sources, SECONDS, watched, faults)
+    fleet = load.run(SEED, sources, SECONDS, watch_node, faults)
     assert all(o.ended_at is not None for o in fleet.outcomes.values())
     for instance in fleet.instances:
         node = instance.node
--- a/tests/operators/test_confirm_races.py
+++ b/tests/operators/test_confirm_races.py
@@ -43,7 +43,7 @@
     @stateful.rule(number=st.integers(0, 99), only_ask=st.booleans())
     def begin(self, number, only_ask):
         plan = self.plans[-1 - number % len(self.plans)]
-        steps = confirming.settle if only_ask else confirming.confirm
+        steps = confirming.find_outcome if only_ask else confirming.confirm
         steps = steps(plan)
         self.under_way.append([plan, steps, next(steps), only_ask])
 
@@ -90,7 +90,7 @@
     @stateful.invariant()
     def every_plan_can_be_settled(self):
         for plan in self.plans:
-            outcome = self.store.run(confirming.settle(plan))
+            outcome = self.store.run(confirming.find_outcome(plan))
             winner = self.store.winners.get(plan.base_version + 1)
             if winner is None:
                 assert outcome == confirming.Proposed()
@@ -138,7 +138,7 @@
     assert stale.current_version == 30
     assert stale.changes[0].version == 4
     assert stale.changes[-1].version == 30
-    assert len(stale.changes) <= confirming.MOST_CHANGES_SHOWN + 1
+    assert len(stale.changes) <= confirming.MAX_CHANGES_SHOWN + 1
 
 
 def test_write_that_lands_late_is_never_reported_as_nothing_happened():
@@ -160,4 +160,4 @@
     except StopIteration as done:
         assert done.value == confirming.Unsettled()
     store.carry_out(store.late.pop())
-    assert store.run(confirming.settle(plan)) == confirming.Confirmed()
+    assert store.run(confirming.find_outcome(plan)) == confirming.Confirmed()
--- a/tests/operators/test_plans.py
+++ b/tests/operators/test_plans.py
@@ -63,7 +63,7 @@
             plan = plan_of(intent, current)
         except errors.IntentRefused:
             continue
-        validation.check(plan.result)
+        validation.check_configuration(plan.result)
         assert plan.base_version == current.version
         assert plan.result.version == current.version + 1
         assert plan.result.confirmed_by == plan.plan_id
@@ -74,7 +74,7 @@
         current = plan.result
 
 
-def test_drain_counts_what_is_left_and_what_ends_there():
+def test_drain_reports_remaining_capacity_and_running_requests():
     plan = plan_of(
         plan_state.DrainUpstream('old-1'), running={'old-1': 5, 'old-2': 9}
     )
