--- a/src/greengagelb/coordination/configuration/__init__.py
+++ b/src/greengagelb/coordination/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""What operators want: plans, confirmations, and orders to engines."""
+"""Plans of operators, their confirmation, and orders to engines."""
--- a/src/greengagelb/coordination/configuration/capacity.py
+++ b/src/greengagelb/coordination/configuration/capacity.py
@@ -1,4 +1,4 @@
-"""Places for running requests that a plan leaves to pools and accounts."""
+"""Slots for running requests that a plan leaves to pools and accounts."""
 
 from collections.abc import Mapping
 
@@ -11,10 +11,10 @@
     after: configuration_state.Configuration,
     drained: Mapping[str, int],
 ) -> tuple[plan_state.Capacity, ...]:
-    """Return the places per pool and account before, during and after.
+    """Return the slots per pool and account before, during and after a plan.
 
-    ``out`` counts the upstreams of each pool that get no new work while the
-    plan is carried out.
+    ``drained`` has the number of upstreams of each pool that get no new work
+    while the plan is carried out.
     """
     names = [pool.name for pool in after.pools]
     names += [pool.name for pool in before.pools if pool.name not in names]
@@ -32,10 +32,11 @@
     after: configuration_state.Configuration,
     drained: int,
 ) -> plan_state.Capacity:
-    """Return the places of one pool.
+    """Return the slots of one pool.
 
-    While the plan is carried out a pool has no more places than before or
-    after, and loses those of the upstreams that are taken out.
+    While the plan is carried out, a pool has the smaller number of slots
+    before and after. If it does not shrink, the slots of its drained upstreams
+    are subtracted.
     """
     old, new = before.find_pool(name), after.find_pool(name)
     slots_before, slots_after = count_slots(old), count_slots(new)
@@ -48,7 +49,7 @@
 
 
 def count_slots(pool: configuration_state.Pool | None) -> int:
-    """Return the places on upstreams of a pool that get new work."""
+    """Return the number of slots on upstreams that are not draining."""
     if pool is None:
         return 0
     usable = sum(not upstream.draining for upstream in pool.upstreams)
@@ -60,7 +61,7 @@
     before: configuration_state.Configuration,
     after: configuration_state.Configuration,
 ) -> list[plan_state.Capacity]:
-    """Return each account's share of a pool when all of them compete."""
+    """Return each account's share of a pool when all accounts compete."""
     old = account_shares(pool_total.pool, before)
     new = account_shares(pool_total.pool, after)
     return [
@@ -78,7 +79,7 @@
 def account_shares(
     pool: str, configuration: configuration_state.Configuration
 ) -> dict[str, float]:
-    """Return the part of a pool that each account has by weight."""
+    """Return the fraction of a pool that each account has by weight."""
     services = {s.name for s in configuration.services if s.pool == pool}
     accounts = [
         account
--- a/src/greengagelb/coordination/configuration/confirming.py
+++ b/src/greengagelb/coordination/configuration/confirming.py
@@ -1,19 +1,18 @@
-"""Confirms plans so that exactly one plan wins each version.
-
-The platform's table holds one small row, the current confirmation, which
-names the version in force and the plan that put it there. Writing that row,
-on condition that it still has the version that the plan was built on, is the
-only act that puts a plan in force. The document itself was stored with the
-plan before, so nothing else has to happen after that write: an instance may
-die right behind it.
-
-Before the row is overwritten its content is inserted into a row of its own,
-keyed by version. So the plan behind each version can be found for good, and
-the stage of a plan is derived from rows that never change again.
-
-The functions here are generators: they yield typed requests to the store and
-are sent the answers. So the very same steps run against the real store and
-under Hypothesis, interleaved with those of other operators in any order.
+"""Confirms plans so that exactly one plan is confirmed for each version.
+
+One small row of the platform's table, the current confirmation, has the
+version in force and the id of its plan. A plan is put in force only by a
+conditional write of that row, which succeeds if the row still has the version
+that the plan was built on. The configuration is stored with the plan before,
+so an instance may die right after that write and nothing is missing.
+
+Before the row is overwritten, its content is archived in a row keyed by
+version. The plan of each version can thus always be found, and the stage of a
+plan is derived from rows that don't change any more.
+
+The functions are generators that yield typed requests to the store and are
+sent the answers. The same steps therefore run against the real store and in
+Hypothesis tests, interleaved in any order with those of other operators.
 """
 
 from collections.abc import Generator
@@ -27,26 +26,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadCurrent:
-    """Read the confirmation in force; answered by it, or by ``StoreAway``."""
+    """Read the confirmation in force.
+
+    The answer is the confirmation or ``StoreUnavailable``.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadArchived:
-    """Read the confirmation of an earlier version, or None."""
+    """Read the archived confirmation of an earlier version, or None."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ArchiveConfirmation:
-    """Insert a confirmation under its version unless one is there."""
+    """Insert a confirmation under its version unless a row exists."""
 
     confirmation: plan_state.Confirmation
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplaceCurrent:
-    """Replace the current confirmation if it is of the version before."""
+    """Replace the current confirmation if it has the previous version."""
 
     confirmation: plan_state.Confirmation
 
@@ -61,12 +63,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteConflict:
-    """The store did not write: the row has another version."""
+    """The store did not write, as the row has another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreUnavailable:
-    """The store gave no answer; a write may take effect, even later."""
+    """The store did not answer; a write may still take effect later."""
 
 
 Answer = (
@@ -77,17 +79,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Confirmed:
-    """The plan is in force, or was until a later one replaced it."""
+    """The plan is in force, or was until a later plan replaced it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposed:
-    """No plan has been confirmed on the version this one was built on."""
+    """No plan has been confirmed on this plan's base version yet."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Overtaken:
-    """Another plan won; ``changes`` are those confirmed since the base."""
+    """Another plan was confirmed on this plan's base version.
+
+    ``changes`` are the confirmations since the base version.
+    """
 
     current_version: int
     changes: tuple[plan_state.Confirmation, ...]
@@ -95,14 +100,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unsettled:
-    """Nobody can tell now; asking again with the plan's id will."""
+    """The outcome is unknown; a later query with the plan's id shows it."""
 
 
 Outcome = Confirmed | Proposed | Overtaken | Unsettled
 
 
 def find_outcome(plan: plan_state.Plan) -> Steps:
-    """Find out what became of a plan; returns an :data:`Outcome`."""
+    """Determine the outcome of a plan; returns an :data:`Outcome`."""
     current = yield ReadCurrent()
     if not isinstance(current, plan_state.Confirmation):
         return Unsettled()
@@ -118,7 +123,7 @@
 
 
 def read_winner(version: int, current: plan_state.Confirmation) -> Steps:
-    """Return the confirmation of a version, or None if the store is away."""
+    """Return the confirmation of a version, or None if it can't be read."""
     if current.version == version:
         return current
     found = yield ReadArchived(version)
@@ -128,7 +133,11 @@
 def read_changes(
     winner: plan_state.Confirmation, current: plan_state.Confirmation
 ) -> Steps:
-    """Return the confirmations since a plan's base, the first ones of many."""
+    """Return the confirmations since a plan's base version.
+
+    Of more than ``MAX_CHANGES_SHOWN`` only the first ones and the current one
+    are returned.
+    """
     changes = [winner]
     end = min(current.version, winner.version + MAX_CHANGES_SHOWN)
     for version in range(winner.version + 1, end):
@@ -141,11 +150,11 @@
 
 
 def confirm(plan: plan_state.Plan) -> Steps:
-    """Put a plan in force, or find out why not; returns an `Outcome`.
+    """Put a plan in force or determine why not; returns an :data:`Outcome`.
 
-    Repeating it is harmless: a plan that is in force already is found to be.
-    ``Proposed`` is never returned; a write that was not answered may still
-    take effect later, so that is ``Unsettled``.
+    The operation is idempotent: a plan that is already in force is
+    ``Confirmed``. ``Proposed`` is never returned. A write that was not
+    answered may still take effect later and gives ``Unsettled``.
     """
     found = yield from find_outcome(plan)
     if not isinstance(found, Proposed):
@@ -160,18 +169,19 @@
     )
     if isinstance(answer, Written):
         return Confirmed()
-    # The answer may have been lost after the write took effect. A failure
-    # reported then would make the operator repeat what is already in force,
-    # and a refusal may be this plan's own first write: so the rows decide.
+    # The write may have taken effect although its answer was lost, and a
+    # conflict may be with this plan's own earlier write. The rows are read
+    # again so that the operator isn't told of a failure when the plan is in
+    # force.
     found = yield from find_outcome(plan)
     return Unsettled() if isinstance(found, Proposed) else found
 
 
 def archive_base(version: int) -> Steps:
-    """Keep the confirmation of the base before it is overwritten.
+    """Archive the confirmation of the base before it is overwritten.
 
-    Returns whether it is kept. Without that row nobody could tell any more
-    which plan had put that version in force once two more were confirmed.
+    Returns whether it is archived. Without that row the plan of that version
+    would be unknown after two more confirmations.
     """
     if version == 0:
         return True
--- a/src/greengagelb/coordination/configuration/orders.py
+++ b/src/greengagelb/coordination/configuration/orders.py
@@ -1,20 +1,20 @@
-"""Orders engines to the model version, adapter and role that they shall have.
-
-One instance at a time orders the engines of one pool in one data centre. It
-holds a lease, a row of the platform's table whose version is the fencing
-number of its orders. Which instance tries to hold it is picked by rendezvous
-hash; that only saves work. Safety rests on the lease:
-
-- its deadline is counted on the holder's monotonic clock from before the
-  write was sent, is checked right before each order, and the lease is dropped
-  after a pause of the process;
-- engines that check fencing numbers refuse those of a former holder;
-- for those that don't, the next holder waits, from when it first saw the row
-  as it is, for the whole lease and the time to live of an order.
-
-An order sets a target. The engine's report is compared with it until both
-agree, so an order that came too late, was lost, or was undone by a restart
-with the old version, is followed by another one.
+"""Orders engines to change to their configured model version and role.
+
+One instance at a time sends orders to the engines of a pool in a data centre.
+It holds a lease, a row of the platform's table whose version is the fencing
+number of its orders. The instance that tries to take the lease is selected by
+rendezvous hashing, which only avoids contention. Safety depends on the lease:
+
+- Its deadline is measured on the holder's monotonic clock from before the
+  write was sent and is checked right before each order. The lease is dropped
+  after a pause of the process.
+- Engines that check fencing numbers refuse orders of a former holder.
+- For engines that don't, the next holder waits for the duration of a lease and
+  the timeout of an order after it first saw the current row.
+
+An order sets a target, and the engine's reports are compared with the target
+until they agree. An order that arrives late, is lost, or is undone by a
+restart with the old version is therefore followed by another one.
 """
 
 from collections.abc import Iterable
@@ -38,12 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLease:
-    """Read the lease's row."""
+    """Read the row of the lease."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write the lease's row if its number is still ``expected``."""
+    """Write the row of the lease if its version is still ``expected``."""
 
     expected: int
     lease: order_state.Lease
@@ -59,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order, unless ``deadline`` has passed by then."""
+    """Send an order unless the monotonic time ``deadline`` has passed."""
 
     upstream: configuration_state.Upstream
     target: order_state.Target
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explain:
-    """Put an automatic act on the time line."""
+    """Record an automatic action on the time line."""
 
     kind: str
     reason: str
@@ -80,16 +80,22 @@
 
 
 def max_drained_engines(engines: int) -> int:
-    """Return how many engines of a pool may be out of work at once."""
+    """Return how many engines of a pool may be drained at once."""
     return max(1, int(engines * MAX_DRAINED_SHARE))
 
 
 class PoolOrders:
-    """Orders of one pool in one data centre, as seen by one instance.
+    """One instance's orders to the engines of a pool in a data centre.
+
+    ``targets``, ``reports`` and ``progress`` are by upstream name; the engines
+    in ``progress`` are held, which means that they get no new work. Times are
+    monotonic seconds. ``fencing_number`` is 0 without a lease.
+    ``store_request_pending`` tells that a read or write of the lease is
+    unanswered.
 
     Invariants: no order is sent at or after the lease's deadline, nor to an
-    engine that runs something, and no more engines are held at once than
-    ``engines_at_once`` allows.
+    engine that runs requests, and at most :func:`max_drained_engines` are held
+    at once.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -111,10 +117,8 @@
         self.load_requested_for = ''
         self.load_refusals = 0
 
-    # -- what comes in ------------------------------------------------------
-
     def set_targets(self, wanted: Iterable[order_state.Wanted]) -> None:
-        """Take over the targets of a configuration."""
+        """Set the targets of a configuration."""
         self.targets = {one.upstream.name: one for one in wanted}
         for name, progress in list(self.progress.items()):
             if name not in self.targets:
@@ -123,21 +127,22 @@
                 progress.may_load = False
 
     def update_report(self, name: str, seen: order_state.EngineSeen) -> None:
-        """Take in an engine's report."""
+        """Store the latest report of an engine."""
         self.reports[name] = seen
 
     def handle_own_pause(self) -> list[Action]:
-        """Drop the lease: it may have lapsed while this process stood still.
+        """Drop the lease after a pause of this process.
 
-        The clock that the deadline is checked on may have stood still too.
+        The lease may have expired meanwhile, and the clock on which its
+        deadline is checked may have stopped as well.
         """
         if not self.fencing_number:
             return []
         self.drop_lease()
-        return [Explain('order-lease-dropped', 'this process stood still')]
+        return [Explain('order-lease-dropped', 'this process was paused')]
 
     def drop_lease(self) -> None:
-        """Hold the lease no more."""
+        """Give up the lease and all held engines without a write."""
         self.fencing_number = 0
         self.lease_deadline = float('-inf')
         self.progress.clear()
@@ -145,7 +150,7 @@
     def handle_lease_read(
         self, row: order_state.LeaseRow, now: float
     ) -> list[Action]:
-        """Take in the row as it is in the store."""
+        """Handle the row of the lease as read from the store."""
         self.store_request_pending = False
         self.row_read_at = now
         if row != self.lease_row:
@@ -163,7 +168,7 @@
         return []
 
     def handle_lease_written(self, number: int) -> list[Action]:
-        """Take in that this instance's own write took effect."""
+        """Handle a successful write of the lease."""
         self.store_request_pending = False
         self.lease_row = order_state.LeaseRow(number, self.written_lease)
         self.row_changed_at = self.row_read_at = self.write_sent_at
@@ -172,15 +177,15 @@
         return self.hold_lease(number)
 
     def handle_lease_failure(self) -> None:
-        """Take in that a read or write failed, or was not answered.
+        """Handle a failed or unanswered read or write of the lease.
 
-        The row is read again before anything else: it may have been written.
+        The row is read again first, as it may have been written.
         """
         self.store_request_pending = False
         self.row_read_at = float('-inf')
 
     def hold_lease(self, number: int) -> list[Action]:
-        """Hold the lease, from before the write of it was sent."""
+        """Hold the lease, counted from the time its write was sent."""
         is_new = not self.fencing_number
         self.fencing_number = number
         self.lease_deadline = self.write_sent_at + LEASE_SECONDS
@@ -189,12 +194,16 @@
         return [Explain('order-lease-taken', f'number {number}')]
 
     def handle_fenced_order(self, name: str) -> list[Action]:
-        """Take in that an engine knows a higher fencing number."""
+        """Drop the lease, as an engine knows a higher fencing number."""
         self.drop_lease()
-        return [Explain('order-fenced', 'an engine knows a newer one', name)]
+        return [
+            Explain(
+                'order-fenced', 'an engine knows a newer fencing number', name
+            )
+        ]
 
     def handle_load_allowed(self, name: str) -> None:
-        """Take in that the weight store allows an engine to load."""
+        """Record that the weight store allows an engine to load."""
         self.load_requested_for = ''
         self.load_refusals = 0
         if name in self.progress:
@@ -203,10 +212,10 @@
     def handle_load_refused(
         self, name: str, retry_after: float, now: float
     ) -> list[Action]:
-        """Take in that the weight store allows no load yet.
+        """Back off, as the weight store allows no load yet.
 
-        Refused again and again it is asked more and more seldom: a rollout
-        over many engines must not use up the store's own rate.
+        The wait doubles with each refusal, so that a rollout over many
+        engines doesn't exhaust the rate of the weight store.
         """
         self.load_requested_for = ''
         wait = min(retry_after * 2**self.load_refusals, MAX_LOAD_WAIT_SECONDS)
@@ -215,19 +224,17 @@
         reason = f'weight store is busy; asked again in {wait:.0f} s'
         return [Explain('load-delayed', reason, name)]
 
-    # -- what goes out ------------------------------------------------------
-
     def holds_lease(self, now: float) -> bool:
         """Return whether an order may be sent now."""
         return self.fencing_number > 0 and now < self.lease_deadline
 
     @property
     def held_engines(self) -> frozenset[str]:
-        """Return the engines that shall get no new work."""
+        """Return the names of engines that must get no new work."""
         return frozenset(self.progress)
 
     def tick(self, now: float) -> list[Action]:
-        """Go on with the lease and the orders."""
+        """Advance the lease and the orders."""
         if self.fencing_number and not self.holds_lease(now):
             self.drop_lease()
         actions = self.release_reached_engines()
@@ -239,7 +246,7 @@
         return actions
 
     def engines_off_target(self) -> list[str]:
-        """Return the engines that report another than their target."""
+        """Return the names of engines whose report differs from the target."""
         return [
             name
             for name, wanted in self.targets.items()
@@ -248,7 +255,7 @@
         ]
 
     def release_reached_engines(self) -> list[Action]:
-        """Give new work again to engines that have reached their target."""
+        """Release held engines that have reached their target."""
         actions: list[Action] = []
         off_target = set(self.engines_off_target())
         for name in list(self.progress):
@@ -259,7 +266,7 @@
         return actions
 
     def release_lease(self, now: float) -> list[Action]:
-        """Let others take the lease at once, as no order is under way."""
+        """Release the lease at once if no order is in progress."""
         if not self.fencing_number or self.store_request_pending:
             return []
         if self.progress:
@@ -269,7 +276,7 @@
         return [self.build_lease_write(expected, NO_HOLDER, now)]
 
     def maintain_lease(self, now: float) -> list[Action]:
-        """Read, take or renew the lease, whichever is next."""
+        """Read, take or renew the lease, whichever is due."""
         if self.store_request_pending:
             return []
         if (
@@ -288,7 +295,7 @@
         return [self.build_lease_write(self.lease_row.number, token, now)]
 
     def can_take_lease(self, now: float) -> bool:
-        """Return whether no other holder can have an order under way."""
+        """Return whether no other holder can have an order in progress."""
         if self.lease_row is None:
             return False
         if self.lease_row.lease == NO_HOLDER:
@@ -300,23 +307,23 @@
     def build_lease_write(
         self, expected: int, lease: order_state.Lease, now: float
     ) -> WriteLease:
-        """Return the write of a lease, and note when it was sent."""
+        """Return the write of a lease and record when it is sent."""
         self.store_request_pending = True
         self.written_lease = lease
         self.write_sent_at = now
         return WriteLease(expected, lease)
 
     def advance_orders(self, now: float) -> list[Action]:
-        """Hold engines, wait until they are idle, and order them."""
+        """Hold engines, and send orders to those that are idle."""
         actions = self.hold_engines(now)
         for name, progress in self.progress.items():
             actions += self.advance_order(name, progress, now)
         if len(self.progress) > max_drained_engines(len(self.targets)):
-            raise errors.InvariantViolated('too many engines out of work')
+            raise errors.InvariantViolated('too many engines are held at once')
         return actions
 
     def hold_engines(self, now: float) -> list[Action]:
-        """Take the idlest engines out of work, as many as may be."""
+        """Hold the least busy engines, as many as are allowed."""
         actions: list[Action] = []
         room = max_drained_engines(len(self.targets)) - len(self.progress)
         waiting = [
@@ -333,10 +340,10 @@
     def advance_order(
         self, name: str, progress: order_state.OrderProgress, now: float
     ) -> list[Action]:
-        """Order one engine once it runs nothing any more.
+        """Send an order to an engine once it is idle.
 
-        Other instances hear of the hold with a delay; until all have, an
-        engine that is idle now may be given work in the next moment.
+        Other instances learn of the hold with a delay. For
+        ``HOLD_SPREAD_SECONDS`` they may still send work to an idle engine.
         """
         seen = self.reports[name]
         if now < progress.held_at + HOLD_SPREAD_SECONDS or seen.busy:
@@ -353,7 +360,7 @@
         ]
 
     def needs_other_weights(self, name: str) -> bool:
-        """Return whether the target needs other weights than are loaded."""
+        """Return whether the target needs weights that aren't loaded."""
         wanted, seen = self.targets[name].target, self.reports[name].target
         return (wanted.model, wanted.version, wanted.adapter) != (
             seen.model,
@@ -362,7 +369,7 @@
         )
 
     def request_load(self, name: str, now: float) -> list[Action]:
-        """Ask the weight store for one load at a time."""
+        """Request a load from the weight store, one at a time."""
         if now < self.next_load_at or self.load_requested_for:
             return []
         self.load_requested_for = name
@@ -371,16 +378,18 @@
     def explain_order(
         self, name: str, progress: order_state.OrderProgress
     ) -> list[Action]:
-        """Return why an order is sent."""
+        """Return the time line entry for an order that is sent."""
         reason = f'engine reports {self.reports[name].target.version}'
         if progress.sent:
             return [Explain('order-repeated', reason, name)]
         return [Explain('order-sent', reason, name)]
 
     def build_order(self, name: str, now: float) -> SendOrder:
-        """Return the order that sets an engine's target."""
+        """Return the order that sets the target of an engine."""
         if not self.holds_lease(now):
-            raise errors.InvariantViolated('order without a lease')
+            raise errors.InvariantViolated(
+                'order would be sent without a valid lease'
+            )
         progress = self.progress[name]
         progress.resend_at = now + RESEND_AFTER_SECONDS
         progress.may_load = False
--- a/src/greengagelb/coordination/configuration/plans.py
+++ b/src/greengagelb/coordination/configuration/plans.py
@@ -1,4 +1,4 @@
-"""Turns an operator's intent into a plan; nothing takes effect here."""
+"""Builds a plan from an operator's intent, without putting it in force."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -14,16 +14,16 @@
 DRAIN_SECONDS = 300.0
 LOAD_SECONDS = 60.0
 MAX_DRAINED_SHARE = 0.25
-"""The part of a pool's engines that a rollout takes out at once."""
+"""The fraction of a pool's engines that a rollout drains at once."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """What an intent leads to, before capacity and checks are added.
+    """The effect of an intent, before capacity and warnings are added.
 
-    ``out`` names the upstreams that get no new work while the plan is
-    carried out, ``batches`` is how many groups of them follow one another
-    and ``loads`` whether each has to load weights.
+    ``drained`` has the names of upstreams that get no new work while the plan
+    is carried out, in ``batches`` consecutive groups. ``loads_weights`` tells
+    whether each of them has to load weights.
     """
 
     result: configuration_state.Configuration
@@ -42,9 +42,9 @@
 ) -> plan_state.Plan:
     """Return the plan of an intent on top of the configuration in force.
 
-    ``running`` counts the running requests per upstream, as far as known.
-    Raises :class:`~greengagelb.errors.IntentRefused` where the intent leads
-    to no valid configuration.
+    ``running`` has the known number of running requests by upstream name.
+    Raises :class:`~greengagelb.errors.IntentRefused` if the resulting
+    configuration is invalid.
     """
     change = derive_change(intent, current)
     validation.check_configuration(change.result)
@@ -73,10 +73,10 @@
 def derive_change(
     intent: plan_state.Intent, current: configuration_state.Configuration
 ) -> Change:
-    """Return what an intent changes."""
+    """Return the change that an intent makes."""
     match intent:
         case plan_state.ReplaceConfiguration(wanted):
-            step = f'replace configuration {current.version} whole'
+            step = f'replace all of configuration {current.version}'
             return Change(wanted, (step,))
         case plan_state.PutAccount(account):
             accounts = put_named(current.accounts, account)
@@ -105,9 +105,9 @@
 def drain_upstream(
     current: configuration_state.Configuration, name: str
 ) -> Change:
-    """Return the change that gives an upstream no new work."""
+    """Return the change that drains an upstream."""
     result = with_upstream(current, name, draining=True)
-    steps = (f'give {name} no new work', 'let what it runs end there')
+    steps = (f'give {name} no new work', 'wait until its running requests end')
     return Change(result, steps, drained=frozenset({name}))
 
 
@@ -137,7 +137,7 @@
     batches = math.ceil(len(names) / at_once) if names else 0
     steps = (
         f'drain {at_once} of {len(names)} engines of {pool.name} at a time',
-        'let the generations of the old version end there',
+        'wait until their generations of the old version end',
         f'load {intent.model} {intent.version} {intent.adapter}'.rstrip(),
         'give them new work of the new version',
     )
@@ -145,7 +145,7 @@
 
 
 def max_drained_engines(engines: int) -> int:
-    """Return how many engines of a pool a rollout takes out at once."""
+    """Return how many engines of a pool a rollout drains at once."""
     return max(1, int(engines * MAX_DRAINED_SHARE))
 
 
@@ -170,10 +170,12 @@
         result,
         dataclasses.replace(target, upstreams=(*target.upstreams, moved)),
     )
-    steps = [f'count {name} to {target.name} in {data_centre}']
+    steps = [f'assign {name} to pool {target.name} in {data_centre}']
     loads_weights = versions_differ(source, target)
     if target.name != source.name:
-        steps.append(f'let what {name} runs for {source.name} end there')
+        steps.append(
+            f'wait until the requests of {name} for {source.name} end'
+        )
     if loads_weights:
         steps.append(f'load {target.model} {target.version} on {name}')
     return Change(
@@ -184,7 +186,7 @@
 def versions_differ(
     one: configuration_state.Pool, other: configuration_state.Pool
 ) -> bool:
-    """Return whether an engine of one pool can't serve the other as it is."""
+    """Return whether two pools differ in model, version or adapter."""
     return (one.model, one.version, one.adapter) != (
         other.model,
         other.version,
@@ -199,8 +201,8 @@
     result = with_upstream(current, name, role=role)
     steps = (
         f'drain {name}',
-        'let what it runs end there',
-        f'order it to role {role}',
+        'wait until its running requests end',
+        f'order it to change to role {role}',
     )
     return Change(result, steps, frozenset({name}))
 
@@ -208,9 +210,9 @@
 def count_drained_by_pool(
     current: configuration_state.Configuration, change: Change
 ) -> dict[str, int]:
-    """Return how many upstreams of each pool are out at the same time.
+    """Return how many upstreams of each pool are drained at the same time.
 
-    An upstream that joins the pool is none of them: it had no places there.
+    An upstream that joins a pool is not counted, as it had no slots there.
     """
     counts = {}
     for pool in current.pools:
@@ -221,7 +223,7 @@
 
 
 def estimate_seconds(change: Change) -> float:
-    """Return how many seconds a change takes, at the longest as a rule."""
+    """Return the usual upper bound of a change's duration in seconds."""
     if not change.drained:
         return IN_FORCE_SECONDS
     batch_seconds = DRAIN_SECONDS + (
@@ -231,7 +233,7 @@
 
 
 def put_named(parts: tuple, part: object) -> tuple:
-    """Return the parts with one more, or with the one of its name replaced."""
+    """Return the parts with ``part`` added or replacing its namesake."""
     if any(found.name == part.name for found in parts):
         return tuple(
             part if found.name == part.name else found for found in parts
@@ -240,21 +242,24 @@
 
 
 def describe_put(kind: str, part: object) -> str:
-    """Return the step that puts a part into the configuration."""
+    """Describe the step that adds or replaces a part."""
     return f'create or change {kind} {part.name}'
 
 
 def with_pool(
     current: configuration_state.Configuration, pool: configuration_state.Pool
 ) -> configuration_state.Configuration:
-    """Return the configuration with a pool put into it."""
+    """Return the configuration with a pool added or replaced."""
     return dataclasses.replace(current, pools=put_named(current.pools, pool))
 
 
 def require_pool(
     current: configuration_state.Configuration, name: str
 ) -> configuration_state.Pool:
-    """Return the pool of a name, or raise that there is none."""
+    """Return the pool of a name.
+
+    Raises :class:`~greengagelb.errors.UnknownName` if there is none.
+    """
     pool = current.find_pool(name)
     if pool is None:
         raise errors.UnknownName(f'no pool is named {name}')
@@ -264,7 +269,10 @@
 def require_upstream(
     current: configuration_state.Configuration, name: str
 ) -> tuple[configuration_state.Pool, configuration_state.Upstream]:
-    """Return an upstream and its pool, or raise that there is none."""
+    """Return the pool of an upstream, and the upstream.
+
+    Raises :class:`~greengagelb.errors.UnknownName` if there is none.
+    """
     for pool in current.pools:
         for upstream in pool.upstreams:
             if upstream.name == name:
--- a/src/greengagelb/coordination/configuration/validation.py
+++ b/src/greengagelb/coordination/configuration/validation.py
@@ -1,4 +1,4 @@
-"""Checks a configuration before it becomes part of a plan."""
+"""Validates a configuration before it becomes part of a plan."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -8,10 +8,10 @@
 
 
 def check_configuration(wanted: configuration_state.Configuration) -> None:
-    """Raise the first mistake in a configuration.
+    """Raise an error for the first mistake in a configuration.
 
-    An instance looks services, pools and upstreams up by name. A name that
-    leads nowhere would only be noticed by callers, as refused requests.
+    Services, pools and upstreams are looked up by name. Without this check an
+    unknown name would only show in refused requests of callers.
     """
     upstreams = [u for pool in wanted.pools for u in pool.upstreams]
     check_names('client account', [a.name for a in wanted.accounts])
@@ -36,20 +36,20 @@
 
 
 def check_names(kind: str, names: Iterable[str]) -> None:
-    """Raise where a name is empty or stands twice."""
+    """Raise an error if a name is empty or occurs twice."""
     seen: set[str] = set()
     for name in names:
         if not name:
             raise errors.IntentRefused(f'a {kind} has no name')
         if name in seen:
-            raise errors.DuplicateName(f'two of kind {kind} are {name}')
+            raise errors.DuplicateName(f'duplicate {kind}: {name}')
         seen.add(name)
 
 
 def check_keys(accounts: Iterable[configuration_state.ClientAccount]) -> None:
-    """Raise where two accounts have one key.
+    """Raise an error if two accounts have the same key.
 
-    A request would be taken for one of the other account.
+    Requests of one account would be attributed to the other.
     """
     seen: dict[str, str] = {}
     for account in accounts:
@@ -64,7 +64,7 @@
     account: configuration_state.ClientAccount,
     wanted: configuration_state.Configuration,
 ) -> None:
-    """Raise where an account names no service, or has impossible limits."""
+    """Raise an error if an account has unknown services or bad limits."""
     for name in account.services:
         if wanted.find_service(name) is None:
             raise errors.UnknownName(
@@ -82,7 +82,7 @@
     after: configuration_state.Configuration,
     running: Mapping[str, int],
 ) -> tuple[str, ...]:
-    """Return what an operator should know before confirming."""
+    """Return warnings to show to the operator before confirming."""
     found = []
     for pool in after.pools:
         found += pool_warnings(before.find_pool(pool.name), pool, running)
@@ -101,7 +101,7 @@
     new: configuration_state.Pool,
     running: Mapping[str, int],
 ) -> list[str]:
-    """Return what an operator should know about one pool."""
+    """Return the warnings about one pool."""
     found = []
     if all(upstream.draining for upstream in new.upstreams):
         found.append(f'pool {new.name} keeps no upstream')
--- a/src/greengagelb/coordination/fleet/__init__.py
+++ b/src/greengagelb/coordination/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances and upstreams there are, and which one is chosen."""
+"""Fleet membership, the state of upstreams and the choice among them."""
--- a/src/greengagelb/coordination/fleet/membership.py
+++ b/src/greengagelb/coordination/fleet/membership.py
@@ -1,13 +1,13 @@
-"""Which instances there are, and what each of them has applied.
+"""Membership of the fleet and the configuration version of each instance.
 
-Instances of one data centre send each other heartbeats; only a few of them
-send any to other data centres. A change, such as a new configuration or an
-upstream that leaves, is told at once; the regular heartbeats repair what was
-lost and tell who is there.
+The instances of a data centre send each other heartbeats; a few of them, the
+gateways, also send heartbeats to other data centres. A change, such as a new
+configuration or a leaving upstream, is sent at once. Regular heartbeats make
+up for lost messages and show which instances are alive.
 
-The platform's list lags and may be empty, short or old. So what it shows is
-added to what is heard, and an instance that is heard is never dropped because
-the list no longer has it.
+The platform's list of instances lags and may be empty, incomplete or out of
+date. It only adds instances to those that are heard; an instance that is heard
+is never removed because it is missing from the list.
 """
 
 from collections.abc import Iterable
@@ -39,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskForConfiguration:
-    """Ask an instance for the document that it has applied."""
+    """Ask an instance for the configuration that it has applied."""
 
     address: fleet.PeerAddress
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IntroducePeers:
-    """Tell a newly heard instance which others there are."""
+    """Send an instance the addresses of other instances."""
 
     address: fleet.PeerAddress
     peers: tuple[fleet.PeerAddress, ...]
@@ -54,21 +54,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Disconnect:
-    """Nothing is sent to an address any more."""
+    """Close the connection to an address that gets no more messages."""
 
     address: fleet.PeerAddress
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EmitEvent:
-    """Pass an event to the other decisions of this instance."""
+    """Pass an event to the other decision modules of this instance."""
 
     event: events.Event
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explain:
-    """Put an automatic act on the time line."""
+    """Record an automatic action on the time line."""
 
     kind: str
     reason: str
@@ -87,9 +87,14 @@
 class Membership:
     """The other instances as known to this one.
 
-    Invariants: an instance heard within the last minute is kept, whatever
-    the list shows; the version of an incarnation never falls, and its
-    leaving is final.
+    ``peers`` and ``reported_peers`` are by incarnation, ``summaries`` by data
+    centre with the monotonic time of their arrival.
+    ``contacted_addresses`` are the recipients of the last round of heartbeats
+    and the addresses that were contacted since.
+
+    Invariants: an instance that was heard within the last minute is kept
+    whatever the list shows; the version of an incarnation never decreases; an
+    incarnation that is leaving never returns.
     """
 
     def __init__(
@@ -113,12 +118,10 @@
         self.reported_peers: tuple[tuple[str, str], ...] = ()
         self.contacted_addresses: set[fleet.PeerAddress] = set()
 
-    # -- what comes in ------------------------------------------------------
-
     def update_own_state(
         self, own: fleet.OwnState, now: float
     ) -> list[Action]:
-        """Take over this instance's own state; tell others if it changed."""
+        """Update this instance's own state and send it if it changed."""
         if own == self.own_state:
             return []
         for engine in own.leaving_upstreams - self.own_state.leaving_upstreams:
@@ -129,7 +132,7 @@
     def apply_instance_list(
         self, instances: Iterable[fleet.ListedInstance], now: float
     ) -> list[Action]:
-        """Take in the platform's list."""
+        """Apply the platform's list of instances."""
         for view in self.peers.values():
             view.listed = False
         for instance in instances:
@@ -139,7 +142,11 @@
     def apply_list_entry(
         self, instance: fleet.ListedInstance, now: float
     ) -> None:
-        """Take in one entry of the list, unless a newer start is known."""
+        """Apply an entry of the list.
+
+        An unknown incarnation is ignored while another one is heard at the
+        same address, as the list lags.
+        """
         peer = instance.peer
         if peer.address == self.own_id.address:
             return
@@ -155,7 +162,7 @@
     def handle_heartbeat(
         self, heartbeat: fleet.Heartbeat, now: float
     ) -> list[Action]:
-        """Take in a heartbeat."""
+        """Handle a heartbeat of another instance."""
         peer = heartbeat.sender
         if peer.incarnation == self.own_id.incarnation:
             return []
@@ -193,9 +200,9 @@
         ]
 
     def greet_peer(self, peer: fleet.PeerId, now: float) -> list[Action]:
-        """Tell a newly heard instance all that it may have missed.
+        """Send a newly heard instance all state that it may have missed.
 
-        That includes who else is in its own data centre.
+        That includes the addresses of the instances in its data centre.
         """
         others = tuple(
             view.peer.address
@@ -217,10 +224,10 @@
         return actions
 
     def announce_remote_peer(self, peer: fleet.PeerId) -> list[Action]:
-        """Tell this data centre of an instance of another one.
+        """Send the address of a remote instance to the local instances.
 
-        Without the platform's list, those who are to speak to the other data
-        centre may know of nobody there, and versions would not get across.
+        Without the platform's list the gateways to that data centre might
+        know no instance there, and new versions would not reach it.
         """
         return [
             IntroducePeers(view.peer.address, (peer.address,))
@@ -232,7 +239,7 @@
     def handle_introduction(
         self, addresses: Iterable[fleet.PeerAddress], now: float
     ) -> list[Action]:
-        """Make oneself known to instances that a peer has told of."""
+        """Send heartbeats to unknown instances that a peer has named."""
         known = {view.peer.address for view in self.peers.values()}
         return [
             SendHeartbeat(address, self.build_heartbeat(now, include_all=True))
@@ -241,7 +248,7 @@
         ]
 
     def store_summaries(self, heartbeat: fleet.Heartbeat, now: float) -> None:
-        """Remember what other data centres say of themselves."""
+        """Store the summaries of other data centres in a heartbeat."""
         for summary in heartbeat.summaries:
             if summary.data_centre != self.own_id.data_centre:
                 self.summaries[summary.data_centre] = (now, summary)
@@ -249,10 +256,11 @@
     def request_newer_configuration(
         self, view: fleet.PeerView, now: float
     ) -> list[Action]:
-        """Ask for a configuration that this instance has not applied yet.
+        """Request a configuration that this instance has not applied yet.
 
-        The same version is asked for again after a while only: until the
-        answer is here, every heartbeat would else ask for a large document.
+        The same version is requested again only after
+        ``CONFIGURATION_RETRY_SECONDS``. Otherwise each heartbeat would request
+        the large document until the answer arrives.
         """
         if view.version <= self.own_state.version:
             return []
@@ -267,23 +275,21 @@
         return [AskForConfiguration(view.peer.address)]
 
     def handle_own_pause(self, seconds: float, now: float) -> None:
-        """Forgive others the silence of a time in which nothing was read.
+        """Exclude a pause of this process from the silence of peers.
 
-        To a process that stood still all others seem to have fallen silent.
-        Counting them as gone would let it take their share of every limit.
+        After a pause all peers appear silent. If they were counted as gone,
+        this instance would use their share of every limit.
         """
         for view in self.peers.values():
             if view.heard_at is not None:
                 view.heard_at = min(now, view.heard_at + seconds)
 
     def mark_contacted(self, address: fleet.PeerAddress) -> None:
-        """Note that an answer goes to an address, to disconnect it later."""
+        """Record that an address gets an answer, to disconnect it later."""
         self.contacted_addresses.add(address)
 
-    # -- what goes out ------------------------------------------------------
-
     def tick(self, now: float) -> list[Action]:
-        """Send the regular heartbeats and forget who has gone for good."""
+        """Send the regular heartbeats and remove peers that have gone."""
         actions = self.send_heartbeats(now)
         for incarnation, view in list(self.peers.items()):
             if not view.listed and self.can_forget(view, now):
@@ -298,7 +304,10 @@
         return [*actions, *self.emit_size_changes(now)]
 
     def send_heartbeats(self, now: float) -> list[Action]:
-        """Send a heartbeat to all that should have one."""
+        """Send heartbeats to local peers and, as a gateway, to remote ones.
+
+        Addresses that get no more messages are disconnected.
+        """
         heartbeat = self.build_heartbeat(now)
         local = self.local_addresses()
         remote = self.remote_addresses(now)
@@ -321,7 +330,11 @@
     def build_heartbeat(
         self, now: float, include_all: bool = False
     ) -> fleet.Heartbeat:
-        """Return a heartbeat; a ``whole`` one leaves no notice out."""
+        """Return a heartbeat of this instance.
+
+        With ``include_all`` it has the notices of all leaving upstreams and
+        all crash reports, otherwise only recent ones.
+        """
         notices = self.own_state.leaving_upstreams
         if not include_all:
             notices = frozenset(self.leaving_noticed_at) & notices
@@ -345,7 +358,10 @@
         )
 
     def local_addresses(self) -> set[fleet.PeerAddress]:
-        """Return the addresses within this data centre."""
+        """Return the addresses in this data centre, including seeds.
+
+        Seeds that are known to be in another data centre are left out.
+        """
         known = {
             view.peer.address
             for view in self.peers.values()
@@ -355,11 +371,11 @@
         return known | (self.seeds - remote)
 
     def remote_addresses(self, now: float) -> set[fleet.PeerAddress]:
-        """Return the addresses elsewhere that this instance relays to.
+        """Return the addresses in other data centres to send heartbeats to.
 
-        Two instances of a data centre speak to two of each other one; each
-        time those that were heard last are preferred, as the list may show
-        some that are gone.
+        ``GATEWAYS_PER_DATA_CENTRE`` instances of a data centre send to as many
+        instances of each other data centre. Instances that are heard are
+        preferred, as the list may show some that are gone.
         """
         chosen: set[fleet.PeerAddress] = set()
         for data_centre in self.other_data_centres():
@@ -373,17 +389,18 @@
         return chosen
 
     def other_data_centres(self) -> list[str]:
-        """Return the names of all other data centres that are known."""
+        """Return the names of the other known data centres, sorted."""
         names = {view.peer.data_centre for view in self.peers.values()}
         return sorted(names - {self.own_id.data_centre})
 
     def remote_candidates(
         self, data_centre: str, now: float
     ) -> dict[str, fleet.PeerView]:
-        """Return views of another data centre by incarnation.
+        """Return the instances of a data centre that may be contacted.
 
-        Of those never heard, which may be gone, a new two are tried each
-        interval until some answer.
+        The result is by incarnation. While too few are heard, it includes
+        ``GATEWAYS_PER_DATA_CENTRE`` of the others, which may be gone; another
+        selection is tried in each heartbeat interval.
         """
         views = {
             incarnation: view
@@ -402,11 +419,11 @@
         return {i: views[i] for i in {*live, *tried}}
 
     def is_gateway_to(self, data_centre: str, now: float) -> bool:
-        """Return whether this instance speaks to another data centre."""
+        """Return whether this instance sends to another data centre."""
         return self.is_gateway(f'{self.own_id.data_centre}>{data_centre}', now)
 
     def has_live_peer_in(self, data_centre: str, now: float) -> bool:
-        """Return whether this instance passes on what it was told there."""
+        """Return whether an instance of a data centre was heard recently."""
         return any(
             self.is_recently_heard(view, now)
             for view in self.peers.values()
@@ -414,7 +431,7 @@
         )
 
     def is_gateway(self, key: str, now: float) -> bool:
-        """Return whether this instance is one of the few for a task."""
+        """Return whether this instance is one of the gateways for a key."""
         incarnations = {
             incarnation
             for incarnation, view in self.peers.items()
@@ -427,23 +444,21 @@
             key, incarnations, GATEWAYS_PER_DATA_CENTRE
         )
 
-    # -- what is known ------------------------------------------------------
-
     @property
     def silent_after_seconds(self) -> float:
-        """The silence after which an instance is not counted as live."""
+        """The silence after which an instance is no longer live."""
         return self.interval_seconds * SILENT_AFTER_INTERVALS
 
     def silence_seconds(self, view: fleet.PeerView, now: float) -> float:
-        """Return for how many seconds nothing has been heard of it."""
+        """Return for how many seconds an instance has not been heard."""
         since = view.known_at if view.heard_at is None else view.heard_at
         return now - since
 
     def can_forget(self, view: fleet.PeerView, now: float) -> bool:
-        """Return whether an instance that is not listed can be forgotten.
+        """Return whether an instance that is not listed can be removed.
 
-        Those elsewhere are kept for long. Few instances hear of them, and
-        when these few die the others have to know whom to speak to.
+        Instances of other data centres are kept longer. Only the gateways
+        hear them, and when these die the others need the addresses.
         """
         local = view.peer.data_centre == self.own_id.data_centre
         forget_after_seconds = (
@@ -452,15 +467,15 @@
         return self.silence_seconds(view, now) > forget_after_seconds
 
     def is_recently_heard(self, view: fleet.PeerView, now: float) -> bool:
-        """Return whether an instance was heard of lately."""
+        """Return whether an instance was heard recently."""
         if view.heard_at is None:
             return False
         return self.silence_seconds(view, now) < self.silent_after_seconds
 
     def has_live_peer_at(self, address: fleet.PeerAddress, now: float) -> bool:
-        """Return whether some instance is heard at an address.
+        """Return whether an instance was heard recently at an address.
 
-        The list lags: what it shows there is then an older start.
+        A listed instance of that address is then an older incarnation.
         """
         return any(
             self.is_recently_heard(view, now)
@@ -469,13 +484,13 @@
         )
 
     def forget_address(self, address: fleet.PeerAddress) -> None:
-        """Forget what was at an address before."""
+        """Remove the instances that were known at an address."""
         for incarnation, view in list(self.peers.items()):
             if view.peer.address == address:
                 del self.peers[incarnation]
 
     def standing_of(self, view: fleet.PeerView, now: float) -> fleet.Standing:
-        """Return what an instance can be counted on for."""
+        """Return the standing of another instance."""
         if view.leaving:
             return fleet.Standing.LEAVING
         if self.is_recently_heard(view, now):
@@ -485,10 +500,11 @@
         return fleet.Standing.SILENT
 
     def counts_as_serving(self, view: fleet.PeerView, now: float) -> bool:
-        """Return whether an instance may be serving.
+        """Return whether an instance counts as serving.
 
-        One that is listed counts for a minute though it is not heard: counted
-        out too early, its share of a limit would be given out twice.
+        A listed instance counts for ``FORGET_AFTER_SECONDS`` without being
+        heard. If it stopped counting too early, its share of a limit would be
+        used twice.
         """
         if view.leaving:
             return False
@@ -500,7 +516,7 @@
         )
 
     def count_live_instances(self, now: float) -> int:
-        """Return how many instances of this data centre may be serving."""
+        """Return how many local instances count as serving, with this one."""
         return 1 + sum(
             self.counts_as_serving(view, now)
             for view in self.peers.values()
@@ -508,7 +524,7 @@
         )
 
     def emit_size_changes(self, now: float) -> list[Action]:
-        """Report the size of the fleet here if it has changed."""
+        """Emit events if the serving instances or their number changed."""
         actions: list[Action] = []
         peers = self.serving_peers(now)
         if peers != self.reported_peers:
@@ -521,7 +537,7 @@
         return actions
 
     def serving_peers(self, now: float) -> tuple[tuple[str, str], ...]:
-        """Return who else may be serving, here and elsewhere."""
+        """Return incarnation and data centre of other serving instances."""
         return tuple(
             sorted(
                 (incarnation, view.peer.data_centre)
@@ -531,12 +547,12 @@
         )
 
     def address_of(self, incarnation: str) -> fleet.PeerAddress | None:
-        """Return where an instance is, if it is known."""
+        """Return the address of an instance, or None if it is unknown."""
         view = self.peers.get(incarnation)
         return view.peer.address if view is not None else None
 
     def live_incarnations(self, now: float) -> set[str]:
-        """Return who is live in this data centre, this instance included."""
+        """Return the live incarnations of this data centre, with this one."""
         found = {
             incarnation
             for incarnation, view in self.peers.items()
@@ -546,7 +562,7 @@
         return found | {self.own_id.incarnation}
 
     def build_summary(self, now: float) -> fleet.DataCentreSummary:
-        """Return what this data centre says of its instances."""
+        """Return the summary of this data centre for other ones."""
         views = [
             view
             for view in self.peers.values()
@@ -566,5 +582,5 @@
         )
 
     def latest_summaries(self) -> list[fleet.DataCentreSummary]:
-        """Return the last word of each other data centre."""
+        """Return the latest summary of each other data centre."""
         return [summary for _, summary in self.summaries.values()]
--- a/src/greengagelb/coordination/fleet/pool_candidates.py
+++ b/src/greengagelb/coordination/fleet/pool_candidates.py
@@ -1,7 +1,7 @@
-"""The upstreams of a pool, prepared for choices that look at few of them.
+"""Upstreams of a pool, prepared for choosing without a full scan.
 
-A choice that looked at each of 126 engines took 0.4 ms, and 0.9 ms with a
-prefix; these are made for each request and each place that comes free.
+A scan of 126 engines took 0.4 ms per choice, and 0.9 ms with a prefix. An
+upstream is chosen for each request and for each slot that becomes free.
 """
 
 import dataclasses
@@ -14,29 +14,35 @@
 
 
 def prefix_digest(prefix: str) -> str:
-    """Return the name under which a prefix is kept; 16 hex digits."""
+    """Return the identifier of a prompt prefix: 16 hex digits."""
     return hashlib.blake2b(prefix.encode(), digest_size=8).hexdigest()
 
 
 def name_hash(name: str) -> int:
-    """Return a number that stands for an upstream's name; 64 bits."""
+    """Return a 64-bit hash of an upstream's name."""
     raw = hashlib.blake2b(name.encode(), digest_size=8).digest()
     return int.from_bytes(raw, 'big')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolCandidates:
-    """A pool's upstreams near this instance, or all where none is near."""
+    """The upstreams of a pool in one data centre, or all if it has none.
+
+    ``names`` and ``name_hashes`` have the same order; ``upstreams`` are all
+    upstreams of the pool and identify the configuration this was built from.
+    """
 
     upstreams: tuple[configuration_state.Upstream, ...]
     names: tuple[str, ...]
     name_hashes: tuple[int, ...]
 
     def preferred_upstream(self, digest: str) -> str:
-        """Return the upstream that all instances send a prefix to.
+        """Return the upstream to which a prefix is routed by default.
 
-        It is the highest in a rendezvous hash, so that an upstream that
-        comes or goes moves only its own share of the prefixes.
+        Instances with the same candidates return the same name. Rendezvous
+        hashing is used so that adding or removing an upstream moves only
+        that upstream's share of the prefixes. ``digest`` is the result of
+        :func:`prefix_digest`.
         """
         prefix_hash = int(digest, 16)
         ranks = [
@@ -50,7 +56,7 @@
 def local_candidates(
     pool: configuration_state.Pool, data_centre: str
 ) -> PoolCandidates:
-    """Return a pool's upstreams of a data centre, or all if it has none."""
+    """Return the candidates of a pool for an instance in a data centre."""
     local = [u.name for u in pool.upstreams if u.data_centre == data_centre]
     names = local or [u.name for u in pool.upstreams]
     return PoolCandidates(
--- a/src/greengagelb/coordination/fleet/probe_assignment.py
+++ b/src/greengagelb/coordination/fleet/probe_assignment.py
@@ -1,10 +1,11 @@
-"""Which upstreams this instance asks for reports.
+"""Selects the upstreams that this instance probes for reports.
 
-Were each instance to ask every engine each second, that alone would cost
-several times what an instance may spend on control. So each engine is watched
-by a few instances of the data centre, chosen by rendezvous hash; these pass
-its load on in their heartbeats. An instance asks by itself only those engines
-that gave it cause: it suspects them, or they were leaving and may be back.
+If each instance probed every engine each second, the probes alone would cost
+several times the budget of an instance for control work. Each engine is
+therefore probed by a few instances of the data centre, selected by rendezvous
+hashing, which share its load in their heartbeats. An instance also probes
+engines that are not assigned to it while it suspects them or while they are
+leaving, as they may have recovered.
 """
 
 from collections.abc import Mapping
@@ -19,11 +20,12 @@
 
 
 class ProbeAssignment:
-    """The part of the watching that falls to one instance.
+    """The upstreams that one instance has to probe.
 
-    Invariant: ``watched`` are the upstreams that fall to this instance out of
-    ``names`` while ``instances`` share the work. It is worked out again only
-    when one of these changes: at the design size that takes 40,000 hashes.
+    Invariant: ``assigned`` are those of ``upstream_names`` that are assigned
+    to this instance when ``instances`` share the work. They are recomputed
+    only when one of these sets changes, which takes 40,000 hashes at the
+    design size.
     """
 
     def __init__(self, incarnation: str, data_centre: str) -> None:
@@ -40,16 +42,16 @@
         instances: set[str],
         now: float,
     ) -> list[configuration_state.Upstream]:
-        """Return the upstreams to ask in this turn, once a second.
+        """Return the upstreams to probe in this turn; called once a second.
 
-        ``instances`` are those of this data centre, this one included.
-        Upstreams of other data centres, which get little work from here, are
-        asked every few turns only.
+        ``instances`` are the incarnations of this data centre, including this
+        one. Assigned upstreams of other data centres get little work from
+        here and are probed only once in ``TURNS_PER_REMOTE_PROBE`` turns.
 
-        Of those that are not watched here at most ``MOST_PROBES`` are asked:
-        when a whole data centre of engines is lost, all of them are suspected
-        at once, and asking them all each second would cost the time that the
-        callers' streams need.
+        At most ``MAX_UNASSIGNED_PROBES`` unassigned upstreams are probed per
+        turn. When all engines of a data centre are lost, they are suspected
+        at the same time, and probing all of them each second would take
+        processor time from the streams of callers.
         """
         self.update_assignment(frozenset(views), frozenset(instances))
         probes_remote = self.turn % TURNS_PER_REMOTE_PROBE == 0
@@ -70,7 +72,7 @@
     def update_assignment(
         self, upstream_names: frozenset[str], instances: frozenset[str]
     ) -> None:
-        """Work out what falls to this instance, if anything has changed."""
+        """Recompute the assigned upstreams if one of the sets has changed."""
         if (upstream_names, instances) == (
             self.upstream_names,
             self.instances,
--- a/src/greengagelb/coordination/fleet/rendezvous.py
+++ b/src/greengagelb/coordination/fleet/rendezvous.py
@@ -1,8 +1,8 @@
-"""Rendezvous hashing: all instances pick the same few without a message.
+"""Rendezvous hashing: instances agree on a choice without messages.
 
-When one of the names goes, only what was its own moves; the others keep
-theirs. Instances that know different sets of names pick differently, so
-nothing that must not happen twice may rest on it alone.
+Removing a name reassigns only the keys of that name. Instances that know
+different sets of names choose differently, so an action that must not happen
+twice needs another safeguard as well.
 """
 
 from collections.abc import Iterable
@@ -14,12 +14,12 @@
 def highest_scoring(
     key: str, names: Iterable[str], count: int = 1
 ) -> list[str]:
-    """Return the ``count`` names that score highest for a key."""
+    """Return the ``count`` names with the highest scores for a key."""
     ranked = sorted(names, key=lambda name: score(key, name), reverse=True)
     return ranked[:count]
 
 
 def score(key: str, name: str) -> bytes:
-    """Return how strongly a name is bound to a key."""
+    """Return the score of a name for a key; scores compare as bytes."""
     text = f'{key}\0{name}'.encode()
     return hashlib.blake2b(text, digest_size=SCORE_BYTES).digest()
--- a/src/greengagelb/coordination/fleet/routing.py
+++ b/src/greengagelb/coordination/fleet/routing.py
@@ -1,11 +1,11 @@
-"""Choice of an upstream for a new attempt.
-
-Load reports lag, so what this instance itself has in flight is counted in
-full and the report is trusted less the older it is. Of two upstreams picked
-at random the better one is taken: always taking the least loaded would send
-every instance to the same upstream until the next report. Requests that share
-a prefix go where it is likely to be cached, as long as that is not much
-busier than the others.
+"""Chooses an upstream for a new attempt.
+
+Load reports lag. Requests that this instance has in flight are therefore
+counted in full, while a report is weighted less the older it is. The better
+of two random upstreams is chosen, because with the least loaded one all
+instances would send to the same upstream until the next report. Requests with
+the same prefix are routed to an upstream that probably has it in its cache,
+unless that upstream is much busier than the others.
 """
 
 import dataclasses
@@ -30,9 +30,10 @@
 
 @dataclasses.dataclass(slots=True)
 class FullPool:
-    """A pool without room for a class, and what has changed since.
+    """A pool that was found to have no room for requests of a priority.
 
-    ``until`` is the monotonic time at which all are looked at again.
+    Until the monotonic time ``recheck_at`` only ``changed_upstreams``, those
+    that may have gained room since, are considered.
     """
 
     recheck_at: float
@@ -60,24 +61,22 @@
     def apply_configuration(
         self, configuration: configuration_state.Configuration
     ) -> None:
-        """Adopt the upstreams of a configuration, keeping what is known."""
+        """Apply the upstreams of a configuration and keep known state."""
         super().apply_configuration(configuration)
         self.candidates_by_pool.clear()
         self.full_pools.clear()
 
     def set_live_instances(self, live_instances: int) -> None:
-        """Share the upstreams' places with that many instances."""
+        """Set how many instances share the slots of the upstreams."""
         super().set_live_instances(live_instances)
         self.full_pools.clear()
 
     def mark_possible_room(self, name: str) -> None:
-        """Note that an upstream may have room that it had not before."""
+        """Record that an upstream may have gained room."""
         super().mark_possible_room(name)
         for full_pool in self.full_pools.values():
             full_pool.changed_upstreams.add(name)
 
-    # -- choice -------------------------------------------------------------
-
     def choose_upstream(
         self,
         pool: configuration_state.Pool,
@@ -86,10 +85,10 @@
         priority: configuration_state.Priority = RESUME,
         prefix: str = '',
     ) -> upstream_state.UpstreamView | None:
-        """Return a view with room for one more request, or None.
+        """Return an upstream with room for one more request, or None.
 
-        Upstreams of other data centres get only what finds no room here: a
-        partition would break the streams on them.
+        Upstreams of other data centres are used only when the local ones
+        have no room, because a network partition would break their streams.
         """
         candidates = self.find_candidates(pool, excluded, now, priority)
         if not candidates:
@@ -115,12 +114,13 @@
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some views with room, looking at few of them.
+        """Return some upstreams with room, checking as few as possible.
 
-        Where a pool was found full, only the upstreams that have changed
-        since are looked at for a moment: under overload a full look at each
-        event would take more of the processor than all else. Room that comes
-        with time alone, when a suspicion ends, is found after that moment.
+        For ``FULL_POOL_RECHECK_SECONDS`` after a pool was found full, only
+        upstreams that have changed since are checked. Under overload, a full
+        scan at each event would take more processor time than all other work.
+        Room that arises without an event, such as when a suspicion ends, is
+        found after that time.
         """
         key = (pool.name, pool.version, priority)
         full_pool = self.full_pools.get(key)
@@ -155,7 +155,7 @@
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some near views with room out of a few random ones."""
+        """Return upstreams with room from a random sample of candidates."""
         names = self.candidates_of(pool).names
         found: list[upstream_state.UpstreamView] = []
         for name in self.rng.sample(
@@ -177,7 +177,7 @@
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some views with room out of all, the near ones first."""
+        """Return upstreams with room after a full scan, local ones if any."""
         views = self.usable_views(pool, excluded, now)
         usable = [
             view for view in views if self.has_room(view, pool, priority, now)
@@ -195,7 +195,7 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether a trusted upstream has room for a class."""
+        """Return whether an upstream is not suspected and has room."""
         return (
             now >= view.suspected_until
             and not (
@@ -208,7 +208,7 @@
     def candidates_of(
         self, pool: configuration_state.Pool
     ) -> pool_candidates.PoolCandidates:
-        """Return a pool's members, prepared once per configuration."""
+        """Return the candidates of a pool, computed once per configuration."""
         key = (pool.name, pool.version)
         prepared = self.candidates_by_pool.get(key)
         if prepared is None or prepared.upstreams is not pool.upstreams:
@@ -224,10 +224,12 @@
         now: float,
         priority: configuration_state.Priority,
     ) -> upstream_state.UpstreamView | None:
-        """Return the upstream that is likely to hold a prefix, if not busy.
+        """Return an upstream that probably has a prefix cached, or None.
 
-        Without the bound the upstream of a popular prefix would be swamped
-        while the others idle.
+        It is used only while its expected delay is at most
+        ``AFFINITY_LOAD_FACTOR`` times the mean of ``candidates``. Without
+        this bound the upstream of a popular prefix would be overloaded while
+        others are idle.
         """
         key = pool_candidates.prefix_digest(prefix)
         delays = [self.relative_delay(view, now) for view in candidates]
@@ -247,11 +249,11 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> configuration_state.Pool:
-        """Return the pool with the model version that new work should have.
+        """Return the pool with the model version to use for new work.
 
-        While a change of version is under way, engines that still have the
-        former one serve what the others have no room for: a change would
-        else take the whole pool out at once.
+        During a change of version, engines that still run the former version
+        get the requests for which the others have no room. Otherwise a change
+        would take the whole pool out of service at once.
         """
         if pool.former is None:
             return pool
@@ -268,10 +270,11 @@
         excluded: set[str],
         now: float,
     ) -> list[upstream_state.UpstreamView]:
-        """Return the views of a pool that may get new work.
+        """Return the upstreams of a pool that may get new work.
 
-        Where all are suspected, those that have reported since are used: it
-        may be this instance's own connections that failed.
+        If all are suspected, those that have reported since they were
+        suspected are returned, as the fault may lie in the connections of
+        this instance.
         """
         views = [
             view
@@ -293,12 +296,13 @@
     ) -> bool:
         """Return whether an upstream may get new work of a pool.
 
-        An upstream that has never reported is usable: a new instance must
-        serve before the first reports are in. One that reports another
-        version is not, or two versions would end up in one answer. Where the
-        report is old the engine itself decides: it refuses a version that it
-        does not have, while a pool moved to a new version would else stay
-        empty for all who do not watch its engines.
+        An upstream that has never reported is usable, because a new instance
+        must serve before it has the first reports. One that reports another
+        version is not, because an answer must not mix two versions. An old
+        report is ignored and the engine itself decides, as it refuses a
+        version that it does not have. Otherwise a pool that was changed to a
+        new version would have no usable engine for instances that do not
+        probe its engines.
         """
         if view.leaving or view.upstream.draining:
             return False
@@ -320,11 +324,11 @@
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
     ) -> bool:
-        """Return whether an old report still tells what an engine has.
+        """Return whether an old report still shows the version of an engine.
 
-        While a pool's version changes, each engine is asked again when it is
-        no longer held. Trusting no old report then would send all new work
-        to the new version, and most engines would refuse it.
+        During a change of a pool's version, each engine is probed again when
+        its hold ends. If old reports were ignored then, all new work would
+        request the new version, and most engines would refuse it.
         """
         if pool.former is None:
             return False
@@ -337,7 +341,10 @@
     def upstreams_if_all_limited(
         self, pool: configuration_state.Pool, now: float
     ) -> list[str]:
-        """Return a pool's usable upstreams, if all of them have limits."""
+        """Return the names of a pool's usable upstreams if all have limits.
+
+        The list is empty if one of them has no limit.
+        """
         if not self.limits.limited_lives:
             return []
         names = [
@@ -350,7 +357,7 @@
     def can_ever_serve(
         self, pool: configuration_state.Pool, now: float
     ) -> bool:
-        """Return whether waiting may bring an upstream with room."""
+        """Return whether an upstream of the pool may have room later."""
         views = (self.views.get(upstream.name) for upstream in pool.upstreams)
         return any(
             view and self.may_get_work(view, pool, now) for view in views
@@ -363,7 +370,10 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether an upstream takes one more request of a class."""
+        """Return whether a slot is free and the request limit permits it.
+
+        If only a permit is missing, one is requested.
+        """
         if not self.has_free_slot(view, pool, priority, now):
             return False
         return self.limits.has_or_requests_permit(view.upstream.name, now)
@@ -375,11 +385,12 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether one more request of a class fits an upstream.
+        """Return whether an upstream has a free slot for a priority.
 
-        What an engine can't run yet it queues, and a stream that waits there
-        looks like one that has stalled. So no instance gives an engine more
-        between two reports than its part of the places that were free.
+        An engine queues requests that it can't run yet, and a stream in that
+        queue can't be told from a stalled one. Between two reports an instance
+        therefore sends an engine at most its share of the slots that were
+        free.
         """
         slots = self.available_slots(view, pool, priority, now)
         if now - view.reported_at >= upstream_views.REPORT_TRUST_SECONDS:
@@ -400,11 +411,12 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> int:
-        """Return how many requests an upstream may have for one class.
+        """Return how many requests of a priority an upstream may run.
 
-        Long work leaves some places to short calls, so that these never
-        wait for it. An upstream that has just come back has empty caches and
-        may fail again, so that it is filled up over some seconds.
+        One in ``SLOTS_PER_RESERVED_SLOT`` slots is reserved for short calls,
+        so that they don't wait for long work. An upstream that has just
+        returned has empty caches and may fail again, so its slots become
+        available gradually over ``RAMP_UP_SECONDS``.
         """
         slots = pool.slots_per_upstream
         if pool.name in self.mixed_pools and priority is not SHORT:
@@ -423,7 +435,11 @@
     def estimated_load(
         self, view: upstream_state.UpstreamView, now: float
     ) -> float:
-        """Return the load of an upstream in requests, aged by its lag."""
+        """Return the load of an upstream in requests.
+
+        The reported load of other instances is weighted by the age of the
+        report.
+        """
         age = now - view.reported_at
         trust = max(0.0, 1.0 - age / upstream_views.REPORT_TRUST_SECONDS)
         reported = view.reported_running + view.reported_queued
@@ -433,16 +449,16 @@
     def relative_delay(
         self, view: upstream_state.UpstreamView, now: float
     ) -> float:
-        """Return how long an upstream takes, relative to others.
+        """Return the expected delay at an upstream, to compare with others.
 
-        A slow engine counts as a busy one. An engine whose step is unknown
-        counts by its load alone.
+        It is the load times the step time, so that a slow engine ranks like a
+        busy one. An engine of unknown step time is ranked by its load alone.
         """
         step_seconds = view.step_seconds or self.typical_step_seconds()
         return (self.estimated_load(view, now) + 1.0) * step_seconds
 
     def typical_step_seconds(self) -> float:
-        """Return a step that upstreams have which report one, or 1."""
+        """Return the step time of any upstream that reports one, or 1."""
         for view in self.views.values():
             if view.step_seconds:
                 return view.step_seconds
@@ -453,7 +469,7 @@
     pool: configuration_state.Pool,
     model_version: configuration_state.ModelVersion,
 ) -> configuration_state.Pool:
-    """Return the pool with another model version to serve."""
+    """Return a copy of the pool that serves another model version."""
     return dataclasses.replace(
         pool,
         model=model_version.model,
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -1,9 +1,9 @@
-"""The limits of upstreams, by the product's own interface.
+"""Request limits that upstreams announce, and the permits for them.
 
-A request is begun only where a permit is in stock. Where one would begin but
-for that, a permit is asked for; what comes and is not used goes back. The
-instances of an upstream's data centre share its limit, and those of others ask
-them.
+A request is sent to a limited upstream only if this instance has a permit for
+it. If only the permit is missing, one is requested; a permit that isn't used
+in time is returned. The instances of an upstream's data centre share its
+limit, and those of other data centres request permits from them.
 """
 
 import collections
@@ -18,14 +18,13 @@
 from greengagelb.state import limits
 
 LIMITS_TIMER = 'limits'
-# How long a permit is waited for at most, how long one is kept that is not
-# used yet, and how long for a request that is being claimed. In seconds.
 MAX_PERMIT_WAIT_SECONDS = 60.0
 UNUSED_PERMIT_SECONDS = 0.25
+# For permits of requests that are being claimed.
 RESERVED_PERMIT_SECONDS = 2.0
-# How long what has lost its upstream waits for a permit, in seconds.
+# For requests that have lost their upstream.
 RETRY_PERMIT_WAIT_SECONDS = 1.0
-# Permits of the last so many seconds tell how many come in.
+# The rate of granted permits is measured over this time.
 GRANT_WINDOW_SECONDS = 5.0
 
 
@@ -40,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit:
-    """A permit that this instance has, until a monotonic time."""
+    """A permit of this instance; ``expires_at`` is a monotonic time."""
 
     life: str
     granted: limit_keeper.Granted
@@ -49,9 +48,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitRequester:
-    """For whom an upstream is looked for, and until when it can wait.
+    """The request for which a permit is needed.
 
-    An ``urgent`` request goes on with what was begun.
+    ``deadline`` is the monotonic time until which it can wait. An ``urgent``
+    request continues one that has already begun.
     """
 
     account: str = ''
@@ -63,13 +63,17 @@
 
 
 class UpstreamLimits:
-    """Which upstreams have named a limit, and the permits for them.
-
-    ``lives`` are those of which a limit is known, by the upstream's name.
-    ``places`` are the data centres of upstreams and ``peers`` those of the
-    other instances. ``news`` names upstreams that may have a permit by now, or
-    no limit any more. ``denied_at`` is when a permit was last denied.
-    Invariant: an upstream is in ``asking`` while a permit of it is asked for.
+    """The limits of upstreams and this instance's permits for them.
+
+    A life is one incarnation of an upstream, as ``'name incarnation'``.
+    ``limited_lives`` has the lives with a known limit by upstream name.
+    ``upstream_data_centres`` and ``peer_data_centres`` have the data centres
+    by upstream name and by incarnation of another instance.
+    ``changed_upstreams`` names upstreams that may have gained a permit or lost
+    their limit. ``denied_at`` and ``granted_at`` are the monotonic times of
+    the last denial and of recent grants.
+    Invariant: an upstream is in ``pending_requests`` while a permit request
+    for it is unanswered.
     """
 
     def __init__(self, incarnation: str = '', data_centre: str = '') -> None:
@@ -89,21 +93,19 @@
         self.changed_upstreams: set[str] = set()
         self.timer_at = float('inf')
 
-    # -- what is known ------------------------------------------------------
-
     def rate(self, name: str) -> float | None:
-        """Return the limit in force of an upstream, or None without one."""
+        """Return the limit of an upstream in requests a second, or None."""
         life = self.limited_lives.get(name)
         return None if life is None else self.keeper.book.rate(life)
 
     def data_centre_of(self, life: str) -> str:
-        """Return the data centre of an upstream."""
+        """Return the data centre of the upstream of a life."""
         return self.upstream_data_centres.get(
             upstream_of_life(life), self.data_centre
         )
 
     def local_peers_of(self, life: str) -> Collection[str]:
-        """Return the other instances of an upstream's data centre."""
+        """Return the other instances in the data centre of an upstream."""
         data_centre = self.data_centre_of(life)
         return [
             name
@@ -112,11 +114,11 @@
         ]
 
     def shares_limit(self, life: str) -> bool:
-        """Return whether this instance has a part of an upstream's limit."""
+        """Return whether this instance has a share of an upstream's limit."""
         return self.data_centre_of(life) == self.data_centre
 
     def update_peers(self, peers: dict[str, str], now: float) -> None:
-        """Take in which other instances there are, and where."""
+        """Update the other instances; ``peers`` has their data centres."""
         departed = self.peer_data_centres.keys() - peers.keys()
         joined = peers.keys() - self.peer_data_centres.keys()
         self.peer_data_centres = peers
@@ -135,7 +137,11 @@
     def handle_answer(
         self, answer: UpstreamAnswer, known: str, now: float
     ) -> list[actions.Action]:
-        """Take in an answer of an upstream; ``known`` is its incarnation."""
+        """Apply the limit that an upstream's answer announces.
+
+        ``known`` is the upstream's known incarnation, which is used if the
+        answer has none.
+        """
         name, said = answer.upstream, answer.said
         incarnation = said.incarnation or known
         self.reset_for_incarnation(name, incarnation)
@@ -154,7 +160,7 @@
     def apply_limit(
         self, news: limits.LimitNews, source: str = ''
     ) -> list[actions.Action]:
-        """Go by a limit that has changed."""
+        """Apply a changed limit; ``source`` is the peer that reported it."""
         name = upstream_of_life(news.life)
         self.limited_lives[name] = news.life
         self.changed_upstreams.add(name)
@@ -164,7 +170,7 @@
         return [actions.Record('engine-limit', reason, upstream=name)]
 
     def reset_for_incarnation(self, name: str, incarnation: str) -> None:
-        """Forget the limit of a life that is over."""
+        """Discard the limit of a former incarnation of an upstream."""
         life = self.limited_lives.get(name)
         if life is not None and life != f'{name} {incarnation}':
             del self.limited_lives[name]
@@ -175,9 +181,10 @@
     def handle_peer_message(
         self, sender: str, message: limits.Message, known: str, now: float
     ) -> list[actions.Action]:
-        """Take in what another instance says.
+        """Handle a message about limits from another instance.
 
-        ``known`` is the incarnation that the upstream has here, if any.
+        ``known`` is the upstream's incarnation as known to this instance;
+        news about another incarnation is ignored. It is empty if unknown.
         """
         match message:
             case limits.LimitNews(life):
@@ -189,20 +196,21 @@
         self.keeper.hear(sender, message, now)
         return []
 
-    # -- permits ------------------------------------------------------------
-
     def set_retry_requester(
         self, account: str, now: float, *, urgent: bool = False
     ) -> None:
-        """Ask from now on for a request that has had an upstream before."""
+        """Request permits for a request that has had an upstream before.
+
+        It waits at most ``RETRY_PERMIT_WAIT_SECONDS``.
+        """
         self.requester = PermitRequester(
             account, now + RETRY_PERMIT_WAIT_SECONDS, urgent
         )
 
     def has_or_requests_permit(self, name: str, now: float) -> bool:
-        """Return whether an upstream may get a request now.
+        """Return whether the limit of an upstream permits a request now.
 
-        If it may not for want of a permit, one is asked for.
+        If a permit is missing, one is requested for the current requester.
         """
         if self.rate(name) is None:
             return True
@@ -227,7 +235,10 @@
         return False
 
     def spend_permit(self, name: str, now: float) -> None:
-        """Count a request that is sent to an upstream."""
+        """Use up a permit for a request that is sent to an upstream.
+
+        Without a permit the request is counted against the limit directly.
+        """
         if self.rate(name) is None:
             return
         found = self.unused_permits.get(name)
@@ -237,7 +248,7 @@
             self.keeper.spend(self.limited_lives[name], 1, now)
 
     def reserve_permit(self, name: str, exchange: int, now: float) -> None:
-        """Keep a permit for a request that is being claimed."""
+        """Reserve a permit for a request that is being claimed."""
         found = self.unused_permits.get(name)
         if found:
             permit = found.pop(0)
@@ -246,9 +257,10 @@
             self.reserved_permits[exchange] = (name, kept)
 
     def unreserve_permit(self, exchange: int) -> str:
-        """Have a permit in stock that was kept for a request.
+        """Make the reserved permit of a request available again.
 
-        Returns the upstream that it is for, empty if there is none.
+        Returns the upstream of the permit, or an empty string if there is
+        none.
         """
         name, permit = self.reserved_permits.pop(exchange, ('', None))
         if permit is not None:
@@ -256,9 +268,10 @@
         return name
 
     def available_rate(self, name: str, now: float) -> float:
-        """Return the permits of an upstream that may be had here a second.
+        """Return the permits a second that this instance can expect.
 
-        All of them, unless some were denied lately.
+        That is the whole limit unless a permit was denied within
+        ``GRANT_WINDOW_SECONDS``.
         """
         rate = self.rate(name) or 0.0
         if (
@@ -282,10 +295,10 @@
         requests_ahead: float,
         now: float,
     ) -> float:
-        """Return how long a request waits for any of some upstreams.
+        """Return how many seconds a request waits for one of the upstreams.
 
-        All of them have limits; ``ahead`` is how many requests of this
-        instance go before it.
+        All of them must have limits. ``requests_ahead`` is the number of
+        requests of this instance that are served before it.
         """
         available_rate = sum(self.available_rate(name, now) for name in names)
         wait = (
@@ -301,12 +314,10 @@
             return wait
         return wait + min(at for at in retry_times if at is not None) - now
 
-    # -- after each event ---------------------------------------------------
-
     def process_permit_outcomes(self, now: float) -> set[str]:
-        """Take in what has come of what was asked for.
+        """Process the answers to permit requests.
 
-        Returns the upstreams that may take a request now.
+        Returns the names of upstreams that may accept a request now.
         """
         outcomes, self.keeper.outcomes = self.keeper.outcomes, []
         numbers = {
@@ -329,7 +340,7 @@
     def store_permit(
         self, name: str, granted: limit_keeper.Granted, now: float
     ) -> None:
-        """Keep a permit until it is used."""
+        """Keep a granted permit for at most ``UNUSED_PERMIT_SECONDS``."""
         life = self.limited_lives.get(name)
         if life is None or not granted.issuer:
             return
@@ -341,7 +352,7 @@
             granted_at.popleft()
 
     def return_permits(self, wanted: bool, now: float) -> None:
-        """Return the permits that are too old, and all if none are wanted."""
+        """Return expired permits, and all unused ones unless ``wanted``."""
         for name, found in list(self.unused_permits.items()):
             for permit in found:
                 if now >= permit.expires_at or not wanted:
@@ -356,7 +367,7 @@
                 self.keeper.give_back(permit.life, permit.granted, now)
 
     def pending_actions(self, now: float) -> list[actions.Action]:
-        """Return what is to be told to others, and when to look again."""
+        """Return the messages to send and the timer to set, if it changed."""
         due_actions: list[actions.Action] = [
             actions.TellPeer(outgoing.receiver, outgoing.message)
             for outgoing in self.keeper.outgoing
@@ -381,11 +392,11 @@
         return [*due_actions, actions.SetTimer(name, due_at)]
 
     def handle_timer(self, now: float) -> None:
-        """Do what it is time for."""
+        """Handle the timer set by :meth:`pending_actions`."""
         self.timer_at = float('inf')
         self.keeper.due(now)
 
 
 def upstream_of_life(life: str) -> str:
-    """Return the upstream of a life."""
+    """Return the name of the upstream of a life."""
     return life.rpartition(' ')[0]
--- a/src/greengagelb/coordination/fleet/upstream_views.py
+++ b/src/greengagelb/coordination/fleet/upstream_views.py
@@ -1,8 +1,8 @@
-"""What an instance knows of the upstreams.
+"""The state of upstreams as known to this instance.
 
-It comes from reports that an upstream gives, from what other instances pass
-on, from orders that hold an engine, and from how this instance's own requests
-fare. All of it may be old: each question here says how old it may be.
+It comes from the upstreams' reports, from other instances, from orders that
+hold an engine and from the outcome of this instance's requests. Any of it may
+be out of date, so each check states the greatest age that it accepts.
 """
 
 import dataclasses
@@ -27,17 +27,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """Upstreams that an instance holds, until a monotonic time."""
+    """Upstreams that an instance keeps free of new work.
+
+    ``expires_at`` is a monotonic time.
+    """
 
     upstreams: frozenset[str]
     expires_at: float
 
 
 class UpstreamViews:
-    """All upstreams of the configuration in force, and what is known of them.
+    """The upstreams of the configuration in force and their known state.
 
-    Invariant: ``in_flight`` of an upstream is never negative. ``changed``
-    tells that an upstream may have room by now that it had not before.
+    ``room_changed`` is set when an upstream may have gained room. ``holds``
+    are kept by the incarnation of the instance that requested them.
+    Invariant: ``in_flight`` of an upstream is never negative.
     """
 
     def __init__(self, data_centre: str, incarnation: str = '') -> None:
@@ -54,7 +58,7 @@
     def apply_configuration(
         self, configuration: configuration_state.Configuration
     ) -> None:
-        """Adopt the upstreams of a configuration, keeping what is known."""
+        """Apply the upstreams of a configuration and keep known state."""
         upstreams = {
             upstream.name: upstream
             for pool in configuration.pools
@@ -79,21 +83,22 @@
         self.room_changed = True
 
     def set_live_instances(self, live_instances: int) -> None:
-        """Share the upstreams' places with that many instances."""
+        """Set how many instances share the slots of the upstreams."""
         self.live_instances = max(1, live_instances)
         self.room_changed = True
 
     def mark_possible_room(self, name: str) -> None:
-        """Note that an upstream may have room that it had not before."""
+        """Record that an upstream may have gained room."""
         self.room_changed = True
 
     def apply_report(
         self, report: events.UpstreamReported, now: float
     ) -> None:
-        """Take in an upstream's report.
+        """Apply an upstream's own report.
 
-        A report proves that the upstream is there. It does not prove that
-        it generates: one whose work has failed stays suspected for its time.
+        A report shows that the upstream is reachable, not that it can
+        generate. An upstream that is suspected after failed work therefore
+        remains suspected until its suspicion ends.
         """
         view = self.views.get(report.engine.name)
         if view is None:
@@ -116,10 +121,10 @@
         self.mark_possible_room(report.engine.name)
 
     def own_loads(self, now: float) -> tuple[fleet.UpstreamLoad, ...]:
-        """Return the loads that upstreams have told this instance itself.
+        """Return the recent loads that this instance has probed itself.
 
-        Loads heard from others are left out: passed on again and again, an
-        old load would look like a new one.
+        Loads received from other instances are left out. If they were
+        forwarded repeatedly, an old load would look like a new one.
         """
         return tuple(
             fleet.UpstreamLoad(
@@ -137,7 +142,7 @@
     def apply_peer_loads(
         self, loads: tuple[fleet.UpstreamLoad, ...], now: float
     ) -> None:
-        """Take in loads that another instance passes on."""
+        """Apply loads that another instance has probed."""
         for load in loads:
             if load.index >= len(self.upstream_names):
                 continue
@@ -157,7 +162,7 @@
         incarnation: str,
         now: float,
     ) -> None:
-        """Forget what was known of an upstream before it restarted."""
+        """Record a new incarnation and reset the state of the former one."""
         restarted = bool(view.incarnation)
         view.incarnation = incarnation
         view.cache_known = False
@@ -172,11 +177,12 @@
         return view.upstream.data_centre == self.data_centre
 
     def mark_leaving(self, event: events.UpstreamLeaving, now: float) -> None:
-        """Give no new work to that incarnation from now on.
+        """Stop giving new work to an incarnation that is leaving.
 
-        It is remembered by incarnation: the notice may come before the first
-        report of that incarnation, or between late reports of an older one.
-        Kept in the view alone it would be lost, and the upstream get work.
+        The incarnation is recorded, as the notice may arrive before its first
+        report or between late reports of an older incarnation. If only the
+        view were marked, such a report would clear the mark and the upstream
+        would get work again.
         """
         view = self.views.get(event.engine.name)
         if view is None:
@@ -185,20 +191,20 @@
         if not engine.incarnation:
             engine = identity.EngineId(engine.name, view.incarnation)
         self.leaving_engines.add(engine)
-        # An instance that does not watch the upstream may know none or an
-        # old incarnation of it, and would take the notice for another's. It
-        # gives no work until its own next question is answered.
+        # An instance that does not probe the upstream may know no incarnation
+        # or an old one, and can't match the notice to it. It gives no work
+        # until its next probe is answered.
         report_is_old = now - view.probed_at >= PROBE_TRUST_SECONDS
         same_incarnation = view.incarnation == engine.incarnation
         view.leaving = view.leaving or same_incarnation or report_is_old
 
     def mark_suspected(self, name: str, now: float) -> None:
-        """Keep new work away from an upstream that has just failed.
+        """Suspect an upstream after a failure and give it no new work.
 
-        Each time in a row it is kept away for longer. An upstream that
-        answers probes and fails all work would otherwise be given new work
-        every few seconds. The many streams that fail at one moment count
-        once.
+        The suspicion lasts longer with each consecutive failure. Otherwise an
+        upstream that answers probes but fails all work would get new work
+        every few seconds. Failures during a suspicion are ignored, so that
+        many streams that fail at once count as one failure.
         """
         view = self.views.get(name)
         if view is None or now < view.suspected_until:
@@ -214,10 +220,11 @@
         view.returned_at = view.suspected_until
 
     def apply_cache_event(self, event: events.EngineCacheChanged) -> None:
-        """Take in what an engine says of its prefix cache.
+        """Apply an engine's event about its prefix cache.
 
-        Where an event is missing, the prefixes that it dropped would be
-        thought cached for ever: all that was known is forgotten then.
+        If an event was missed, the known prefixes are cleared, because a
+        prefix that the engine has evicted would otherwise count as cached
+        forever.
         """
         view = self.views.get(event.engine.name)
         if view is None or view.incarnation != event.engine.incarnation:
@@ -236,11 +243,12 @@
     def hold_upstreams(
         self, event: events.UpstreamsHeld, now: float
     ) -> list[configuration_state.Upstream]:
-        """Give no new work to engines that are about to be ordered.
+        """Give no new work to engines that another instance holds for orders.
 
-        Returns those that are held no more: they have probably become
-        something else, and should be asked what. A hold lapses by itself,
-        as the instance that ordered it may have died.
+        Returns the upstreams whose hold has ended; they should be probed, as
+        their version or role has probably changed. A hold expires after
+        ``HOLD_EXPIRY_SECONDS``, as the instance that requested it may have
+        died.
         """
         previous = self.holds.pop(event.source, Hold(frozenset(), now))
         if event.upstreams:
@@ -254,7 +262,7 @@
         ]
 
     def held_upstreams(self, now: float) -> set[str]:
-        """Return the names of all upstreams that are held now."""
+        """Return the names of all upstreams with an unexpired hold."""
         return {
             name
             for hold in self.holds.values()
@@ -263,16 +271,18 @@
         }
 
     def add_in_flight(self, name: str) -> None:
-        """Count a request that has been given to an upstream."""
+        """Count a request that is sent to an upstream."""
         self.views[name].in_flight += 1
 
     def remove_in_flight(self, name: str) -> None:
-        """Count a request that an upstream no longer has."""
+        """Count a request that has ended at an upstream."""
         view = self.views.get(name)
         if view is None:
             return
         if not view.in_flight:
-            raise errors.InvariantViolated(f'{name} has nothing in flight')
+            raise errors.InvariantViolated(
+                f'upstream {name} has no request in flight'
+            )
         view.in_flight -= 1
         self.mark_possible_room(name)
 
@@ -280,7 +290,7 @@
 def pools_with_mixed_priorities(
     configuration: configuration_state.Configuration,
 ) -> set[str]:
-    """Return the pools that serve short calls beside other work."""
+    """Return the pools that serve both short calls and other work."""
     classes: dict[str, set[bool]] = {}
     for service in configuration.services:
         is_short = service.priority is SHORT
--- a/tests/fleet/test_changes_under_way.py
+++ b/tests/fleet/test_changes_under_way.py
@@ -1,4 +1,4 @@
-"""Which engines get work while some of them are changed."""
+"""Which engines get work while some of them change their version."""
 
 import random
 
@@ -47,9 +47,9 @@
 
 
 def test_held_engines_get_no_work_by_any_way_of_choosing():
-    """An instance is about to order two engines to another version.
+    """An instance holds two engines to order them to another version.
 
-    Work given to them now would keep them from ever being idle.
+    If they got new work, they would never become idle.
     """
     directory, pool = make_directory()
     held = frozenset({'engine-1', 'engine-4'})
@@ -71,11 +71,10 @@
 
 
 def test_former_version_serves_until_engines_have_the_new_one():
-    """A change of version begins, and no engine has the new one yet.
+    """A change of version begins, and no engine has the new version yet.
 
-    Most engines were last asked by this instance long ago. New work must go
-    to what they last reported, or each request would be refused by one after
-    the other.
+    This instance probed most engines long ago. If it ignored their old
+    reports, each request would be refused by one engine after the other.
     """
     former = configuration.ModelVersion('m', '1')
     directory, pool = make_directory(former, '2')
--- a/tests/fleet/test_leaving.py
+++ b/tests/fleet/test_leaving.py
@@ -1,4 +1,4 @@
-"""An upstream that leaves gets no new work, whoever said so and when."""
+"""A leaving upstream gets no new work, in any order of messages."""
 
 import random
 
@@ -33,11 +33,11 @@
 @settings(derandomize=True, deadline=None, max_examples=300)
 @given(MESSAGES)
 def test_leaving_is_final_for_an_incarnation_in_any_order(messages):
-    """Reports and notices cross each other on their way.
+    """Reports and leaving notices arrive out of order.
 
-    A notice may come before the first report of the start that it is about,
-    and a report of an older start after it. Work given to an engine that is
-    about to go is a stream that has to be moved a moment later.
+    A notice may arrive before the first report of its incarnation, and a
+    report of an older incarnation after it. A stream that is started on a
+    leaving engine would have to be moved shortly after.
     """
     upstream = configurations.upstream('engine', 9000)
     pool = configuration.Pool('drafting', (upstream,), 'm', '1')
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -1,4 +1,4 @@
-"""Instances find each other and spread versions while the network fails."""
+"""Instances find each other and spread versions despite network faults."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -15,11 +15,10 @@
 
 
 class Fleet(stateful.RuleBasedStateMachine):
-    """Six places in two data centres; the list shows any part of them.
+    """Six instances in two data centres; the list shows any subset.
 
-    Instances restart, pause and are cut from each other. Whatever happens
-    meanwhile, versions only rise, and once the network is whole again all
-    that know of each other agree.
+    Instances restart and are cut off from each other. Versions must never
+    decrease, and all instances must agree once the network works again.
     """
 
     def __init__(self):
@@ -127,10 +126,10 @@
 
 
 def test_shrunken_list_drops_nobody_who_is_heard():
-    """The platform's list comes back empty while all instances work.
+    """The platform's list is empty while all instances work.
 
-    Taking it at its word each instance would think that it is alone and give
-    out the whole of every client account's limit.
+    If an instance trusted the list, it would count itself as the only one and
+    grant the full limit of every client account.
     """
     network, found = data_centre(5)
     for member in found:
@@ -141,7 +140,7 @@
 
 
 def test_own_pause_marks_no_peer_as_dead():
-    """An instance is stopped for a minute and wakes."""
+    """A process pauses for a minute and hears nothing meanwhile."""
     network, found = data_centre(3)
     network.now += 60.0
     found[0].handle_own_pause(60.0, network.now)
@@ -163,7 +162,7 @@
 
 
 def test_list_that_shows_an_older_start_does_not_replace_the_new_one():
-    """An instance restarts at its address; the list still shows the old."""
+    """The list still shows the old incarnation of a restarted instance."""
     network, found = data_centre(2)
     new = network.start(members.peer(1, start=1), [found[0].own_id.address])
     network.deliver(new, new.tick(network.now))
@@ -174,10 +173,10 @@
 
 
 def test_instance_that_starts_without_the_list_learns_of_all_by_one_seed():
-    """The platform is away, and an instance starts.
+    """An instance starts without the platform's list and knows one address.
 
-    It knows one address. All others must soon hear of it as well, or they
-    would count one instance too few and none would tell it of versions.
+    The others must hear of it soon. Otherwise they would count one instance
+    too few and not send it new versions.
     """
     network, found = data_centre(4)
     network.apply(found[2], 9)
@@ -200,10 +199,10 @@
 
 
 def test_few_instances_send_to_another_data_centre():
-    """At the design size each message counts.
+    """Only the gateways of a data centre send to other data centres.
 
-    66 instances that all spoke to the 264 elsewhere would use more than a
-    node's budget for control.
+    If all 66 instances of a data centre sent to the 264 others, the traffic
+    would exceed an instance's budget for control messages.
     """
     network = members.Network()
     peers = [members.peer(n, f'kl-{n // 10}') for n in range(30)]
@@ -239,11 +238,10 @@
 
 @pytest.mark.parametrize('seed', range(4))
 def test_version_crosses_between_data_centres_that_know_one_address(seed):
-    """The platform is away when the instances of a data centre start.
+    """The instances of a data centre start without the platform's list.
 
-    All they have is the address of one instance elsewhere. That one may be
-    none of the few that speak to other data centres; a version confirmed
-    there must come across all the same.
+    They know only the address of one instance in another data centre, which
+    may not be a gateway. A version that is confirmed there must reach them.
     """
     network = members.Network()
     for number in range(8):
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders reach all engines though their senders pause and lose the lease."""
+"""Orders reach all engines although holders pause and lose the lease."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -13,11 +13,11 @@
 
 
 class Orders(stateful.RuleBasedStateMachine):
-    """Three instances, all of which think that they are picked.
+    """Three instances that all try to take the lease.
 
-    One is stopped, the store loses answers or is down, orders are delayed,
-    engines restart with what they had at first. Half of the engines ignore
-    fencing numbers.
+    Instances are stopped, the store loses answers or is down, orders are
+    delayed and engines restart with their first version. Half of the engines
+    ignore fencing numbers.
     """
 
     def __init__(self):
@@ -128,9 +128,9 @@
 
 
 def test_engine_that_restarts_with_the_old_version_is_ordered_again():
-    """An engine dies after a rollout and comes back as it was before.
+    """An engine restarts with the old version after a rollout.
 
-    Callers of its pool would find one engine less from then on.
+    Without another order its pool would have one engine less.
     """
     world = make_world()
     world.run(300)
@@ -140,10 +140,10 @@
 
 
 def test_resumed_holder_without_lease_sends_no_order():
-    """The holder is stopped for a minute; another takes over and rolls back.
+    """The holder pauses for a minute; another takes over and rolls back.
 
-    The first wakes and still believes that it holds the lease. One engine
-    ignores fencing numbers and would take the old order.
+    The first holder resumes with its old state. Engines that ignore fencing
+    numbers would carry out its old order.
     """
     world = make_world(instances=2)
     world.run(10)
@@ -174,9 +174,10 @@
 
 
 def test_lost_answer_of_the_lease_is_found_in_the_row():
-    """The store takes the write of the lease and its answer is lost.
+    """The store writes the lease, but its answer is lost.
 
-    Read as a failure, nobody would send orders until the lease has lapsed.
+    If that counted as a failure, nobody would send orders until the lease
+    had expired.
     """
     world = make_world()
     world.store_weather = 'lost'
@@ -185,7 +186,7 @@
 
 
 def test_weight_store_is_asked_no_faster_than_it_allows():
-    """A rollout over many engines would ask for all loads at once."""
+    """A rollout over 40 engines must not request all loads at once."""
     world = make_world(engines=40)
     world.loads_apart = 7.0
     world.run(700)
@@ -195,7 +196,7 @@
 
 @pytest.mark.parametrize('late', [1.0, 100.0])
 def test_late_order_is_undone_at_an_engine_that_ignores_fencing(late):
-    """An order of a former holder hangs in the network and lands at last."""
+    """A delayed order of a former holder arrives after the rollout."""
     world = make_world(engines=1)
     engine = world.engines['engine-0']
     engine.checks_fencing = False
--- a/tests/fleet/test_watching.py
+++ b/tests/fleet/test_watching.py
@@ -1,4 +1,4 @@
-"""Each engine is watched by few instances, and its load reaches the others."""
+"""Each engine is probed by few instances, which share its load."""
 
 import dataclasses
 import random
@@ -47,13 +47,13 @@
 
 
 def test_instance_alone_watches_every_engine():
-    """A data centre is cut off and one instance is left in it."""
+    """One instance is left in a data centre that is cut off."""
     found = probes_by_instance(views(), {'incarnation-1'})
     assert len(found['incarnation-1']) == ENGINES
 
 
 def test_engine_under_suspicion_is_asked_by_who_suspects_it():
-    """An engine failed a stream here while its watchers still reach it."""
+    """A stream failed here while the assigned instances reach the engine."""
     doubtful = views(1)
     others = {'incarnation-2', 'incarnation-3', 'incarnation-4'}
     unwatched = {me for me in others if not probes(doubtful, me, others)}
@@ -64,7 +64,7 @@
 
 
 def test_loss_of_all_engines_does_not_make_an_instance_probe_them_all():
-    """A data centre loses power to its engines, not to its instances."""
+    """All engines of a data centre fail while its instances keep running."""
     lost = views(100)
     for view in lost:
         view.suspected_until = 2.0
@@ -84,8 +84,8 @@
 def test_work_is_shared_out_again_when_an_instance_is_gone():
     """An instance is replaced.
 
-    Were the shares kept, its engines would be watched by one instance less
-    each time, and in the end by none.
+    If the assignment were kept, its engines would be probed by one instance
+    less with each replacement, and finally by none.
     """
     found = {view.upstream.name: view for view in views(20)}
     watch = probe_assignment.ProbeAssignment('a', 'kl-1')
@@ -125,11 +125,10 @@
 
 
 def test_leaving_notice_counts_though_the_incarnation_is_not_known_here():
-    """An engine restarts and is told to leave at once.
+    """An engine restarts and has to leave immediately.
 
-    An instance that does not watch it knows the old incarnation at best.
-    Would it take the notice for another engine's, new requests would go on
-    to an engine that is about to stop.
+    An instance that does not probe it knows at most the old incarnation. If it
+    ignored the notice, it would send requests to an engine about to stop.
     """
     found, pool = make_directory()
     found.apply_report(report_of('engine-0', 'old'), 0.0)
@@ -143,10 +142,10 @@
 
 
 def test_old_report_of_another_version_keeps_no_engine_out_for_ever():
-    """A pool moves to a new version, and so do its engines.
+    """A pool and its engines change to a new version.
 
-    An instance that asked an engine once, long ago, remembers the old
-    version and would never give it work again.
+    An instance that probed an engine long ago has its old version, and would
+    never give it work again if it trusted that report.
     """
     found, pool = make_directory()
     found.apply_report(report_of('engine-0', 'a', version='0'), 0.0)
@@ -169,7 +168,7 @@
 
 
 def test_upstreams_of_this_data_centre_come_first_while_they_have_room():
-    """The link to another data centre may be cut at any moment."""
+    """Streams to another data centre break if the link fails."""
     near, far = views(2)
     elsewhere = dataclasses.replace(far.upstream, data_centre='kl-2')
     pool = configuration.Pool(
--- a/tests/load/test_measured_policies.py
+++ b/tests/load/test_measured_policies.py
@@ -1,6 +1,6 @@
 """Short seeded runs of the load experiments, in virtual time.
 
-They hold what docs/measurements says of the policy, by counts only.
+They check the statements of docs/measurements on the policies by counts.
 """
 
 import collections
@@ -14,7 +14,7 @@
 
 
 def count_outcomes(fleet, name):
-    """Return outcomes of an account, and how many of them were good."""
+    """Return the number of outcomes of an account and of the good ones."""
     found = [o for o in fleet.outcomes.values() if o.account == name]
     return len(found), sum(outcome.good for outcome in found)
 
@@ -26,10 +26,10 @@
 
 
 def test_flood_of_one_account_costs_another_no_request():
-    """One account sends three times what all engines can do.
+    """One account sends three times the capacity of all engines.
 
-    Served in the order of arrival, the other account's drafts would all
-    wait behind it until their callers give up.
+    Served in order of arrival, the requests of the other account would wait
+    until their callers give up.
     """
     flood = load.Source('flood', 3 * load.capacity_rate(), short_share=0.1)
     _, (asked, good) = run_victim_beside(flood)
@@ -39,7 +39,7 @@
 
 
 def test_callers_that_hang_up_cost_another_account_no_request():
-    """A broken client sends requests and hangs up after a moment."""
+    """A faulty client sends requests and disconnects shortly after."""
     rude = load.Source('rude', 3 * load.capacity_rate(), hangs_up=True)
     fleet, (asked, good) = run_victim_beside(rude)
     assert good == asked
@@ -47,11 +47,11 @@
 
 
 def test_requests_that_every_engine_refuses_are_given_up():
-    """An account's prompt is refused by each engine that it comes to.
+    """Every engine refuses the prompt of an account.
 
     Each refusal leads to the next attempt. Without a pause between rounds
-    a single request was attempted 14,000 times (19 of them made 272,006
-    attempts), and it had no answer before its deadline.
+    a single request was attempted 14,000 times (19 requests made 272,006
+    attempts) and had no answer before its deadline.
     """
     poison = load.Source('poison', 1.0, poison=True)
     fleet, (asked, good) = run_victim_beside(poison)
@@ -64,7 +64,7 @@
 
 
 def check_in_flight_counts(node):
-    """Check that what is counted as running is what is in progress."""
+    """Check that the counts of running requests match the streams."""
     assert set(node.running) == set(node.streams.streams)
     for queue in node.admission.queues.values():
         queue.check()
@@ -78,7 +78,7 @@
 
 
 def check_after_fault(strike, checks):
-    """Return a function that checks all nodes after a fault has struck."""
+    """Return a function that injects a fault and then runs the checks."""
 
     def strike_and_check(fleet, fault):
         strike(fleet, fault)
@@ -89,7 +89,7 @@
 
 
 def test_every_request_has_a_final_answer_when_engines_fail(monkeypatch):
-    """Engines slow down, die, freeze and return under a high load."""
+    """Engines slow down, die, freeze and return under high load."""
     rate = 0.6 * load.capacity_rate()
     faults = (
         *(load.Fault(0.7 * n, 'e5', 'fast') for n in range(1, 40)),
@@ -121,10 +121,10 @@
 
 
 def test_overload_is_refused_at_once_and_costs_no_goodput():
-    """Five times as many requests come in as the engines can do.
+    """Requests arrive at five times the capacity of the engines.
 
-    Started late, work that misses its deadline takes the engines' time from
-    work that would have made it.
+    Work that is started too late for its deadline would take engine time from
+    work that could still meet its deadline.
     """
     rate = load.capacity_rate()
     goodput = {}
--- a/tests/load/test_routing.py
+++ b/tests/load/test_routing.py
@@ -1,4 +1,4 @@
-"""Choice of an upstream from reports that lag, and after failures."""
+"""Choice of an upstream with late reports and after failures."""
 
 import random
 
@@ -47,9 +47,9 @@
 
 
 def test_stale_report_of_no_load_fills_only_this_instances_part():
-    """The reports stop coming while many instances share the engines.
+    """Reports stop while several instances share the engines.
 
-    Each instance would think the engines empty and fill them alone.
+    Each instance would otherwise take the engines for idle and fill them.
     """
     directory, pool = make_directory(engines=1)
     directory.set_live_instances(4)
@@ -64,8 +64,8 @@
 def test_engine_that_answers_probes_but_fails_work_is_kept_away_longer():
     """An engine answers probes while all its generations stall.
 
-    Were its report enough, it would get new streams every second, and each
-    of them would stall.
+    If a report ended the suspicion, the engine would get new streams every
+    second, and each of them would stall.
     """
     directory, pool = make_directory()
     directory.mark_suspected('e0', 1.0)
@@ -87,8 +87,8 @@
 def test_returning_engine_is_filled_up_slowly():
     """An engine restarts with empty caches and no load.
 
-    As the least loaded it would get all new work at one moment, and all of
-    that work would be lost if it fails again.
+    As the least loaded one it would get all new work at once, which would be
+    lost if it failed again.
     """
     directory, pool = make_directory(engines=1)
     report(directory, 'e0', 1.0)
@@ -102,8 +102,8 @@
 def test_all_engines_suspected_leaves_those_that_answer_probes():
     """This instance's own network fails for a moment.
 
-    Every engine seems to have failed. Refusing all work after that would
-    be an outage that the engines have no part in.
+    All engines are suspected. If all work were refused, there would be an
+    outage although the engines work.
     """
     directory, pool = make_directory()
     for name in ('e0', 'e1'):
@@ -124,9 +124,9 @@
 
 
 def test_gap_in_cache_events_makes_the_cache_unknown():
-    """An engine's message that it dropped a prefix is lost.
+    """An engine's event that it evicted a prefix is lost.
 
-    The prefix would be thought cached there for ever.
+    The prefix would otherwise count as cached there forever.
     """
     directory, pool = make_directory(engines=4)
     for number in range(4):
@@ -144,11 +144,11 @@
 
 
 def test_held_engine_gets_no_work_however_it_is_chosen():
-    """An engine is about to be told to load another model.
+    """An engine is held before it is ordered to load another model.
 
-    A request that came in at that moment would be cut by the order. The
-    choice by prefix and the choice among a few looked past the hold once,
-    where they had been merged beside it.
+    The order would interrupt a request that it got meanwhile. Both the choice
+    by prefix and the choice from a sample must respect the hold; both have
+    ignored it before.
     """
     directory, pool = make_directory(engines=4)
     for number in range(4):
@@ -163,10 +163,10 @@
 
 
 def test_full_pool_is_not_scanned_again_until_an_upstream_changes():
-    """All places are taken while requests wait and events pour in.
+    """All slots are taken while requests wait and many events arrive.
 
-    Looking through a data centre's engines on each event would use up the
-    processor that relays tokens.
+    Scanning a data centre's engines at each event would use up the processor
+    time needed to relay tokens.
     """
     directory, pool = make_directory(engines=20, slots=1)
     for number in range(20):
@@ -179,7 +179,10 @@
 
 
 def test_room_that_comes_with_time_alone_is_found():
-    """The only trusted engine is full when another's suspicion ends."""
+    """The only trusted engine is full when another's suspicion ends.
+
+    No event tells that the suspicion has ended.
+    """
     directory, pool = make_directory(slots=1)
     directory.add_in_flight('e0')
     directory.mark_suspected('e1', 1.0)
--- a/tests/operators/test_confirm_races.py
+++ b/tests/operators/test_confirm_races.py
@@ -1,4 +1,4 @@
-"""Operators race: one plan wins each version, and all can find out which."""
+"""Concurrent operators: one plan is confirmed for each version."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -13,10 +13,10 @@
 
 
 class ConfirmRaces(stateful.RuleBasedStateMachine):
-    """Operators propose, confirm and ask through instances that die.
+    """Operators propose, confirm and query through instances that die.
 
-    Each confirmation or question is a generator that waits for the store, so
-    any of them may be passed by any other between two requests.
+    Each confirmation or query is a generator that waits for the store, so
+    others may run between any two of its requests.
     """
 
     def __init__(self):
@@ -111,10 +111,10 @@
 
 
 def test_equal_documents_of_two_plans_do_not_make_two_winners():
-    """Two operators state the same intent at the same time.
+    """Two operators make plans of the same intent at the same time.
 
-    Their plans lead to equal documents. The second operator must not be told
-    that its own plan is in force: its plan id names nothing that happened.
+    The resulting configurations are equal. The second operator must not be
+    told that its plan is in force, as its plan id was never confirmed.
     """
     store = confirmations.ConfirmationStore()
     first = confirmations.plan_of('first', 0)
@@ -127,7 +127,7 @@
 
 
 def test_plan_stays_confirmed_when_later_ones_follow():
-    """An operator confirms, loses the answer, and asks again a day later."""
+    """An operator loses the answer and queries the plan much later."""
     store = confirmations.ConfirmationStore()
     first = confirmations.plan_of('first', 0)
     confirm(store, first)
@@ -142,10 +142,10 @@
 
 
 def test_write_that_lands_late_is_never_reported_as_nothing_happened():
-    """The store is slow: it takes the write, and answers nobody in time.
+    """The store accepts the write but applies it only after the timeout.
 
-    Reading the row back shows the old version. "Not in force" would be a
-    guess that turns wrong a moment later.
+    Reading the row back shows the old version. The answer "not in force" would
+    become wrong once the write is applied.
     """
     store = confirmations.ConfirmationStore()
     plan = confirmations.plan_of('slow', 0)
--- a/tests/operators/test_plans.py
+++ b/tests/operators/test_plans.py
@@ -1,4 +1,4 @@
-"""Plans tell what would happen, and refuse what can't be served."""
+"""Plans describe their effect; intents that can't be served are refused."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -144,7 +144,7 @@
 def test_misspelt_attribute_of_an_intent_is_refused():
     """An operator writes "adaptor" in a change of model.
 
-    The adapter would silently be dropped from the pool.
+    If unknown attributes were ignored, the pool would lose its adapter.
     """
     raw = (
         b'{"type": "change-model", "pool": "p", "model": "m",'
