--- a/src/greengagelb/coordination/configuration/orders.py
+++ b/src/greengagelb/coordination/configuration/orders.py
@@ -1,20 +1,20 @@
-"""Orders engines to the model version, adapter and role that they shall have.
-
-One instance at a time orders the engines of one pool in one data centre. It
-holds a lease, a row of the platform's table whose version is the fencing
-number of its orders. Which instance tries to hold it is picked by rendezvous
-hash; that only saves work. Safety rests on the lease:
-
-- its deadline is counted on the holder's monotonic clock from before the
-  write was sent, is checked right before each order, and the lease is dropped
-  after a pause of the process;
-- engines that check fencing numbers refuse those of a former holder;
-- for those that don't, the next holder waits, from when it first saw the row
-  as it is, for the whole lease and the time to live of an order.
-
-An order sets a target. The engine's report is compared with it until both
-agree, so an order that came too late, was lost, or was undone by a restart
-with the old version, is followed by another one.
+"""Orders engines to change to their configured model version and role.
+
+One instance at a time sends orders to the engines of a pool in a data centre.
+It holds a lease, a row of the platform's table whose version is the fencing
+number of its orders. The instance that tries to take the lease is selected by
+rendezvous hashing, which only avoids contention. Safety depends on the lease:
+
+- Its deadline is measured on the holder's monotonic clock from before the
+  write was sent and is checked right before each order. The lease is dropped
+  after a pause of the process.
+- Engines that check fencing numbers refuse orders of a former holder.
+- For engines that don't, the next holder waits for the duration of a lease and
+  the timeout of an order after it first saw the current row.
+
+An order sets a target, and the engine's reports are compared with the target
+until they agree. An order that arrives late, is lost, or is undone by a
+restart with the old version is therefore followed by another one.
 """
 
 from collections.abc import Iterable
@@ -25,32 +25,32 @@
 from greengagelb.state import orders as order_state
 
 LEASE_SECONDS = 15.0
-ORDER_SECONDS = 5.0
-RENEW_SECONDS = 5.0
-READ_AGAIN_SECONDS = 3.0
-HOLD_SECONDS = 6.0
-RESEND_SECONDS = 20.0
-FRESH_REPORT_SECONDS = 5.0
-MOST_LOAD_WAIT_SECONDS = 30.0
-SHARE_AT_ONCE = 0.25
-NOBODY = order_state.Lease('')
+ORDER_TIMEOUT_SECONDS = 5.0
+RENEW_INTERVAL_SECONDS = 5.0
+READ_INTERVAL_SECONDS = 3.0
+HOLD_SPREAD_SECONDS = 6.0
+RESEND_AFTER_SECONDS = 20.0
+MAX_REPORT_AGE_SECONDS = 5.0
+MAX_LOAD_WAIT_SECONDS = 30.0
+MAX_DRAINED_SHARE = 0.25
+NO_HOLDER = order_state.Lease('')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadLease:
-    """Read the lease's row."""
+    """Read the row of the lease."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteLease:
-    """Write the lease's row if its number is still ``expected``."""
+    """Write the row of the lease if its version is still ``expected``."""
 
     expected: int
     lease: order_state.Lease
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskToLoad:
+class RequestLoad:
     """Ask the weight store whether an engine may load its target now."""
 
     upstream: str
@@ -59,322 +59,345 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Send an order, unless ``deadline`` has passed by then."""
+    """Send an order unless the monotonic time ``deadline`` has passed."""
 
     upstream: configuration_state.Upstream
     target: order_state.Target
-    number: int
+    fencing_number: int
     deadline: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Explain:
-    """Put an automatic act on the time line."""
+    """Record an automatic action on the time line."""
 
     kind: str
     reason: str
     upstream: str = ''
 
 
-Action = ReadLease | WriteLease | AskToLoad | SendOrder | Explain
+Action = ReadLease | WriteLease | RequestLoad | SendOrder | Explain
 
 
-def engines_at_once(engines: int) -> int:
-    """Return how many engines of a pool may be out of work at once."""
-    return max(1, int(engines * SHARE_AT_ONCE))
+def max_drained_engines(engines: int) -> int:
+    """Return how many engines of a pool may be drained at once."""
+    return max(1, int(engines * MAX_DRAINED_SHARE))
 
 
 class PoolOrders:
-    """Orders of one pool in one data centre, as seen by one instance.
+    """One instance's orders to the engines of a pool in a data centre.
+
+    ``targets``, ``reports`` and ``progress`` are by upstream name; the engines
+    in ``progress`` are held, which means that they get no new work. Times are
+    monotonic seconds. ``fencing_number`` is 0 without a lease.
+    ``store_request_pending`` tells that a read or write of the lease is
+    unanswered.
 
     Invariants: no order is sent at or after the lease's deadline, nor to an
-    engine that runs something, and no more engines are held at once than
-    ``engines_at_once`` allows.
+    engine that runs requests, and at most :func:`max_drained_engines` are held
+    at once.
     """
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.wanted: dict[str, order_state.Wanted] = {}
-        self.seen: dict[str, order_state.EngineSeen] = {}
+        self.targets: dict[str, order_state.Wanted] = {}
+        self.reports: dict[str, order_state.EngineSeen] = {}
         self.progress: dict[str, order_state.OrderProgress] = {}
-        self.picked = False
-        self.number = 0
-        self.deadline = float('-inf')
-        self.row: order_state.LeaseRow | None = None
-        self.row_seen_at = float('-inf')
+        self.is_lease_candidate = False
+        self.fencing_number = 0
+        self.lease_deadline = float('-inf')
+        self.lease_row: order_state.LeaseRow | None = None
+        self.row_changed_at = float('-inf')
         self.row_read_at = float('-inf')
-        self.busy = False
-        self.written = NOBODY
-        self.written_at = float('-inf')
-        self.writes = 0
+        self.store_request_pending = False
+        self.written_lease = NO_HOLDER
+        self.write_sent_at = float('-inf')
+        self.write_count = 0
         self.next_load_at = float('-inf')
-        self.load_asked_for = ''
+        self.load_requested_for = ''
         self.load_refusals = 0
 
-    # -- what comes in ------------------------------------------------------
-
-    def want(self, wanted: Iterable[order_state.Wanted]) -> None:
-        """Take over the targets of a configuration."""
-        self.wanted = {one.upstream.name: one for one in wanted}
-        for name, under_way in list(self.progress.items()):
-            if name not in self.wanted:
+    def set_targets(self, wanted: Iterable[order_state.Wanted]) -> None:
+        """Set the targets of a configuration."""
+        self.targets = {one.upstream.name: one for one in wanted}
+        for name, progress in list(self.progress.items()):
+            if name not in self.targets:
                 del self.progress[name]
             else:
-                under_way.may_load = False
+                progress.may_load = False
 
-    def reported(self, name: str, seen: order_state.EngineSeen) -> None:
-        """Take in an engine's report."""
-        self.seen[name] = seen
+    def update_report(self, name: str, seen: order_state.EngineSeen) -> None:
+        """Store the latest report of an engine."""
+        self.reports[name] = seen
 
-    def pause_noticed(self) -> list[Action]:
-        """Drop the lease: it may have lapsed while this process stood still.
+    def handle_own_pause(self) -> list[Action]:
+        """Drop the lease after a pause of this process.
 
-        The clock that the deadline is checked on may have stood still too.
+        The lease may have expired meanwhile, and the clock on which its
+        deadline is checked may have stopped as well.
         """
-        if not self.number:
+        if not self.fencing_number:
             return []
-        self.drop()
-        return [Explain('order-lease-dropped', 'this process stood still')]
+        self.drop_lease()
+        return [Explain('order-lease-dropped', 'this process was paused')]
 
-    def drop(self) -> None:
-        """Hold the lease no more."""
-        self.number = 0
-        self.deadline = float('-inf')
+    def drop_lease(self) -> None:
+        """Give up the lease and all held engines without a write."""
+        self.fencing_number = 0
+        self.lease_deadline = float('-inf')
         self.progress.clear()
 
-    def lease_read(
+    def handle_lease_read(
         self, row: order_state.LeaseRow, now: float
     ) -> list[Action]:
-        """Take in the row as it is in the store."""
-        self.busy = False
+        """Handle the row of the lease as read from the store."""
+        self.store_request_pending = False
         self.row_read_at = now
-        if row != self.row:
-            self.row = row
-            self.row_seen_at = now
+        if row != self.lease_row:
+            self.lease_row = row
+            self.row_changed_at = now
         if (
-            self.number
-            and row.number > self.number
-            and (row.lease != self.written)
+            self.fencing_number
+            and row.number > self.fencing_number
+            and (row.lease != self.written_lease)
         ):
-            self.drop()
+            self.drop_lease()
             return [Explain('order-lease-lost', f'number {row.number}')]
-        if row.lease == self.written != NOBODY:
-            return self.take(row.number)
+        if row.lease == self.written_lease != NO_HOLDER:
+            return self.hold_lease(row.number)
         return []
 
-    def lease_written(self, number: int) -> list[Action]:
-        """Take in that this instance's own write took effect."""
-        self.busy = False
-        self.row = order_state.LeaseRow(number, self.written)
-        self.row_seen_at = self.row_read_at = self.written_at
-        if self.written == NOBODY:
+    def handle_lease_written(self, number: int) -> list[Action]:
+        """Handle a successful write of the lease."""
+        self.store_request_pending = False
+        self.lease_row = order_state.LeaseRow(number, self.written_lease)
+        self.row_changed_at = self.row_read_at = self.write_sent_at
+        if self.written_lease == NO_HOLDER:
             return []
-        return self.take(number)
+        return self.hold_lease(number)
 
-    def lease_unsettled(self) -> None:
-        """Take in that a read or write failed, or was not answered.
+    def handle_lease_failure(self) -> None:
+        """Handle a failed or unanswered read or write of the lease.
 
-        The row is read again before anything else: it may have been written.
+        The row is read again first, as it may have been written.
         """
-        self.busy = False
+        self.store_request_pending = False
         self.row_read_at = float('-inf')
 
-    def take(self, number: int) -> list[Action]:
-        """Hold the lease, from before the write of it was sent."""
-        first = not self.number
-        self.number = number
-        self.deadline = self.written_at + LEASE_SECONDS
-        if not first:
+    def hold_lease(self, number: int) -> list[Action]:
+        """Hold the lease, counted from the time its write was sent."""
+        is_new = not self.fencing_number
+        self.fencing_number = number
+        self.lease_deadline = self.write_sent_at + LEASE_SECONDS
+        if not is_new:
             return []
         return [Explain('order-lease-taken', f'number {number}')]
 
-    def order_refused(self, name: str) -> list[Action]:
-        """Take in that an engine knows a higher fencing number."""
-        self.drop()
-        return [Explain('order-fenced', 'an engine knows a newer one', name)]
+    def handle_fenced_order(self, name: str) -> list[Action]:
+        """Drop the lease, as an engine knows a higher fencing number."""
+        self.drop_lease()
+        return [
+            Explain(
+                'order-fenced', 'an engine knows a newer fencing number', name
+            )
+        ]
 
-    def load_allowed(self, name: str) -> None:
-        """Take in that the weight store allows an engine to load."""
-        self.load_asked_for = ''
+    def handle_load_allowed(self, name: str) -> None:
+        """Record that the weight store allows an engine to load."""
+        self.load_requested_for = ''
         self.load_refusals = 0
         if name in self.progress:
             self.progress[name].may_load = True
 
-    def load_refused(
+    def handle_load_refused(
         self, name: str, retry_after: float, now: float
     ) -> list[Action]:
-        """Take in that the weight store allows no load yet.
+        """Back off, as the weight store allows no load yet.
 
-        Refused again and again it is asked more and more seldom: a rollout
-        over many engines must not use up the store's own rate.
+        The wait doubles with each refusal, so that a rollout over many
+        engines doesn't exhaust the rate of the weight store.
         """
-        self.load_asked_for = ''
-        wait = min(retry_after * 2**self.load_refusals, MOST_LOAD_WAIT_SECONDS)
+        self.load_requested_for = ''
+        wait = min(retry_after * 2**self.load_refusals, MAX_LOAD_WAIT_SECONDS)
         self.load_refusals += 1
         self.next_load_at = now + wait
         reason = f'weight store is busy; asked again in {wait:.0f} s'
         return [Explain('load-delayed', reason, name)]
 
-    # -- what goes out ------------------------------------------------------
-
-    def holds(self, now: float) -> bool:
+    def holds_lease(self, now: float) -> bool:
         """Return whether an order may be sent now."""
-        return self.number > 0 and now < self.deadline
+        return self.fencing_number > 0 and now < self.lease_deadline
 
     @property
-    def held(self) -> frozenset[str]:
-        """Return the engines that shall get no new work."""
+    def held_engines(self) -> frozenset[str]:
+        """Return the names of engines that must get no new work."""
         return frozenset(self.progress)
 
     def tick(self, now: float) -> list[Action]:
-        """Go on with the lease and the orders."""
-        if self.number and not self.holds(now):
-            self.drop()
-        done = self.finish_reached()
-        if not self.picked or not self.deviating():
-            return [*done, *self.give_back(now)]
-        done += self.keep_lease(now)
-        if self.holds(now):
-            done += self.go_on(now)
-        return done
-
-    def deviating(self) -> list[str]:
-        """Return the engines that report another than their target."""
+        """Advance the lease and the orders."""
+        if self.fencing_number and not self.holds_lease(now):
+            self.drop_lease()
+        actions = self.release_reached_engines()
+        if not self.is_lease_candidate or not self.engines_off_target():
+            return [*actions, *self.release_lease(now)]
+        actions += self.maintain_lease(now)
+        if self.holds_lease(now):
+            actions += self.advance_orders(now)
+        return actions
+
+    def engines_off_target(self) -> list[str]:
+        """Return the names of engines whose report differs from the target."""
         return [
             name
-            for name, wanted in self.wanted.items()
-            if name in self.seen and self.seen[name].target != wanted.target
+            for name, wanted in self.targets.items()
+            if name in self.reports
+            and self.reports[name].target != wanted.target
         ]
 
-    def finish_reached(self) -> list[Action]:
-        """Give new work again to engines that have reached their target."""
-        done: list[Action] = []
-        deviating = set(self.deviating())
+    def release_reached_engines(self) -> list[Action]:
+        """Release held engines that have reached their target."""
+        actions: list[Action] = []
+        off_target = set(self.engines_off_target())
         for name in list(self.progress):
-            if name not in deviating:
+            if name not in off_target:
                 del self.progress[name]
                 reason = 'engine reports its target'
-                done.append(Explain('order-reached', reason, name))
-        return done
+                actions.append(Explain('order-reached', reason, name))
+        return actions
 
-    def give_back(self, now: float) -> list[Action]:
-        """Let others take the lease at once, as no order is under way."""
-        if not self.number or self.busy:
+    def release_lease(self, now: float) -> list[Action]:
+        """Release the lease at once if no order is in progress."""
+        if not self.fencing_number or self.store_request_pending:
             return []
         if self.progress:
             return []
-        expected = self.number
-        self.drop()
-        return [self.write(expected, NOBODY, now)]
+        expected = self.fencing_number
+        self.drop_lease()
+        return [self.build_lease_write(expected, NO_HOLDER, now)]
 
-    def keep_lease(self, now: float) -> list[Action]:
-        """Read, take or renew the lease, whichever is next."""
-        if self.busy:
+    def maintain_lease(self, now: float) -> list[Action]:
+        """Read, take or renew the lease, whichever is due."""
+        if self.store_request_pending:
             return []
-        if self.row is None or now - self.row_read_at >= READ_AGAIN_SECONDS:
-            self.busy = True
+        if (
+            self.lease_row is None
+            or now - self.row_read_at >= READ_INTERVAL_SECONDS
+        ):
+            self.store_request_pending = True
             return [ReadLease()]
-        if self.holds(now):
-            if now - self.written_at < RENEW_SECONDS:
+        if self.holds_lease(now):
+            if now - self.write_sent_at < RENEW_INTERVAL_SECONDS:
                 return []
-        elif not self.may_take(now):
+        elif not self.can_take_lease(now):
             return []
-        self.writes += 1
-        token = order_state.Lease(f'{self.incarnation}.{self.writes}')
-        return [self.write(self.row.number, token, now)]
+        self.write_count += 1
+        token = order_state.Lease(f'{self.incarnation}.{self.write_count}')
+        return [self.build_lease_write(self.lease_row.number, token, now)]
 
-    def may_take(self, now: float) -> bool:
-        """Return whether no other holder can have an order under way."""
-        if self.row is None:
+    def can_take_lease(self, now: float) -> bool:
+        """Return whether no other holder can have an order in progress."""
+        if self.lease_row is None:
             return False
-        if self.row.lease == NOBODY:
+        if self.lease_row.lease == NO_HOLDER:
             return True
-        return now >= self.row_seen_at + LEASE_SECONDS + ORDER_SECONDS
+        return (
+            now >= self.row_changed_at + LEASE_SECONDS + ORDER_TIMEOUT_SECONDS
+        )
 
-    def write(
+    def build_lease_write(
         self, expected: int, lease: order_state.Lease, now: float
     ) -> WriteLease:
-        """Return the write of a lease, and note when it was sent."""
-        self.busy = True
-        self.written = lease
-        self.written_at = now
+        """Return the write of a lease and record when it is sent."""
+        self.store_request_pending = True
+        self.written_lease = lease
+        self.write_sent_at = now
         return WriteLease(expected, lease)
 
-    def go_on(self, now: float) -> list[Action]:
-        """Hold engines, wait until they are idle, and order them."""
-        done = self.hold_more(now)
-        for name, under_way in self.progress.items():
-            done += self.advance(name, under_way, now)
-        if len(self.progress) > engines_at_once(len(self.wanted)):
-            raise errors.InvariantViolated('too many engines out of work')
-        return done
-
-    def hold_more(self, now: float) -> list[Action]:
-        """Take the idlest engines out of work, as many as may be."""
-        done: list[Action] = []
-        room = engines_at_once(len(self.wanted)) - len(self.progress)
-        waiting = [n for n in self.deviating() if n not in self.progress]
-        waiting.sort(key=lambda name: (self.seen[name].busy, name))
+    def advance_orders(self, now: float) -> list[Action]:
+        """Hold engines, and send orders to those that are idle."""
+        actions = self.hold_engines(now)
+        for name, progress in self.progress.items():
+            actions += self.advance_order(name, progress, now)
+        if len(self.progress) > max_drained_engines(len(self.targets)):
+            raise errors.InvariantViolated('too many engines are held at once')
+        return actions
+
+    def hold_engines(self, now: float) -> list[Action]:
+        """Hold the least busy engines, as many as are allowed."""
+        actions: list[Action] = []
+        room = max_drained_engines(len(self.targets)) - len(self.progress)
+        waiting = [
+            n for n in self.engines_off_target() if n not in self.progress
+        ]
+        waiting.sort(key=lambda name: (self.reports[name].busy, name))
         for name in waiting[: max(0, room)]:
             self.progress[name] = order_state.OrderProgress(now)
-            target = self.wanted[name].target
+            target = self.targets[name].target
             reason = f'drained for {target.model} {target.version}'
-            done.append(Explain('order-held', reason, name))
-        return done
+            actions.append(Explain('order-held', reason, name))
+        return actions
 
-    def advance(
-        self, name: str, under_way: order_state.OrderProgress, now: float
+    def advance_order(
+        self, name: str, progress: order_state.OrderProgress, now: float
     ) -> list[Action]:
-        """Order one engine once it runs nothing any more.
+        """Send an order to an engine once it is idle.
 
-        Other instances hear of the hold with a delay; until all have, an
-        engine that is idle now may be given work in the next moment.
+        Other instances learn of the hold with a delay. For
+        ``HOLD_SPREAD_SECONDS`` they may still send work to an idle engine.
         """
-        seen = self.seen[name]
-        if now < under_way.held_at + HOLD_SECONDS or seen.busy:
+        seen = self.reports[name]
+        if now < progress.held_at + HOLD_SPREAD_SECONDS or seen.busy:
             return []
-        if now - seen.reported_at > FRESH_REPORT_SECONDS:
+        if now - seen.reported_at > MAX_REPORT_AGE_SECONDS:
             return []
-        if now < under_way.resend_at:
+        if now < progress.resend_at:
             return []
-        if self.needs_load(name) and not under_way.may_load:
-            return self.ask_to_load(name, now)
-        return [*self.explain_send(name, under_way), self.order(name, now)]
+        if self.needs_other_weights(name) and not progress.may_load:
+            return self.request_load(name, now)
+        return [
+            *self.explain_order(name, progress),
+            self.build_order(name, now),
+        ]
 
-    def needs_load(self, name: str) -> bool:
-        """Return whether the target needs other weights than are loaded."""
-        wanted, seen = self.wanted[name].target, self.seen[name].target
+    def needs_other_weights(self, name: str) -> bool:
+        """Return whether the target needs weights that aren't loaded."""
+        wanted, seen = self.targets[name].target, self.reports[name].target
         return (wanted.model, wanted.version, wanted.adapter) != (
             seen.model,
             seen.version,
             seen.adapter,
         )
 
-    def ask_to_load(self, name: str, now: float) -> list[Action]:
-        """Ask the weight store for one load at a time."""
-        if now < self.next_load_at or self.load_asked_for:
+    def request_load(self, name: str, now: float) -> list[Action]:
+        """Request a load from the weight store, one at a time."""
+        if now < self.next_load_at or self.load_requested_for:
             return []
-        self.load_asked_for = name
-        return [AskToLoad(name, self.wanted[name].target)]
+        self.load_requested_for = name
+        return [RequestLoad(name, self.targets[name].target)]
 
-    def explain_send(
-        self, name: str, under_way: order_state.OrderProgress
+    def explain_order(
+        self, name: str, progress: order_state.OrderProgress
     ) -> list[Action]:
-        """Return why an order is sent."""
-        reason = f'engine reports {self.seen[name].target.version}'
-        if under_way.sent:
+        """Return the time line entry for an order that is sent."""
+        reason = f'engine reports {self.reports[name].target.version}'
+        if progress.sent:
             return [Explain('order-repeated', reason, name)]
         return [Explain('order-sent', reason, name)]
 
-    def order(self, name: str, now: float) -> SendOrder:
-        """Return the order that sets an engine's target."""
-        if not self.holds(now):
-            raise errors.InvariantViolated('order without a lease')
-        under_way = self.progress[name]
-        under_way.resend_at = now + RESEND_SECONDS
-        under_way.may_load = False
-        under_way.sent += 1
-        wanted = self.wanted[name]
+    def build_order(self, name: str, now: float) -> SendOrder:
+        """Return the order that sets the target of an engine."""
+        if not self.holds_lease(now):
+            raise errors.InvariantViolated(
+                'order would be sent without a valid lease'
+            )
+        progress = self.progress[name]
+        progress.resend_at = now + RESEND_AFTER_SECONDS
+        progress.may_load = False
+        progress.sent += 1
+        wanted = self.targets[name]
         return SendOrder(
-            wanted.upstream, wanted.target, self.number, self.deadline
+            wanted.upstream,
+            wanted.target,
+            self.fencing_number,
+            self.lease_deadline,
         )
--- a/src/greengagelb/coordination/fleet/routing.py
+++ b/src/greengagelb/coordination/fleet/routing.py
@@ -1,42 +1,43 @@
-"""Choice of an upstream for a new attempt.
-
-Load reports lag, so what this instance itself has in flight is counted in
-full and the report is trusted less the older it is. Of two upstreams picked
-at random the better one is taken: always taking the least loaded would send
-every instance to the same upstream until the next report. Requests that share
-a prefix go where it is likely to be cached, as long as that is not much
-busier than the others.
+"""Chooses an upstream for a new attempt.
+
+Load reports lag. Requests that this instance has in flight are therefore
+counted in full, while a report is weighted less the older it is. The better
+of two random upstreams is chosen, because with the least loaded one all
+instances would send to the same upstream until the next report. Requests with
+the same prefix are routed to an upstream that probably has it in its cache,
+unless that upstream is much busier than the others.
 """
 
 import dataclasses
 import math
 import random
 
-from greengagelb.coordination.fleet import members
+from greengagelb.coordination.fleet import pool_candidates
 from greengagelb.coordination.fleet import upstream_views
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import upstreams as upstream_state
 
-RETURN_SECONDS = 2.0
-CHOICES = 2
-SAMPLES = 4
-TRIES = 16
-FULL_SECONDS = 0.1
-SLOTS_PER_SHORT_RESERVE = 8
-AFFINITY_BOUND = 1.5
+RAMP_UP_SECONDS = 2.0
+COMPARED_CANDIDATES = 2
+MAX_CANDIDATES = 4
+MAX_SAMPLED_UPSTREAMS = 16
+FULL_POOL_RECHECK_SECONDS = 0.1
+SLOTS_PER_RESERVED_SLOT = 8
+AFFINITY_LOAD_FACTOR = 1.5
 SHORT = configuration_state.Priority.SHORT
 RESUME = configuration_state.Priority.RESUME
 
 
 @dataclasses.dataclass(slots=True)
 class FullPool:
-    """A pool without room for a class, and what has changed since.
+    """A pool that was found to have no room for requests of a priority.
 
-    ``until`` is the monotonic time at which all are looked at again.
+    Until the monotonic time ``recheck_at`` only ``changed_upstreams``, those
+    that may have gained room since, are considered.
     """
 
-    until: float
-    changed: set[str] = dataclasses.field(default_factory=set)
+    recheck_at: float
+    changed_upstreams: set[str] = dataclasses.field(default_factory=set)
 
 
 class UpstreamDirectory(upstream_views.UpstreamViews):
@@ -50,31 +51,33 @@
     ) -> None:
         super().__init__(data_centre, incarnation)
         self.rng = rng
-        self.members: dict[tuple[str, str], members.PoolMembers] = {}
-        self.full: dict[
+        self.candidates_by_pool: dict[
+            tuple[str, str], pool_candidates.PoolCandidates
+        ] = {}
+        self.full_pools: dict[
             tuple[str, str, configuration_state.Priority], FullPool
         ] = {}
 
-    def apply(self, configuration: configuration_state.Configuration) -> None:
-        """Adopt the upstreams of a configuration, keeping what is known."""
-        super().apply(configuration)
-        self.members.clear()
-        self.full.clear()
-
-    def resize(self, live_instances: int) -> None:
-        """Share the upstreams' places with that many instances."""
-        super().resize(live_instances)
-        self.full.clear()
-
-    def touch(self, name: str) -> None:
-        """Note that an upstream may have room that it had not before."""
-        super().touch(name)
-        for full in self.full.values():
-            full.changed.add(name)
-
-    # -- choice -------------------------------------------------------------
-
-    def choose(
+    def apply_configuration(
+        self, configuration: configuration_state.Configuration
+    ) -> None:
+        """Apply the upstreams of a configuration and keep known state."""
+        super().apply_configuration(configuration)
+        self.candidates_by_pool.clear()
+        self.full_pools.clear()
+
+    def set_live_instances(self, live_instances: int) -> None:
+        """Set how many instances share the slots of the upstreams."""
+        super().set_live_instances(live_instances)
+        self.full_pools.clear()
+
+    def mark_possible_room(self, name: str) -> None:
+        """Record that an upstream may have gained room."""
+        super().mark_possible_room(name)
+        for full_pool in self.full_pools.values():
+            full_pool.changed_upstreams.add(name)
+
+    def choose_upstream(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
@@ -82,80 +85,99 @@
         priority: configuration_state.Priority = RESUME,
         prefix: str = '',
     ) -> upstream_state.UpstreamView | None:
-        """Return a view with room for one more request, or None.
+        """Return an upstream with room for one more request, or None.
 
-        Upstreams of other data centres get only what finds no room here: a
-        partition would break the streams on them.
+        Upstreams of other data centres are used only when the local ones
+        have no room, because a network partition would break their streams.
         """
-        picked = self.pick(pool, excluded, now, priority)
-        if not picked:
+        candidates = self.find_candidates(pool, excluded, now, priority)
+        if not candidates:
             return None
         if prefix:
-            near = self.choose_by_prefix(pool, picked, prefix, now, priority)
-            if near is not None and near.upstream.name not in excluded:
-                return near
-        return min(picked[:CHOICES], key=lambda view: self.score(view, now))
+            preferred = self.choose_by_prefix(
+                pool, candidates, prefix, now, priority
+            )
+            if (
+                preferred is not None
+                and preferred.upstream.name not in excluded
+            ):
+                return preferred
+        return min(
+            candidates[:COMPARED_CANDIDATES],
+            key=lambda view: self.relative_delay(view, now),
+        )
 
-    def pick(
+    def find_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some views with room, looking at few of them.
+        """Return some upstreams with room, checking as few as possible.
 
-        Where a pool was found full, only the upstreams that have changed
-        since are looked at for a moment: under overload a full look at each
-        event would take more of the processor than all else. Room that comes
-        with time alone, when a suspicion ends, is found after that moment.
+        For ``FULL_POOL_RECHECK_SECONDS`` after a pool was found full, only
+        upstreams that have changed since are checked. Under overload, a full
+        scan at each event would take more processor time than all other work.
+        Room that arises without an event, such as when a suspicion ends, is
+        found after that time.
         """
         key = (pool.name, pool.version, priority)
-        full = self.full.get(key)
-        if full is not None and now < full.until and not excluded:
-            changed = [self.views[n] for n in full.changed if n in self.views]
-            names = set(self.members_of(pool).names)
+        full_pool = self.full_pools.get(key)
+        if (
+            full_pool is not None
+            and now < full_pool.recheck_at
+            and not excluded
+        ):
+            changed = [
+                self.views[n]
+                for n in full_pool.changed_upstreams
+                if n in self.views
+            ]
+            names = set(self.candidates_of(pool).names)
             return [
                 view
                 for view in changed
                 if view.upstream.name in names
-                and self.is_open(view, pool, priority, now)
+                and self.can_accept(view, pool, priority, now)
             ]
-        picked = self.sample(pool, excluded, now, priority)
-        if len(picked) < CHOICES:
-            picked = self.scan(pool, excluded, now, priority)
-        if not picked and not excluded:
-            self.full[key] = FullPool(now + FULL_SECONDS)
-        return picked
-
-    def sample(
+        candidates = self.sample_candidates(pool, excluded, now, priority)
+        if len(candidates) < COMPARED_CANDIDATES:
+            candidates = self.scan_candidates(pool, excluded, now, priority)
+        if not candidates and not excluded:
+            self.full_pools[key] = FullPool(now + FULL_POOL_RECHECK_SECONDS)
+        return candidates
+
+    def sample_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some near views with room out of a few random ones."""
-        names = self.members_of(pool).names
+        """Return upstreams with room from a random sample of candidates."""
+        names = self.candidates_of(pool).names
         found: list[upstream_state.UpstreamView] = []
-        for name in self.rng.sample(names, min(TRIES, len(names))):
+        for name in self.rng.sample(
+            names, min(MAX_SAMPLED_UPSTREAMS, len(names))
+        ):
             view = self.views.get(name)
             if view is None or name in excluded:
                 continue
-            if self.is_open(view, pool, priority, now):
+            if self.can_accept(view, pool, priority, now):
                 found.append(view)
-                if len(found) == SAMPLES:
+                if len(found) == MAX_CANDIDATES:
                     break
         return found
 
-    def scan(
+    def scan_candidates(
         self,
         pool: configuration_state.Pool,
         excluded: set[str],
         now: float,
         priority: configuration_state.Priority,
     ) -> list[upstream_state.UpstreamView]:
-        """Return some views with room out of all, the near ones first."""
+        """Return upstreams with room after a full scan, local ones if any."""
         views = self.usable_views(pool, excluded, now)
         usable = [
             view for view in views if self.has_room(view, pool, priority, now)
@@ -164,56 +186,60 @@
             return []
         local = [view for view in usable if self.is_local(view)]
         usable = local or usable
-        return self.rng.sample(usable, min(SAMPLES, len(usable)))
+        return self.rng.sample(usable, min(MAX_CANDIDATES, len(usable)))
 
-    def is_open(
+    def can_accept(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether a trusted upstream has room for a class."""
+        """Return whether an upstream is not suspected and has room."""
         return (
             now >= view.suspected_until
-            and not (self.holds and view.upstream.name in self.held(now))
+            and not (
+                self.holds and view.upstream.name in self.held_upstreams(now)
+            )
             and self.may_get_work(view, pool, now)
             and self.has_room(view, pool, priority, now)
         )
 
-    def members_of(
+    def candidates_of(
         self, pool: configuration_state.Pool
-    ) -> members.PoolMembers:
-        """Return a pool's members, prepared once per configuration."""
+    ) -> pool_candidates.PoolCandidates:
+        """Return the candidates of a pool, computed once per configuration."""
         key = (pool.name, pool.version)
-        known = self.members.get(key)
-        if known is None or known.upstreams is not pool.upstreams:
-            known = members.members_of(pool, self.data_centre)
-            self.members[key] = known
-        return known
+        prepared = self.candidates_by_pool.get(key)
+        if prepared is None or prepared.upstreams is not pool.upstreams:
+            prepared = pool_candidates.local_candidates(pool, self.data_centre)
+            self.candidates_by_pool[key] = prepared
+        return prepared
 
     def choose_by_prefix(
         self,
         pool: configuration_state.Pool,
-        others: list[upstream_state.UpstreamView],
+        candidates: list[upstream_state.UpstreamView],
         prefix: str,
         now: float,
         priority: configuration_state.Priority,
     ) -> upstream_state.UpstreamView | None:
-        """Return the upstream that is likely to hold a prefix, if not busy.
+        """Return an upstream that probably has a prefix cached, or None.
 
-        Without the bound the upstream of a popular prefix would be swamped
-        while the others idle.
+        It is used only while its expected delay is at most
+        ``AFFINITY_LOAD_FACTOR`` times the mean of ``candidates``. Without
+        this bound the upstream of a popular prefix would be overloaded while
+        others are idle.
         """
-        key = members.digest(prefix)
-        scores = [self.score(view, now) for view in others]
-        most = AFFINITY_BOUND * sum(scores) / len(scores)
-        known = self.members_of(pool)
-        views = [self.views[name] for name in known.names]
-        holding = [view for view in views if key in view.prefixes]
-        for view in [*holding, self.views[known.likely(key)]]:
-            calm = self.score(view, now) <= most
-            if calm and self.is_open(view, pool, priority, now):
+        key = pool_candidates.prefix_digest(prefix)
+        delays = [self.relative_delay(view, now) for view in candidates]
+        max_delay = AFFINITY_LOAD_FACTOR * sum(delays) / len(delays)
+        prepared = self.candidates_of(pool)
+        views = [self.views[name] for name in prepared.names]
+        holders = [view for view in views if key in view.prefixes]
+        for view in [*holders, self.views[prepared.preferred_upstream(key)]]:
+            is_within_limit = self.relative_delay(view, now) <= max_delay
+            if is_within_limit and self.can_accept(view, pool, priority, now):
                 return view
         return None
 
@@ -223,18 +249,18 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> configuration_state.Pool:
-        """Return the pool with the model version that new work should have.
+        """Return the pool with the model version to use for new work.
 
-        While a change of version is under way, engines that still have the
-        former one serve what the others have no room for: a change would
-        else take the whole pool out at once.
+        During a change of version, engines that still run the former version
+        get the requests for which the others have no room. Otherwise a change
+        would take the whole pool out of service at once.
         """
         if pool.former is None:
             return pool
         former = with_version(pool, pool.former)
-        if self.choose(pool, set(), now, priority) is not None:
+        if self.choose_upstream(pool, set(), now, priority) is not None:
             return pool
-        if self.choose(former, set(), now, priority) is not None:
+        if self.choose_upstream(former, set(), now, priority) is not None:
             return former
         return pool
 
@@ -244,10 +270,11 @@
         excluded: set[str],
         now: float,
     ) -> list[upstream_state.UpstreamView]:
-        """Return the views of a pool that may get new work.
+        """Return the upstreams of a pool that may get new work.
 
-        Where all are suspected, those that have reported since are used: it
-        may be this instance's own connections that failed.
+        If all are suspected, those that have reported since they were
+        suspected are returned, as the fault may lie in the connections of
+        this instance.
         """
         views = [
             view
@@ -269,21 +296,22 @@
     ) -> bool:
         """Return whether an upstream may get new work of a pool.
 
-        An upstream that has never reported is usable: a new instance must
-        serve before the first reports are in. One that reports another
-        version is not, or two versions would end up in one answer. Where the
-        report is old the engine itself decides: it refuses a version that it
-        does not have, while a pool moved to a new version would else stay
-        empty for all who do not watch its engines.
+        An upstream that has never reported is usable, because a new instance
+        must serve before it has the first reports. One that reports another
+        version is not, because an answer must not mix two versions. An old
+        report is ignored and the engine itself decides, as it refuses a
+        version that it does not have. Otherwise a pool that was changed to a
+        new version would have no usable engine for instances that do not
+        probe its engines.
         """
         if view.leaving or view.upstream.draining:
             return False
-        if self.holds and view.upstream.name in self.held(now):
+        if self.holds and view.upstream.name in self.held_upstreams(now):
             return False
         if not view.incarnation or not pool.version:
             return True
         stale = now - view.probed_at >= upstream_views.PROBE_TRUST_SECONDS
-        if stale and not self.tells_in_change(view, pool):
+        if stale and not self.is_old_report_usable(view, pool):
             return True
         return (view.model, view.version, view.adapter) == (
             pool.model,
@@ -291,16 +319,16 @@
             pool.adapter,
         )
 
-    def tells_in_change(
+    def is_old_report_usable(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
     ) -> bool:
-        """Return whether an old report still tells what an engine has.
+        """Return whether an old report still shows the version of an engine.
 
-        While a pool's version changes, each engine is asked again when it is
-        no longer held. Trusting no old report then would send all new work
-        to the new version, and most engines would refuse it.
+        During a change of a pool's version, each engine is probed again when
+        its hold ends. If old reports were ignored then, all new work would
+        request the new version, and most engines would refuse it.
         """
         if pool.former is None:
             return False
@@ -310,11 +338,14 @@
             (pool.model, pool.version, pool.adapter),
         )
 
-    def limited_alone(
+    def upstreams_if_all_limited(
         self, pool: configuration_state.Pool, now: float
     ) -> list[str]:
-        """Return a pool's usable upstreams, if all of them have limits."""
-        if not self.limits.lives:
+        """Return the names of a pool's usable upstreams if all have limits.
+
+        The list is empty if one of them has no limit.
+        """
+        if not self.limits.limited_lives:
             return []
         names = [
             view.upstream.name for view in self.usable_views(pool, set(), now)
@@ -323,11 +354,11 @@
             return []
         return names
 
-    def may_ever_serve(
+    def can_ever_serve(
         self, pool: configuration_state.Pool, now: float
     ) -> bool:
-        """Return whether waiting may bring an upstream with room."""
-        views = (self.views.get(found.name) for found in pool.upstreams)
+        """Return whether an upstream of the pool may have room later."""
+        views = (self.views.get(upstream.name) for upstream in pool.upstreams)
         return any(
             view and self.may_get_work(view, pool, now) for view in views
         )
@@ -339,77 +370,95 @@
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether an upstream takes one more request of a class."""
-        if not self.has_place(view, pool, priority, now):
+        """Return whether a slot is free and the request limit permits it.
+
+        If only a permit is missing, one is requested.
+        """
+        if not self.has_free_slot(view, pool, priority, now):
             return False
-        return self.limits.admits(view.upstream.name, now)
+        return self.limits.has_or_requests_permit(view.upstream.name, now)
 
-    def has_place(
+    def has_free_slot(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
         priority: configuration_state.Priority,
         now: float,
     ) -> bool:
-        """Return whether one more request of a class fits an upstream.
+        """Return whether an upstream has a free slot for a priority.
 
-        What an engine can't run yet it queues, and a stream that waits there
-        looks like one that has stalled. So no instance gives an engine more
-        between two reports than its part of the places that were free.
+        An engine queues requests that it can't run yet, and a stream in that
+        queue can't be told from a stalled one. Between two reports an instance
+        therefore sends an engine at most its share of the slots that were
+        free.
         """
-        slots = self.slots(view, pool, priority, now)
+        slots = self.available_slots(view, pool, priority, now)
         if now - view.reported_at >= upstream_views.REPORT_TRUST_SECONDS:
             share = math.ceil(slots / self.live_instances)
             return view.in_flight < share
-        if self.load(view, now) >= slots:
+        if self.estimated_load(view, now) >= slots:
             return False
-        others = view.reported_running + view.reported_queued
-        free = slots - max(others, view.in_flight_at_report)
+        other_load = view.reported_running + view.reported_queued
+        free = slots - max(other_load, view.in_flight_at_report)
         allowed = max(1, math.ceil(free / self.live_instances))
-        grown = view.in_flight - view.in_flight_at_report
-        return grown < allowed
+        sent_since_report = view.in_flight - view.in_flight_at_report
+        return sent_since_report < allowed
 
-    def slots(
+    def available_slots(
         self,
         view: upstream_state.UpstreamView,
         pool: configuration_state.Pool,
         priority: configuration_state.Priority,
         now: float,
     ) -> int:
-        """Return how many requests an upstream may have for one class.
+        """Return how many requests of a priority an upstream may run.
 
-        Long work leaves some places to short calls, so that these never
-        wait for it. An upstream that has just come back has empty caches and
-        may fail again, so that it is filled up over some seconds.
+        One in ``SLOTS_PER_RESERVED_SLOT`` slots is reserved for short calls,
+        so that they don't wait for long work. An upstream that has just
+        returned has empty caches and may fail again, so its slots become
+        available gradually over ``RAMP_UP_SECONDS``.
         """
         slots = pool.slots_per_upstream
-        if pool.name in self.short_pools and priority is not SHORT:
-            reserve = math.ceil(slots / SLOTS_PER_SHORT_RESERVE)
+        if pool.name in self.mixed_pools and priority is not SHORT:
+            reserve = math.ceil(slots / SLOTS_PER_RESERVED_SLOT)
             slots = max(1, slots - reserve)
-        back = now - view.returned_at
-        if back >= RETURN_SECONDS:
+        seconds_since_return = now - view.returned_at
+        if seconds_since_return >= RAMP_UP_SECONDS:
             return slots
-        return max(1, math.floor(slots * max(0.0, back) / RETURN_SECONDS))
+        return max(
+            1,
+            math.floor(
+                slots * max(0.0, seconds_since_return) / RAMP_UP_SECONDS
+            ),
+        )
+
+    def estimated_load(
+        self, view: upstream_state.UpstreamView, now: float
+    ) -> float:
+        """Return the load of an upstream in requests.
 
-    def load(self, view: upstream_state.UpstreamView, now: float) -> float:
-        """Return the load of an upstream in requests, aged by its lag."""
+        The reported load of other instances is weighted by the age of the
+        report.
+        """
         age = now - view.reported_at
         trust = max(0.0, 1.0 - age / upstream_views.REPORT_TRUST_SECONDS)
         reported = view.reported_running + view.reported_queued
-        others = max(0.0, reported - view.in_flight_at_report)
-        return view.in_flight + trust * others
+        other_load = max(0.0, reported - view.in_flight_at_report)
+        return view.in_flight + trust * other_load
 
-    def score(self, view: upstream_state.UpstreamView, now: float) -> float:
-        """Return how long an upstream takes, relative to others.
+    def relative_delay(
+        self, view: upstream_state.UpstreamView, now: float
+    ) -> float:
+        """Return the expected delay at an upstream, to compare with others.
 
-        A slow engine counts as a busy one. An engine whose step is unknown
-        counts by its load alone.
+        It is the load times the step time, so that a slow engine ranks like a
+        busy one. An engine of unknown step time is ranked by its load alone.
         """
-        pace = view.step_seconds or self.usual_step()
-        return (self.load(view, now) + 1.0) * pace
+        step_seconds = view.step_seconds or self.typical_step_seconds()
+        return (self.estimated_load(view, now) + 1.0) * step_seconds
 
-    def usual_step(self) -> float:
-        """Return a step that upstreams have which report one, or 1."""
+    def typical_step_seconds(self) -> float:
+        """Return the step time of any upstream that reports one, or 1."""
         for view in self.views.values():
             if view.step_seconds:
                 return view.step_seconds
@@ -417,12 +466,13 @@
 
 
 def with_version(
-    pool: configuration_state.Pool, serves: configuration_state.ModelVersion
+    pool: configuration_state.Pool,
+    model_version: configuration_state.ModelVersion,
 ) -> configuration_state.Pool:
-    """Return the pool with another model version to serve."""
+    """Return a copy of the pool that serves another model version."""
     return dataclasses.replace(
         pool,
-        model=serves.model,
-        version=serves.version,
-        adapter=serves.adapter,
+        model=model_version.model,
+        version=model_version.version,
+        adapter=model_version.adapter,
     )
--- a/src/greengagelb/coordination/fleet/upstream_views.py
+++ b/src/greengagelb/coordination/fleet/upstream_views.py
@@ -1,8 +1,8 @@
-"""What an instance knows of the upstreams.
+"""The state of upstreams as known to this instance.
 
-It comes from reports that an upstream gives, from what other instances pass
-on, from orders that hold an engine, and from how this instance's own requests
-fare. All of it may be old: each question here says how old it may be.
+It comes from the upstreams' reports, from other instances, from orders that
+hold an engine and from the outcome of this instance's requests. Any of it may
+be out of date, so each check states the greatest age that it accepts.
 """
 
 import dataclasses
@@ -18,84 +18,95 @@
 REPORT_TRUST_SECONDS = 5.0
 PROBE_TRUST_SECONDS = 3.0
 SUSPICION_SECONDS = 2.0
-MOST_SUSPICION_SECONDS = 30.0
-FORGIVE_SECONDS = 30.0
-HOLD_SECONDS = 20.0
-MOST_CACHED_PREFIXES = 4096
+MAX_SUSPICION_SECONDS = 30.0
+FAILURE_RESET_SECONDS = 30.0
+HOLD_EXPIRY_SECONDS = 20.0
+MAX_CACHED_PREFIXES = 4096
 SHORT = configuration_state.Priority.SHORT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Hold:
-    """Upstreams that an instance holds, until a monotonic time."""
+    """Upstreams that an instance keeps free of new work.
+
+    ``expires_at`` is a monotonic time.
+    """
 
     upstreams: frozenset[str]
-    deadline: float
+    expires_at: float
 
 
 class UpstreamViews:
-    """All upstreams of the configuration in force, and what is known of them.
+    """The upstreams of the configuration in force and their known state.
 
-    Invariant: ``in_flight`` of an upstream is never negative. ``changed``
-    tells that an upstream may have room by now that it had not before.
+    ``room_changed`` is set when an upstream may have gained room. ``holds``
+    are kept by the incarnation of the instance that requested them.
+    Invariant: ``in_flight`` of an upstream is never negative.
     """
 
     def __init__(self, data_centre: str, incarnation: str = '') -> None:
         self.data_centre = data_centre
         self.limits = upstream_limits.UpstreamLimits(incarnation, data_centre)
         self.views: dict[str, upstream_state.UpstreamView] = {}
-        self.short_pools: set[str] = set()
-        self.leaving: set[identity.EngineId] = set()
+        self.mixed_pools: set[str] = set()
+        self.leaving_engines: set[identity.EngineId] = set()
         self.holds: dict[str, Hold] = {}
         self.live_instances = 1
-        self.order: list[str] = []
-        self.changed = False
+        self.upstream_names: list[str] = []
+        self.room_changed = False
 
-    def apply(self, configuration: configuration_state.Configuration) -> None:
-        """Adopt the upstreams of a configuration, keeping what is known."""
-        named = {
+    def apply_configuration(
+        self, configuration: configuration_state.Configuration
+    ) -> None:
+        """Apply the upstreams of a configuration and keep known state."""
+        upstreams = {
             upstream.name: upstream
             for pool in configuration.pools
             for upstream in pool.upstreams
         }
-        for name, upstream in named.items():
+        for name, upstream in upstreams.items():
             view = self.views.setdefault(
                 name, upstream_state.UpstreamView(upstream)
             )
             view.upstream = upstream
         for name in list(self.views):
-            if name not in named and not self.views[name].in_flight:
+            if name not in upstreams and not self.views[name].in_flight:
                 del self.views[name]
-        self.leaving = {e for e in self.leaving if e.name in self.views}
-        self.order = list(named)
-        self.limits.places = {
-            name: upstream.data_centre for name, upstream in named.items()
+        self.leaving_engines = {
+            e for e in self.leaving_engines if e.name in self.views
         }
-        self.short_pools = shared_pools(configuration)
-        self.changed = True
+        self.upstream_names = list(upstreams)
+        self.limits.upstream_data_centres = {
+            name: upstream.data_centre for name, upstream in upstreams.items()
+        }
+        self.mixed_pools = pools_with_mixed_priorities(configuration)
+        self.room_changed = True
 
-    def resize(self, live_instances: int) -> None:
-        """Share the upstreams' places with that many instances."""
+    def set_live_instances(self, live_instances: int) -> None:
+        """Set how many instances share the slots of the upstreams."""
         self.live_instances = max(1, live_instances)
-        self.changed = True
+        self.room_changed = True
 
-    def touch(self, name: str) -> None:
-        """Note that an upstream may have room that it had not before."""
-        self.changed = True
+    def mark_possible_room(self, name: str) -> None:
+        """Record that an upstream may have gained room."""
+        self.room_changed = True
 
-    def observe(self, report: events.UpstreamReported, now: float) -> None:
-        """Take in an upstream's report.
+    def apply_report(
+        self, report: events.UpstreamReported, now: float
+    ) -> None:
+        """Apply an upstream's own report.
 
-        A report proves that the upstream is there. It does not prove that
-        it generates: one whose work has failed stays suspected for its time.
+        A report shows that the upstream is reachable, not that it can
+        generate. An upstream that is suspected after failed work therefore
+        remains suspected until its suspicion ends.
         """
         view = self.views.get(report.engine.name)
         if view is None:
             return
         if report.leaving:
-            self.leaving.add(report.engine)
+            self.leaving_engines.add(report.engine)
         if view.incarnation != report.engine.incarnation:
-            self.meet_incarnation(view, report.engine.incarnation, now)
+            self.reset_for_incarnation(view, report.engine.incarnation, now)
         view.model = report.model
         view.version = report.version
         view.adapter = report.adapter
@@ -106,14 +117,14 @@
         view.probed_at = now
         view.in_flight_at_report = view.in_flight
         view.step_seconds = report.step_seconds
-        view.leaving = report.engine in self.leaving
-        self.touch(report.engine.name)
+        view.leaving = report.engine in self.leaving_engines
+        self.mark_possible_room(report.engine.name)
 
     def own_loads(self, now: float) -> tuple[fleet.UpstreamLoad, ...]:
-        """Return the loads that upstreams have told this instance itself.
+        """Return the recent loads that this instance has probed itself.
 
-        Loads heard from others are left out: passed on again and again, an
-        old load would look like a new one.
+        Loads received from other instances are left out. If they were
+        forwarded repeatedly, an old load would look like a new one.
         """
         return tuple(
             fleet.UpstreamLoad(
@@ -122,20 +133,20 @@
                 view.reported_queued,
                 view.step_seconds,
             )
-            for index, name in enumerate(self.order)
+            for index, name in enumerate(self.upstream_names)
             if self.is_local(view := self.views[name])
             and view.reported_at == view.probed_at
             and now - view.probed_at < REPORT_TRUST_SECONDS
         )
 
-    def hear_loads(
+    def apply_peer_loads(
         self, loads: tuple[fleet.UpstreamLoad, ...], now: float
     ) -> None:
-        """Take in loads that another instance passes on."""
+        """Apply loads that another instance has probed."""
         for load in loads:
-            if load.index >= len(self.order):
+            if load.index >= len(self.upstream_names):
                 continue
-            view = self.views[self.order[load.index]]
+            view = self.views[self.upstream_names[load.index]]
             if now - view.probed_at < REPORT_TRUST_SECONDS:
                 continue
             view.reported_running = load.running
@@ -143,15 +154,15 @@
             view.reported_at = now
             view.in_flight_at_report = view.in_flight
             view.step_seconds = load.step_seconds
-            self.touch(self.order[load.index])
+            self.mark_possible_room(self.upstream_names[load.index])
 
-    def meet_incarnation(
+    def reset_for_incarnation(
         self,
         view: upstream_state.UpstreamView,
         incarnation: str,
         now: float,
     ) -> None:
-        """Forget what was known of an upstream before it restarted."""
+        """Record a new incarnation and reset the state of the former one."""
         restarted = bool(view.incarnation)
         view.incarnation = incarnation
         view.cache_known = False
@@ -166,11 +177,12 @@
         return view.upstream.data_centre == self.data_centre
 
     def mark_leaving(self, event: events.UpstreamLeaving, now: float) -> None:
-        """Give no new work to that incarnation from now on.
+        """Stop giving new work to an incarnation that is leaving.
 
-        It is remembered by incarnation: the notice may come before the first
-        report of that incarnation, or between late reports of an older one.
-        Kept in the view alone it would be lost, and the upstream get work.
+        The incarnation is recorded, as the notice may arrive before its first
+        report or between late reports of an older incarnation. If only the
+        view were marked, such a report would clear the mark and the upstream
+        would get work again.
         """
         view = self.views.get(event.engine.name)
         if view is None:
@@ -178,40 +190,41 @@
         engine = event.engine
         if not engine.incarnation:
             engine = identity.EngineId(engine.name, view.incarnation)
-        self.leaving.add(engine)
-        # An instance that does not watch the upstream may know none or an
-        # old incarnation of it, and would take the notice for another's. It
-        # gives no work until its own next question is answered.
-        unsure = now - view.probed_at >= PROBE_TRUST_SECONDS
-        same = view.incarnation == engine.incarnation
-        view.leaving = view.leaving or same or unsure
-
-    def suspect(self, name: str, now: float) -> None:
-        """Keep new work away from an upstream that has just failed.
-
-        Each time in a row it is kept away for longer. An upstream that
-        answers probes and fails all work would otherwise be given new work
-        every few seconds. The many streams that fail at one moment count
-        once.
+        self.leaving_engines.add(engine)
+        # An instance that does not probe the upstream may know no incarnation
+        # or an old one, and can't match the notice to it. It gives no work
+        # until its next probe is answered.
+        report_is_old = now - view.probed_at >= PROBE_TRUST_SECONDS
+        same_incarnation = view.incarnation == engine.incarnation
+        view.leaving = view.leaving or same_incarnation or report_is_old
+
+    def mark_suspected(self, name: str, now: float) -> None:
+        """Suspect an upstream after a failure and give it no new work.
+
+        The suspicion lasts longer with each consecutive failure. Otherwise an
+        upstream that answers probes but fails all work would get new work
+        every few seconds. Failures during a suspicion are ignored, so that
+        many streams that fail at once count as one failure.
         """
         view = self.views.get(name)
         if view is None or now < view.suspected_until:
             return
-        if now - view.suspected_until > FORGIVE_SECONDS:
+        if now - view.suspected_until > FAILURE_RESET_SECONDS:
             view.failures = 0
-        wait = min(
-            SUSPICION_SECONDS * 2**view.failures, MOST_SUSPICION_SECONDS
+        suspicion_seconds = min(
+            SUSPICION_SECONDS * 2**view.failures, MAX_SUSPICION_SECONDS
         )
         view.failures += 1
         view.suspected_at = now
-        view.suspected_until = now + wait
+        view.suspected_until = now + suspicion_seconds
         view.returned_at = view.suspected_until
 
-    def cache_changed(self, event: events.EngineCacheChanged) -> None:
-        """Take in what an engine says of its prefix cache.
+    def apply_cache_event(self, event: events.EngineCacheChanged) -> None:
+        """Apply an engine's event about its prefix cache.
 
-        Where an event is missing, the prefixes that it dropped would be
-        thought cached for ever: all that was known is forgotten then.
+        If an event was missed, the known prefixes are cleared, because a
+        prefix that the engine has evicted would otherwise count as cached
+        forever.
         """
         view = self.views.get(event.engine.name)
         if view is None or view.incarnation != event.engine.incarnation:
@@ -224,57 +237,60 @@
         view.cache_sequence = event.sequence
         view.prefixes.difference_update(event.dropped)
         view.prefixes.update(event.stored)
-        if len(view.prefixes) > MOST_CACHED_PREFIXES:
+        if len(view.prefixes) > MAX_CACHED_PREFIXES:
             view.prefixes.clear()
 
-    def hold(
+    def hold_upstreams(
         self, event: events.UpstreamsHeld, now: float
     ) -> list[configuration_state.Upstream]:
-        """Give no new work to engines that are about to be ordered.
+        """Give no new work to engines that another instance holds for orders.
 
-        Returns those that are held no more: they have probably become
-        something else, and should be asked what. A hold lapses by itself,
-        as the instance that ordered it may have died.
+        Returns the upstreams whose hold has ended; they should be probed, as
+        their version or role has probably changed. A hold expires after
+        ``HOLD_EXPIRY_SECONDS``, as the instance that requested it may have
+        died.
         """
-        before = self.holds.pop(event.source, Hold(frozenset(), now))
+        previous = self.holds.pop(event.source, Hold(frozenset(), now))
         if event.upstreams:
-            deadline = now + HOLD_SECONDS
-            self.holds[event.source] = Hold(event.upstreams, deadline)
-        self.changed = True
+            expires_at = now + HOLD_EXPIRY_SECONDS
+            self.holds[event.source] = Hold(event.upstreams, expires_at)
+        self.room_changed = True
         return [
             self.views[name].upstream
-            for name in sorted(before.upstreams - event.upstreams)
+            for name in sorted(previous.upstreams - event.upstreams)
             if name in self.views
         ]
 
-    def held(self, now: float) -> set[str]:
-        """Return the names of all upstreams that are held now."""
+    def held_upstreams(self, now: float) -> set[str]:
+        """Return the names of all upstreams with an unexpired hold."""
         return {
             name
             for hold in self.holds.values()
-            if now < hold.deadline
+            if now < hold.expires_at
             for name in hold.upstreams
         }
 
-    def started(self, name: str) -> None:
-        """Count a request that has been given to an upstream."""
+    def add_in_flight(self, name: str) -> None:
+        """Count a request that is sent to an upstream."""
         self.views[name].in_flight += 1
 
-    def finished(self, name: str) -> None:
-        """Count a request that an upstream no longer has."""
+    def remove_in_flight(self, name: str) -> None:
+        """Count a request that has ended at an upstream."""
         view = self.views.get(name)
         if view is None:
             return
         if not view.in_flight:
-            raise errors.InvariantViolated(f'{name} has nothing in flight')
+            raise errors.InvariantViolated(
+                f'upstream {name} has no request in flight'
+            )
         view.in_flight -= 1
-        self.touch(name)
+        self.mark_possible_room(name)
 
 
-def shared_pools(
+def pools_with_mixed_priorities(
     configuration: configuration_state.Configuration,
 ) -> set[str]:
-    """Return the pools that serve short calls beside other work."""
+    """Return the pools that serve both short calls and other work."""
     classes: dict[str, set[bool]] = {}
     for service in configuration.services:
         is_short = service.priority is SHORT
--- a/tests/load/test_measured_policies.py
+++ b/tests/load/test_measured_policies.py
@@ -1,6 +1,6 @@
 """Short seeded runs of the load experiments, in virtual time.
 
-They hold what docs/measurements says of the policy, by counts only.
+They check the statements of docs/measurements on the policies by counts.
 """
 
 import collections
@@ -13,48 +13,48 @@
 SECONDS = 30.0
 
 
-def of_account(fleet, name):
-    """Return outcomes of an account, and how many of them were good."""
+def count_outcomes(fleet, name):
+    """Return the number of outcomes of an account and of the good ones."""
     found = [o for o in fleet.outcomes.values() if o.account == name]
     return len(found), sum(outcome.good for outcome in found)
 
 
-def victim_beside(aggressor, policy=load.keep_policy):
+def run_victim_beside(aggressor, policy=load.keep_policy):
     victim = load.Source('victim', 0.2 * load.capacity_rate())
     fleet = load.run(SEED, [victim, aggressor], SECONDS, policy)
-    return fleet, of_account(fleet, 'victim')
+    return fleet, count_outcomes(fleet, 'victim')
 
 
 def test_flood_of_one_account_costs_another_no_request():
-    """One account sends three times what all engines can do.
+    """One account sends three times the capacity of all engines.
 
-    Served in the order of arrival, the other account's drafts would all
-    wait behind it until their callers give up.
+    Served in order of arrival, the requests of the other account would wait
+    until their callers give up.
     """
     flood = load.Source('flood', 3 * load.capacity_rate(), short_share=0.1)
-    _, (asked, good) = victim_beside(flood)
+    _, (asked, good) = run_victim_beside(flood)
     assert good == asked
-    _, (asked, good) = victim_beside(flood, baselines.make_naive)
+    _, (asked, good) = run_victim_beside(flood, baselines.make_naive)
     assert good < asked / 2
 
 
 def test_callers_that_hang_up_cost_another_account_no_request():
-    """A broken client sends requests and hangs up after a moment."""
+    """A faulty client sends requests and disconnects shortly after."""
     rude = load.Source('rude', 3 * load.capacity_rate(), hangs_up=True)
-    fleet, (asked, good) = victim_beside(rude)
+    fleet, (asked, good) = run_victim_beside(rude)
     assert good == asked
     assert not any(engine.runs for engine in fleet.engines.values())
 
 
 def test_requests_that_every_engine_refuses_are_given_up():
-    """An account's prompt is refused by each engine that it comes to.
+    """Every engine refuses the prompt of an account.
 
     Each refusal leads to the next attempt. Without a pause between rounds
-    a single request was attempted 14,000 times (19 of them made 272,006
-    attempts), and it had no answer before its deadline.
+    a single request was attempted 14,000 times (19 requests made 272,006
+    attempts) and had no answer before its deadline.
     """
     poison = load.Source('poison', 1.0, poison=True)
-    fleet, (asked, good) = victim_beside(poison)
+    fleet, (asked, good) = run_victim_beside(poison)
     assert good == asked
     codes = collections.Counter(
         o.failure for o in fleet.outcomes.values() if o.account == 'poison'
@@ -63,8 +63,8 @@
     assert fleet.attempts < asked + 400 * codes.total()
 
 
-def check_counts(node):
-    """Check that what is counted as running is what is in progress."""
+def check_in_flight_counts(node):
+    """Check that the counts of running requests match the streams."""
     assert set(node.running) == set(node.streams.streams)
     for queue in node.admission.queues.values():
         queue.check()
@@ -77,8 +77,8 @@
         assert view.in_flight == len(held)
 
 
-def checked(strike, checks):
-    """Return a function that checks all nodes after a fault has struck."""
+def check_after_fault(strike, checks):
+    """Return a function that injects a fault and then runs the checks."""
 
     def strike_and_check(fleet, fault):
         strike(fleet, fault)
@@ -89,7 +89,7 @@
 
 
 def test_every_request_has_a_final_answer_when_engines_fail(monkeypatch):
-    """Engines slow down, die, freeze and return under a high load."""
+    """Engines slow down, die, freeze and return under high load."""
     rate = 0.6 * load.capacity_rate()
     faults = (
         *(load.Fault(0.7 * n, 'e5', 'fast') for n in range(1, 40)),
@@ -102,13 +102,13 @@
     sources = [load.Source('a', rate / 2), load.Source('b', rate / 2)]
     checks = []
 
-    def watched(node):
-        checks.append(functools.partial(check_counts, node))
+    def watch_node(node):
+        checks.append(functools.partial(check_in_flight_counts, node))
 
     monkeypatch.setattr(
-        load, 'strike', checked(load.strike, checks), raising=True
+        load, 'strike', check_after_fault(load.strike, checks), raising=True
     )
-    fleet = load.run(SEED, sources, SECONDS, watched, faults)
+    fleet = load.run(SEED, sources, SECONDS, watch_node, faults)
     assert all(o.ended_at is not None for o in fleet.outcomes.values())
     for instance in fleet.instances:
         node = instance.node
@@ -121,10 +121,10 @@
 
 
 def test_overload_is_refused_at_once_and_costs_no_goodput():
-    """Five times as many requests come in as the engines can do.
+    """Requests arrive at five times the capacity of the engines.
 
-    Started late, work that misses its deadline takes the engines' time from
-    work that would have made it.
+    Work that is started too late for its deadline would take engine time from
+    work that could still meet its deadline.
     """
     rate = load.capacity_rate()
     goodput = {}
