--- a/measure/crashes.py
+++ b/measure/crashes.py
@@ -14,7 +14,7 @@
 import json
 from typing import Any
 
-from greengagelb.coordination.sharing import crashes
+from greengagelb.coordination.sharing import crash_records
 from tests.common import crashing_fleet
 
 SIZES = (3, 30, 200)
@@ -24,10 +24,10 @@
 INSTANCES_AN_ENGINE = 5
 
 
-class NoRecords(crashes.CrashRecords):
+class NoRecords(crash_records.CrashRecords):
     """Forgets each crash at once."""
 
-    def crashed(self, *crash: object) -> bool:
+    def add_crash(self, *crash: object) -> bool:
         """Take no notice."""
         return False
 
@@ -45,9 +45,9 @@
         else:
             self.after(LOOK_SECONDS, self.look)
 
-    def blocks(self, records: crashes.CrashRecords) -> bool:
+    def blocks(self, records: crash_records.CrashRecords) -> bool:
         """Return whether some request is blocked."""
-        return any(records.blocks(n, self.now) for n in records.histories)
+        return any(records.is_blocked(n, self.now) for n in records.histories)
 
 
 def play(
--- a/src/greengagelb/coordination/calls/claims.py
+++ b/src/greengagelb/coordination/calls/claims.py
@@ -93,7 +93,7 @@
 
 def content_of(request: Claimable) -> str:
     """Return the digest of what a request asks for."""
-    return fingerprints.digest_of(fingerprints.content_parts(request))
+    return fingerprints.digest_parts(fingerprints.content_parts(request))
 
 
 class ClaimKeeper:
@@ -170,7 +170,7 @@
         now: float,
     ) -> ClaimStep:
         """Go on as the owner of a row that says ``found``."""
-        self.advice.succeeded()
+        self.advice.record_success()
         claim.version = version
         claim.may_be_written = True
         match claim.phase:
@@ -199,7 +199,7 @@
         While settling there is nothing left to do: versions only grow, so no
         delayed write of this holder can take effect on this row any more.
         """
-        self.advice.succeeded()
+        self.advice.record_success()
         if claim.phase is claims.ClaimPhase.SETTLING:
             return self.overwritten(claim, row) + self.forget(claim)
         record = row.record
@@ -212,7 +212,7 @@
                 claim, 'idempotency-key-reused', requests.Ran.UNKNOWN, None
             )
         if record.stage is claims.ClaimStage.CLAIMED:
-            wait = self.advice.spread(retry_budget.BASE_SECONDS)
+            wait = self.advice.add_jitter(retry_budget.BASE_BACKOFF_SECONDS)
             return self.refuse(
                 claim, 'twin-outcome-unknown', requests.Ran.UNKNOWN, wait
             )
@@ -363,7 +363,7 @@
         now: float,
     ) -> list[actions.Action]:
         """Answer a caller whose request this holder won't dispatch."""
-        wait = self.advice.failed()
+        wait = self.advice.record_failure()
         failure = self.failure(claim, code, ran, wait)
         answer = actions.SendFailure(claim.request.exchange, failure)
         return [
@@ -436,7 +436,7 @@
         if now >= claim.settle_by:
             left = self.record(claim, 'claim-left-taken', 'store away')
             return [left, *self.forget(claim)]
-        wait = self.advice.spread(SETTLE_RETRY_SECONDS)
+        wait = self.advice.add_jitter(SETTLE_RETRY_SECONDS)
         name = f'{SETTLE_TIMER}:{claim.record.holder}'
         return [actions.SetTimer(name, now + wait)]
 
--- a/src/greengagelb/coordination/calls/dispatching.py
+++ b/src/greengagelb/coordination/calls/dispatching.py
@@ -95,7 +95,7 @@
         """Dispatch a call that may run now."""
         call = Call(request, service, pool)
         self.calls[request.exchange] = call
-        self.budget.earn(request.request.account)
+        self.budget.count_first_attempt(request.request.account)
         timer = f'{DEADLINE_TIMER}:{request.exchange}'
         return [
             actions.SetTimer(timer, request.deadline),
@@ -140,7 +140,7 @@
         limited = self.directory.upstreams_if_all_limited(call.pool, now)
         names = [name for name in limited if name not in call.excluded]
         if not names:
-            return self.fail(call, 'no-upstream', self.advice.failed())
+            return self.fail(call, 'no-upstream', self.advice.record_failure())
         if call.permit_by is None:
             patience = upstream_limits.RETRY_PERMIT_WAIT_SECONDS
             call.permit_by = min(call.request.deadline, now + patience)
@@ -150,7 +150,7 @@
             wait = self.directory.limits.estimate_wait_seconds(
                 names, account, 0, now
             )
-            return self.fail(call, code, self.advice.spread(wait))
+            return self.fail(call, code, self.advice.add_jitter(wait))
         self.waiting[exchange] = call
         timer = f'{PERMIT_TIMER}:{exchange}'
         return [actions.SetTimer(timer, call.permit_by)]
@@ -235,8 +235,8 @@
         upstream = self.end_try(call, event.try_number) if call else None
         if call is None or upstream is None:
             return []
-        self.advice.succeeded()
-        self.guard.survived(call.request, now)
+        self.advice.record_success()
+        self.guard.record_survival(call.request, now)
         for silent in call.under_way.values():
             if silent.name != upstream.name:
                 self.directory.mark_suspected(silent.name, now)
@@ -262,10 +262,12 @@
         if call.under_way:
             return done
         if self.guard.must_not_run(call.request, now):
-            return done + self.fail(call, crash_guard.RAN_CODE, None)
+            return done + self.fail(call, crash_guard.BLOCKED_RAN_CODE, None)
         if self.may_repeat(call):
             return done + self.dispatch(call, now)
-        return done + self.fail(call, 'upstream-lost', self.advice.failed())
+        return done + self.fail(
+            call, 'upstream-lost', self.advice.record_failure()
+        )
 
     def suspect(
         self,
@@ -277,7 +279,7 @@
         """Have an upstream asked whether it has crashed."""
         view = self.directory.views.get(upstream.name)
         incarnation = view.incarnation if view else ''
-        return self.guard.broke_off(
+        return self.guard.suspect_upstream(
             call.request, upstream, incarnation, call.began_at[number], now
         )
 
@@ -287,7 +289,7 @@
             return False
         if call.dispatches >= MOST_DISPATCHES:
             return False
-        return self.budget.spend(call.request.request.account)
+        return self.budget.take_retry(call.request.request.account)
 
     def deadline_passed(self, exchange: int) -> list[actions.Action]:
         """Give the final answer at the caller's deadline.
@@ -307,7 +309,7 @@
         call.told = True
         give_up_at = call.request.deadline + OUTCOME_PATIENCE_SECONDS
         return [
-            *self.tell(call, 'deadline-passed', self.advice.spread(1.0)),
+            *self.tell(call, 'deadline-passed', self.advice.add_jitter(1.0)),
             actions.SetTimer(f'{OUTCOME_TIMER}:{exchange}', give_up_at),
         ]
 
--- a/src/greengagelb/coordination/fleet/membership.py
+++ b/src/greengagelb/coordination/fleet/membership.py
@@ -352,8 +352,8 @@
             tuple(sorted(notices, key=lambda e: (e.name, e.incarnation))),
             summaries,
             self.own_state.held,
-            crash_reports=crash_guard.reports_of(
-                self.own_state.suspects, now, whole=include_all
+            crash_reports=crash_guard.heartbeat_reports(
+                self.own_state.suspects, now, include_all=include_all
             ),
         )
 
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -12,8 +12,8 @@
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import timers
-from greengagelb.coordination.sharing import limit_book
 from greengagelb.coordination.sharing import limit_keeper
+from greengagelb.coordination.sharing import limit_table
 from greengagelb.coordination.sharing import permits
 from greengagelb.state import limits
 
@@ -96,7 +96,7 @@
     def rate(self, name: str) -> float | None:
         """Return the limit of an upstream in requests a second, or None."""
         life = self.limited_lives.get(name)
-        return None if life is None else self.keeper.book.rate(life)
+        return None if life is None else self.keeper.table.rate_of(life)
 
     def data_centre_of(self, life: str) -> str:
         """Return the data centre of the upstream of a life."""
@@ -122,17 +122,17 @@
         departed = self.peer_data_centres.keys() - peers.keys()
         joined = peers.keys() - self.peer_data_centres.keys()
         self.peer_data_centres = peers
-        own = self.keeper.own
+        own = self.keeper.own_incarnation
         self.keeper.parts.rank = sum(
             name < own and data_centre == self.data_centre
             for name, data_centre in peers.items()
         )
         for incarnation in departed:
-            self.keeper.left(incarnation, now)
+            self.keeper.remove_instance(incarnation, now)
         for incarnation in joined:
             if peers[incarnation] == self.data_centre:
-                for news in self.keeper.book.reports():
-                    self.keeper.tell(incarnation, news)
+                for news in self.keeper.table.list_news():
+                    self.keeper.send(incarnation, news)
 
     def handle_answer(
         self, answer: UpstreamAnswer, known: str, now: float
@@ -152,7 +152,9 @@
             )
             return [refusal]
         life = f'{name} {incarnation}'
-        news = self.keeper.named(life, said.limit, answer.asked_at, now)
+        news = self.keeper.update_from_answer(
+            life, said.limit, answer.asked_at, now
+        )
         if news is None:
             return []
         return self.apply_limit(news)
@@ -164,7 +166,7 @@
         name = upstream_of_life(news.life)
         self.limited_lives[name] = news.life
         self.changed_upstreams.add(name)
-        reason = limit_book.told(news)
+        reason = limit_table.describe_limit(news)
         if source:
             reason += f', from {source}'
         return [actions.Record('engine-limit', reason, upstream=name)]
@@ -175,7 +177,7 @@
         if life is not None and life != f'{name} {incarnation}':
             del self.limited_lives[name]
             self.unused_permits.pop(name, None)
-            self.keeper.ended(life)
+            self.keeper.forget_life(life)
             self.changed_upstreams.add(name)
 
     def handle_peer_message(
@@ -190,10 +192,10 @@
             case limits.LimitNews(life):
                 if known and life != f'{upstream_of_life(life)} {known}':
                     return []
-                if not self.keeper.told(message, now):
+                if not self.keeper.merge_news(message, now):
                     return []
                 return self.apply_limit(message, sender)
-        self.keeper.hear(sender, message, now)
+        self.keeper.handle_message(sender, message, now)
         return []
 
     def set_retry_requester(
@@ -222,10 +224,11 @@
         life = self.limited_lives[name]
         requester = self.requester
         is_backing_off = (
-            self.keeper.back_at(life, requester.account, now) is not None
+            self.keeper.next_permit_at(life, requester.account, now)
+            is not None
         )
         if name not in self.pending_requests and not is_backing_off:
-            self.pending_requests[name] = self.keeper.ask(
+            self.pending_requests[name] = self.keeper.request_permit(
                 life,
                 requester.account,
                 min(requester.deadline, now + MAX_PERMIT_WAIT_SECONDS),
@@ -245,7 +248,7 @@
         if found:
             found.pop(0)
         else:
-            self.keeper.spend(self.limited_lives[name], 1, now)
+            self.keeper.count_unpermitted(self.limited_lives[name], 1, now)
 
     def reserve_permit(self, name: str, exchange: int, now: float) -> None:
         """Reserve a permit for a request that is being claimed."""
@@ -304,10 +307,10 @@
         wait = (
             requests_ahead / available_rate
             if available_rate > 0.0
-            else permits.NO_PART_WAIT
+            else permits.NO_SHARE_WAIT_SECONDS
         )
         retry_times = [
-            self.keeper.back_at(self.limited_lives[name], account, now)
+            self.keeper.next_permit_at(self.limited_lives[name], account, now)
             for name in names
         ]
         if None in retry_times:
@@ -356,7 +359,7 @@
         for name, found in list(self.unused_permits.items()):
             for permit in found:
                 if now >= permit.expires_at or not wanted:
-                    self.keeper.give_back(permit.life, permit.granted, now)
+                    self.keeper.return_permit(permit.life, permit.granted, now)
             kept = [p for p in found if now < p.expires_at and wanted]
             self.unused_permits[name] = kept
             if not kept:
@@ -364,7 +367,7 @@
         for exchange, (_, permit) in list(self.reserved_permits.items()):
             if now >= permit.expires_at:
                 del self.reserved_permits[exchange]
-                self.keeper.give_back(permit.life, permit.granted, now)
+                self.keeper.return_permit(permit.life, permit.granted, now)
 
     def pending_actions(self, now: float) -> list[actions.Action]:
         """Return the messages to send and the timer to set, if it changed."""
@@ -374,11 +377,13 @@
         ]
         self.keeper.outgoing.clear()
         if not (
-            self.keeper.stirred or self.unused_permits or self.reserved_permits
+            self.keeper.schedule_changed
+            or self.unused_permits
+            or self.reserved_permits
         ):
             return due_actions
-        self.keeper.stirred = False
-        due_at = self.keeper.next_at(now)
+        self.keeper.schedule_changed = False
+        due_at = self.keeper.next_due_at(now)
         for found in self.unused_permits.values():
             due_at = min([due_at, *(permit.expires_at for permit in found)])
         for _, permit in self.reserved_permits.values():
@@ -394,7 +399,7 @@
     def handle_timer(self, now: float) -> None:
         """Handle the timer set by :meth:`pending_actions`."""
         self.timer_at = float('inf')
-        self.keeper.due(now)
+        self.keeper.run_due(now)
 
 
 def upstream_of_life(life: str) -> str:
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -65,7 +65,7 @@
         self.lifecycle = lifecycle.new_lifecycle(self.progress)
 
     @property
-    def running(self) -> dict[int, admission.Running]:
+    def running(self) -> dict[int, admission.RunningRequest]:
         """Return the requests that upstreams have, by exchange."""
         return self.admission.running
 
@@ -184,7 +184,7 @@
         """Handle what concerns no single request."""
         match event:
             case events.UpstreamReported():
-                crashed = self.guard.reported(event, now)
+                crashed = self.guard.handle_report(event, now)
                 self.limits.reset_for_incarnation(
                     event.engine.name, event.engine.incarnation
                 )
@@ -202,13 +202,13 @@
                 return []
             case events.UpstreamUnreachable(name):
                 self.directory.mark_suspected(name, now)
-                crashed = self.guard.unreachable(event, now)
+                crashed = self.guard.handle_unreachable(event, now)
                 return [
                     *self.crashes_found(crashed, name, now),
-                    *self.guard.ask_again(event, now),
+                    *self.guard.schedule_probe(event, now),
                 ]
             case events.CrashesHeard(reports):
-                blocked = self.guard.told(reports, now)
+                blocked = self.guard.merge_reports(reports, now)
                 return self.block(blocked, now)
             case events.UpstreamLeaving():
                 self.directory.mark_leaving(event, now)
@@ -271,7 +271,7 @@
         """Stop what runs of requests that must not run any more."""
         done: list[actions.Action] = []
         for fingerprint in fingerprints_found:
-            if self.guard.records.blocks(fingerprint, now):
+            if self.guard.records.is_blocked(fingerprint, now):
                 why = f'fingerprint {fingerprint}'
                 done.append(actions.Record('request-blocked', why))
                 done += self.streams.block(fingerprint)
@@ -285,21 +285,21 @@
         """Admit a request, let it wait, or refuse it at once."""
         request = event.request
         account = self.accounts.get(request.request.account)
-        service = arrivals.service_of(self.configuration, request)
+        service = arrivals.resolve_service(self.configuration, request)
         refusal = self.refusal(event, account, service)
         if refusal is not None or account is None or service is None:
             truthful = arrivals.truthful_answer(refusal, event, service)
             return [actions.SendFailure(request.exchange, truthful)]
         until = self.guard.blocked_until(request, now)
         if until is not None:
-            refusal = arrivals.not_run(
-                crash_guard.NOT_RUN_CODE,
+            refusal = arrivals.not_run_failure(
+                crash_guard.BLOCKED_NOT_RUN_CODE,
                 f'service {service.name}',
                 until - now,
             )
             truthful = arrivals.truthful_answer(refusal, event, service)
             return [actions.SendFailure(request.exchange, truthful)]
-        ticket = arrivals.ticket_of(event, service, now)
+        ticket = arrivals.build_ticket(event, service, now)
         resumes = isinstance(event, events.GenerationResumed)
         refusal = self.admission.refusal(ticket, account, resumes, now)
         refusal = refusal or self.limit_refusal(ticket, now)
@@ -319,7 +319,9 @@
         if now + wait <= min(ticket.deadline, ticket.start_by):
             return None
         detail = f'would have to wait for about {wait:.1f} s'
-        return self.admission.not_run(dispatching.LIMITED_CODE, detail, wait)
+        return self.admission.not_run_failure(
+            dispatching.LIMITED_CODE, detail, wait
+        )
 
     def wait_for_limits(
         self, ticket: fair_queue.Ticket, ahead: int, now: float
@@ -344,8 +346,8 @@
         """Return why a request can't be taken now, or None."""
         if self.stopping:
             detail = 'this instance is stopping'
-            return arrivals.not_run('stopping', detail, 0.0)
-        return arrivals.refusal_of(event, account, service)
+            return arrivals.not_run_failure('stopping', detail, 0.0)
+        return arrivals.find_refusal(event, account, service)
 
     def queue_timer(self, exchange: int) -> list[actions.Action]:
         """Return the timer that ends the wait of a request, if it waits.
@@ -366,13 +368,13 @@
         Tokens are by far the most frequent events, and free no place: where
         nothing has changed nothing is looked at.
         """
-        if not (self.admission.changed or self.directory.room_changed):
+        if not (self.admission.recheck_needed or self.directory.room_changed):
             return []
-        self.admission.changed = False
+        self.admission.recheck_needed = False
         self.directory.room_changed = False
         done = self.streams.recover_waiting(now)
         done += self.calls.go_on_waiting(now)
-        for key in self.admission.keys:
+        for key in self.admission.queue_keys:
             done += self.start_queue(key, now)
         return done
 
@@ -386,10 +388,10 @@
         """
         done: list[actions.Action] = []
         queue = self.admission.queues[key]
-        while (ticket := queue.head()) is not None:
+        while (ticket := queue.peek()) is not None:
             account = self.accounts.get(ticket.account)
             if account is not None and not self.admission.may_run(account):
-                self.admission.park(ticket)
+                self.admission.park_account(ticket)
                 continue
             started = self.start(ticket, account, now)
             if started is None:
@@ -406,11 +408,11 @@
         """Start a request, or return None where there is no room."""
         pool = self.configuration.find_pool(ticket.pool)
         event = self.waiting[ticket.exchange][1]
-        service = arrivals.service_of(self.configuration, event.request)
+        service = arrivals.resolve_service(self.configuration, event.request)
         if account is None or pool is None or service is None:
             return self.refuse_waiting(ticket, 'service-withdrawn', None)
-        if now + self.admission.expected_run(ticket) > ticket.deadline:
-            wait = self.admission.expected_wait(ticket)
+        if now + self.admission.expected_run_seconds(ticket) > ticket.deadline:
+            wait = self.admission.expected_wait_seconds(ticket)
             return self.refuse_waiting(ticket, 'deadline-too-near', wait)
         if ticket.priority is configuration_state.Priority.LONG and (
             self.streams.recovers_in(pool)
@@ -422,7 +424,7 @@
         )
         pool = self.directory.serving_pool(pool, ticket.priority, now)
         view = self.directory.choose_upstream(
-            pool, set(), now, ticket.priority, arrivals.prefix_of(event)
+            pool, set(), now, ticket.priority, arrivals.cache_prefix(event)
         )
         resumes = isinstance(event, events.GenerationResumed)
         if view is None and not resumes:
@@ -432,7 +434,7 @@
                 return self.refuse_waiting(ticket, code, wait)
             return None
         del self.waiting[ticket.exchange]
-        self.admission.start(ticket, account.weight, now)
+        self.admission.start_ticket(ticket, account.weight, now)
         timer = timers.timer_name(arrivals.QUEUE_TIMER, ticket.exchange)
         done: list[actions.Action] = [actions.ClearTimer(timer)]
         if arrivals.needs_claim(event, service):
@@ -458,10 +460,10 @@
         reserved_at = self.limits.unreserve_permit(request.exchange)
         if reserved_at:
             self.directory.mark_possible_room(reserved_at)
-        service = arrivals.service_of(self.configuration, request)
+        service = arrivals.resolve_service(self.configuration, request)
         pool = self.configuration.find_pool(service.pool) if service else None
         if service is None or pool is None:
-            failure = arrivals.not_run(
+            failure = arrivals.not_run_failure(
                 'service-withdrawn', request.service, None
             )
             return [actions.SendFailure(request.exchange, failure)]
@@ -473,8 +475,10 @@
             pool, set(), now, service.priority
         )
         if view is None:
-            wait = self.claims.advice.failed()
-            failure = arrivals.not_run('no-upstream', service.name, wait)
+            wait = self.claims.advice.record_failure()
+            failure = arrivals.not_run_failure(
+                'no-upstream', service.name, wait
+            )
             return [actions.SendFailure(request.exchange, failure)]
         return self.streams.begin(request, service, pool, view, now)
 
@@ -485,11 +489,11 @@
         self.admission.discard(ticket)
         _, event = self.waiting.pop(ticket.exchange)
         request = event.request
-        service = arrivals.service_of(self.configuration, request)
+        service = arrivals.resolve_service(self.configuration, request)
         timer = timers.timer_name(arrivals.QUEUE_TIMER, ticket.exchange)
-        failure = arrivals.not_run(code, ticket.pool, None)
+        failure = arrivals.not_run_failure(code, ticket.pool, None)
         if wait is not None:
-            failure = self.admission.not_run(code, ticket.pool, wait)
+            failure = self.admission.not_run_failure(code, ticket.pool, wait)
         truthful = arrivals.truthful_answer(failure, event, service)
         return [
             actions.ClearTimer(timer),
@@ -528,7 +532,7 @@
         if exchange not in self.running or self.is_in_progress(exchange):
             return
         self.claims.leave_taken(exchange)
-        self.admission.finish(exchange, completed, now)
+        self.admission.finish_exchange(exchange, completed, now)
 
     # -- other events -------------------------------------------------------
 
@@ -554,8 +558,8 @@
             case upstream_limits.LIMITS_TIMER:
                 self.limits.handle_timer(now)
                 return []
-            case crash_guard.ASK_TIMER:
-                return self.guard.ask_due(rest)
+            case crash_guard.PROBE_TIMER:
+                return self.guard.repeat_probe(rest)
             case arrivals.QUEUE_TIMER:
                 return self.queued_too_long(int(rest), now)
             case claims.DEADLINE_TIMER | claims.SETTLE_TIMER:
@@ -586,7 +590,7 @@
         if waiting is None:
             return []
         ticket, _ = waiting
-        wait = self.admission.expected_wait(ticket)
+        wait = self.admission.expected_wait_seconds(ticket)
         code = 'deadline-passed' if now >= ticket.deadline else 'wait-too-long'
         return self.refuse_waiting(ticket, code, wait)
 
--- a/src/greengagelb/coordination/relay/choosing.py
+++ b/src/greengagelb/coordination/relay/choosing.py
@@ -82,12 +82,13 @@
     ) -> list[engine_states.EngineState]:
         """Return the engines that may take a request of an account now."""
         found = self.engines.candidates(service, excluded, now)
-        if not self.keeper.book.known:
+        if not self.keeper.table.known_limits:
             return found
         return [
             state
             for state in found
-            if self.keeper.back_at(state.entry.life, account, now) is None
+            if self.keeper.next_permit_at(state.entry.life, account, now)
+            is None
         ]
 
     def back_at(
@@ -98,7 +99,7 @@
         None if there are no such engines.
         """
         found = [
-            self.keeper.back_at(state.entry.life, account, now)
+            self.keeper.next_permit_at(state.entry.life, account, now)
             for state in self.engines.candidates(service, excluded, now)
         ]
         return min((at for at in found if at is not None), default=None)
@@ -126,8 +127,8 @@
         if self.engines.erring.avoided(state.entry.engine, now):
             score += ERRING_CALL_PENALTY
         life = state.entry.life
-        if self.keeper.limited(life):
-            wait = self.keeper.expected_wait(life, now)
+        if self.keeper.is_limited(life):
+            wait = self.keeper.expected_wait_seconds(life, now)
             score += LIMITED_CALL_PENALTY + PERMIT_CALL_PENALTY * wait
         return score
 
@@ -189,9 +190,9 @@
         if state.entry.data_centre != self.data_centre:
             score += FAR_STREAM_SECONDS
         life = state.entry.life
-        if self.keeper.limited(life):
+        if self.keeper.is_limited(life):
             score += LIMITED_STREAM_SECONDS
-            score += self.keeper.expected_wait(life, now)
+            score += self.keeper.expected_wait_seconds(life, now)
         room = service.engines.memory_tokens if service.engines else 0
         # A configuration need not say how much memory its engines have.
         if room > 0:
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -11,7 +11,7 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import events as relay_events
-from greengagelb.coordination.sharing import crashes
+from greengagelb.coordination.sharing import crash_records
 from greengagelb.coordination.sharing import suspicions
 from greengagelb.state import crashes as crash_state
 from greengagelb.state.relay import engines
@@ -57,14 +57,14 @@
     """
 
     def __init__(self) -> None:
-        self.records = crashes.CrashRecords()
+        self.records = crash_records.CrashRecords()
         self.suspicions = suspicions.Suspicions()
         self.questions: dict[str, Question] = {}
         self.ask_peers_at = float('-inf')
 
     def blocks(self, exchange: exchanges.Exchange, now: float) -> bool:
         """Return whether a request must not be sent any more."""
-        return self.records.blocks(exchange.fingerprint, now)
+        return self.records.is_blocked(exchange.fingerprint, now)
 
     # -- runs that broke off ------------------------------------------------
 
@@ -80,7 +80,7 @@
         suspicion = suspicions.Suspicion(
             exchange.fingerprint, life, began_at, now
         )
-        self.suspicions.forget_old(now)
+        self.suspicions.forget_expired(now)
         self.suspicions.add(life, suspicion)
         if life in self.questions:
             return []
@@ -94,11 +94,13 @@
 
         It does if it must run no more should those that are asked have ended.
         """
-        suspected = self.suspicions.crashes_of(exchange.fingerprint)
+        suspected = self.suspicions.suspected_crashes(exchange.fingerprint)
         asked = [life for life in suspected if life in self.questions]
         if not asked:
             return False
-        if not self.records.would_block(exchange.fingerprint, suspected, now):
+        if not self.records.would_be_blocked(
+            exchange.fingerprint, suspected, now
+        ):
             return False
         self.questions[asked[-1]].held.append((exchange.number, sent))
         return True
@@ -110,15 +112,15 @@
         life = event.entry.life
         question = self.questions.get(life)
         if event.fate is relay_events.EngineFate.UNKNOWN and (
-            question is not None and question.asked < suspicions.MOST_QUESTIONS
+            question is not None and question.asked < suspicions.MAX_PROBES
         ):
-            again_at = now + suspicions.ASK_AGAIN_SECONDS
+            again_at = now + suspicions.PROBE_RETRY_SECONDS
             return actions.SetTimer(f'{ASK_TIMER}:{life}', again_at)
         self.questions.pop(life, None)
-        found = self.suspicions.ended(life, now)
+        found = self.suspicions.pop_suspicions(life, now)
         if event.fate is not relay_events.EngineFate.ENDED:
             found = []
-        counted = suspicions.count(found, self.records, now)
+        counted = suspicions.count_crashes(found, self.records, now)
         held = question.held if question is not None else []
         return Verdict(tuple(counted), tuple(held))
 
@@ -138,9 +140,9 @@
         Returns what the others have to know.
         """
         fingerprint = exchange.fingerprint
-        if not self.records.survived(fingerprint, now, now):
+        if not self.records.record_survival(fingerprint, now, now):
             return []
-        return [self.records.report(fingerprint, now)]
+        return [self.records.build_report(fingerprint, now)]
 
     # -- other instances ----------------------------------------------------
 
@@ -153,5 +155,8 @@
 
     def reports(self, now: float) -> list[crash_state.CrashReport]:
         """Return what an instance is told that asks."""
-        names = [*self.records.worst(), *self.records.cleared()]
-        return [self.records.report(name, now) for name in names]
+        names = [
+            *self.records.worst_fingerprints(),
+            *self.records.cleared_fingerprints(),
+        ]
+        return [self.records.build_report(name, now) for name in names]
--- a/src/greengagelb/coordination/relay/crashing.py
+++ b/src/greengagelb/coordination/relay/crashing.py
@@ -64,11 +64,11 @@
             return [verdict]
         done: list[Action] = []
         for fingerprint in verdict.counted:
-            report = self.watch.records.report(fingerprint, now)
+            report = self.watch.records.build_report(fingerprint, now)
             self.parts.sends.untold.append(report)
             done.append(told_crash(report, event))
             done += self.retell_later(fingerprint, now)
-            if self.watch.records.blocks(fingerprint, now):
+            if self.watch.records.is_blocked(fingerprint, now):
                 done.append(relay_actions.KeepCrashes(report))
                 done += self.block(fingerprint, now)
         for number, sent in verdict.held:
@@ -86,7 +86,7 @@
         """Tell the others once more what is known of a request."""
         fingerprint = rest.partition(' ')[2]
         if fingerprint in self.watch.records.histories:
-            report = self.watch.records.report(fingerprint, now)
+            report = self.watch.records.build_report(fingerprint, now)
             self.parts.sends.untold.append(report)
         return []
 
@@ -128,7 +128,7 @@
         self, report: crash_state.CrashReport, now: float
     ) -> list[Action]:
         """Take in what another instance or the store knows of a request."""
-        if not self.watch.records.told(report, now):
+        if not self.watch.records.merge_report(report, now):
             return []
         return self.block(report.fingerprint, now)
 
@@ -158,9 +158,9 @@
         if not self.sharing.reads_for_all:
             return done
         kept = {report.fingerprint for report in reports}
-        blocked = set(self.watch.records.blocked(now))
+        blocked = set(self.watch.records.blocked_fingerprints(now))
         for fingerprint in sorted(blocked - kept):
-            report = self.watch.records.report(fingerprint, now)
+            report = self.watch.records.build_report(fingerprint, now)
             done.append(relay_actions.KeepCrashes(report))
         for fingerprint in sorted(kept - blocked):
             done.append(relay_actions.DropCrashes(fingerprint))
--- a/src/greengagelb/coordination/relay/held_sends.py
+++ b/src/greengagelb/coordination/relay/held_sends.py
@@ -67,7 +67,7 @@
 
     def needed(self, state: engine_states.EngineState) -> bool:
         """Return whether an engine gets requests by permits only."""
-        return self.keeper.limited(state.entry.life)
+        return self.keeper.is_limited(state.entry.life)
 
     def hold(
         self,
@@ -85,7 +85,9 @@
             patience = step.patience
         deadline = min(now + patience, exchange.ruling.deadline)
         account = exchange.ruling.account
-        number = self.keeper.ask(life, account, deadline, now, urgent=urgent)
+        number = self.keeper.request_permit(
+            life, account, deadline, now, urgent=urgent
+        )
         self.waiting[number] = Held(
             exchange.number, state.entry.engine, life, step
         )
--- a/src/greengagelb/coordination/relay/limited.py
+++ b/src/greengagelb/coordination/relay/limited.py
@@ -8,8 +8,8 @@
 from greengagelb.coordination.relay import held_sends
 from greengagelb.coordination.relay import sending
 from greengagelb.coordination.relay import streams
-from greengagelb.coordination.sharing import limit_book
 from greengagelb.coordination.sharing import limit_keeper
+from greengagelb.coordination.sharing import limit_table
 from greengagelb.state import limits
 from greengagelb.state.relay import engine_states
 from greengagelb.state.relay import exchanges
@@ -50,12 +50,15 @@
             case limits.LimitNews(life):
                 if not self.is_current(life, now):
                     return []
-                if not self.keeper.told(message, now):
+                if not self.keeper.merge_news(message, now):
                     return []
-                why = f'{limit_book.told(message)}, from {incarnation}'
+                why = (
+                    f'{limit_table.describe_limit(message)}, '
+                    f'from {incarnation}'
+                )
                 engine = self.parts.engines.of_life(life).entry.engine
                 return [actions.Record('engine-limit', why, upstream=engine)]
-        self.keeper.hear(incarnation, message, now)
+        self.keeper.handle_message(incarnation, message, now)
         return []
 
     def is_current(self, life: str, now: float) -> bool:
@@ -70,7 +73,7 @@
     def settle(self, done: list[Action], now: float) -> list[Action]:
         """Do what follows from an event, and from what it led to."""
         keeper = self.keeper
-        if keeper.book.known:
+        if keeper.table.known_limits:
             self.count_questions(done, now)
             self.tidy(now)
         more: list[Action] = []
@@ -88,10 +91,10 @@
 
     def set_timer(self, now: float) -> list[Action]:
         """Return the timer that has the keeper do what is due."""
-        if not self.keeper.stirred:
+        if not self.keeper.schedule_changed:
             return []
-        self.keeper.stirred = False
-        due_at = self.keeper.next_at(now)
+        self.keeper.schedule_changed = False
+        due_at = self.keeper.next_due_at(now)
         if due_at == self.timer_at:
             return []
         self.timer_at = due_at
@@ -102,7 +105,7 @@
     def due(self, now: float) -> list[Action]:
         """Have the keeper do what it is time for."""
         self.timer_at = float('inf')
-        self.keeper.due(now)
+        self.keeper.run_due(now)
         return []
 
     def count_questions(self, done: list[Action], now: float) -> None:
@@ -113,17 +116,17 @@
                     relay_actions.ProbeEngine(engine=entry)
                     | relay_actions.CheckEngine(entry=entry)
                     | relay_actions.CopyRun(source=entry)
-                ) if self.keeper.limited(entry.life):
-                    self.keeper.spend(entry.life, 1, now)
+                ) if self.keeper.is_limited(entry.life):
+                    self.keeper.count_unpermitted(entry.life, 1, now)
 
     def tidy(self, now: float) -> None:
         """Forget limits of lives that are over."""
         if now < self.tidy_at:
             return
         self.tidy_at = now + TIDY_SECONDS
-        for life in list(self.keeper.book.known):
+        for life in list(self.keeper.table.known_limits):
             if not self.is_current(life, now):
-                self.keeper.ended(life)
+                self.keeper.forget_life(life)
 
     # -- outcomes -----------------------------------------------------------
 
@@ -141,7 +144,7 @@
             case limit_keeper.Granted():
                 done = self.granted(held, exchange, now)
                 if not any(is_sent_to(held.life, action) for action in done):
-                    self.keeper.give_back(held.life, outcome, now)
+                    self.keeper.return_permit(held.life, outcome, now)
                 return done
             case limit_keeper.Denied() if exchange is not None:
                 why = self.why(held, outcome, now)
@@ -222,7 +225,7 @@
         now: float,
     ) -> str:
         """Return which limit stood in the way, its age and who had it."""
-        known = self.keeper.book.known.get(held.life)
+        known = self.keeper.table.known_limits.get(held.life)
         limit = 'no limit any more'
         if known is not None and known.rate is not None:
             age = now - known.known_at
--- a/src/greengagelb/coordination/relay/peer_words.py
+++ b/src/greengagelb/coordination/relay/peer_words.py
@@ -65,13 +65,18 @@
                 self.fleet.greeted(incarnation, now)
                 done += forgotten(self.fleet.tidy(now))
                 done += self.crashing.heard(incarnation, known.crashes, now)
-                self.keeper.ranking.heard(incarnation)
-                self.keeper.differs(incarnation, known.limits, now)
+                self.keeper.ranking.mark_alive(incarnation)
+                self.keeper.request_news_if_different(
+                    incarnation, known.limits, now
+                )
             case relay_events.PeerLeft(incarnation):
                 done += forgotten(self.fleet.left(incarnation, now))
-                self.keeper.left(incarnation, now)
+                self.keeper.remove_instance(incarnation, now)
         self.budget.resize(self.fleet.size, 1 + len(self.fleet.heard_at))
-        if self.fleet.listed and self.fleet.size != self.keeper.parts.size:
+        if (
+            self.fleet.listed
+            and self.fleet.size != self.keeper.parts.instance_count
+        ):
             seconds = self.fleet.heartbeat_seconds
             self.keeper.parts.rank = self.fleet.rank
             self.keeper.resize(self.fleet.size, seconds, now)
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -157,7 +157,7 @@
     def digests(self) -> hints.Digests:
         """Return what tells others whether they know the same."""
         return hints.Digests(
-            self.crashes.records.digest(), self.keeper.book.digest()
+            self.crashes.records.digest(), self.keeper.table.digest()
         )
 
     @property
@@ -282,7 +282,7 @@
                 'refused', why, identity.RequestId('', request.request_id)
             )
             return [told, ruling]
-        fingerprint = fingerprints.of_relayed(request, ruling.account)
+        fingerprint = fingerprints.for_relayed_request(request, ruling.account)
         exchange = exchanges.Exchange(request, ruling, fingerprint)
         self.exchanges[request.exchange] = exchange
         self.budget.count_request(ruling.service.name, now)
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -8,8 +8,8 @@
 from greengagelb.coordination.relay import budget
 from greengagelb.coordination.relay import directory
 from greengagelb.coordination.relay import loads
-from greengagelb.coordination.sharing import limit_book
 from greengagelb.coordination.sharing import limit_keeper
+from greengagelb.coordination.sharing import limit_table
 from greengagelb.state import identity
 from greengagelb.state import limits
 from greengagelb.state.relay import engine_states
@@ -124,10 +124,19 @@
         if isinstance(head.limit, limits.Unusable):
             why = f'limit-unusable: {head.limit.text}'
             return [record(exchange, sent, 'engine-limit-refused', why)]
-        news = self.keeper.named(life, head.limit, sent.began_at, now)
+        news = self.keeper.update_from_answer(
+            life, head.limit, sent.began_at, now
+        )
         if news is None:
             return []
-        return [record(exchange, sent, 'engine-limit', limit_book.told(news))]
+        return [
+            record(
+                exchange,
+                sent,
+                'engine-limit',
+                limit_table.describe_limit(news),
+            )
+        ]
 
     def priority_of(self, exchange: exchanges.Exchange) -> int:
         """Return an engine's priority for a send, 0 the most urgent.
@@ -154,7 +163,7 @@
             f'runs {work.runs}',
             f'tokens {work.memory_tokens}',
         ]
-        known = self.keeper.book.known.get(state.entry.life)
+        known = self.keeper.table.known_limits.get(state.entry.life)
         if known is not None and known.rate is not None:
             age = sent.began_at - known.known_at
             parts.append(f'limit {known.rate:g} known for {age:.3f} s')
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -53,11 +53,11 @@
     ) -> None:
         self.parts = parts
         self.successors = successors
-        self.pace = rates.Pace()
+        self.pace = rates.DurationEstimate()
 
     def expected_seconds(self, exchange: exchanges.Exchange) -> float:
         """Return how long a stream takes that begins now; rarely longer."""
-        return self.pace.most_seconds(cost_of(exchange))
+        return self.pace.conservative_seconds(cost_of(exchange))
 
     def begin(self, exchange: exchanges.Exchange, now: float) -> list[Action]:
         """Start a stream, or go on where the caller's last one broke."""
--- a/src/greengagelb/coordination/sharing/admission.py
+++ b/src/greengagelb/coordination/sharing/admission.py
@@ -15,8 +15,8 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 
-RETRY_AFTER_SECONDS = 1.0
-MOST_RETRY_AFTER_SECONDS = 120.0
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 120.0
 SECONDS_PER_MINUTE = 60.0
 # The wait is estimated from means. At five times capacity, without a margin,
 # a fifth of the long work that was let in waited only to be refused; with it
@@ -27,14 +27,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Running:
+class RunningRequest:
     """A request that has been given to an upstream, and when."""
 
     ticket: fair_queue.Ticket
     started_at: float
 
 
-def key_of(ticket: fair_queue.Ticket) -> QueueKey:
+def queue_key(ticket: fair_queue.Ticket) -> QueueKey:
     """Return the key of the queue that a ticket waits in."""
     return (ticket.pool, ticket.priority)
 
@@ -50,25 +50,33 @@
         self.rng = rng
         self.live_instances = 1
         self.queues: dict[QueueKey, fair_queue.FairQueue] = {}
-        self.keys: list[QueueKey] = []
-        self.running: dict[int, Running] = {}
-        self.running_of: collections.Counter[str] = collections.Counter()
-        self.running_in: collections.Counter[QueueKey] = collections.Counter()
-        self.queued_of: collections.Counter[str] = collections.Counter()
-        self.paces: dict[QueueKey, rates.Pace] = {}
-        self.paces_of: dict[tuple[QueueKey, str], rates.Pace] = {}
+        self.queue_keys: list[QueueKey] = []
+        self.running: dict[int, RunningRequest] = {}
+        self.running_per_account: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self.running_per_queue: collections.Counter[QueueKey] = (
+            collections.Counter()
+        )
+        self.queued_per_account: collections.Counter[str] = (
+            collections.Counter()
+        )
+        self.duration_estimates: dict[QueueKey, rates.DurationEstimate] = {}
+        self.account_duration_estimates: dict[
+            tuple[QueueKey, str], rates.DurationEstimate
+        ] = {}
         self.rate_buckets: dict[str, rates.CostBucket] = {}
         self.resume_buckets: dict[str, rates.CostBucket] = {}
-        self.changed = False
+        self.recheck_needed = False
 
     # -- limits -------------------------------------------------------------
 
     def resize(self, live_instances: int) -> None:
         """Share the limits of the data centre between its instances."""
         self.live_instances = max(1, live_instances)
-        self.unpark_all()
+        self.unpark_all_accounts()
 
-    def most_running(self, account: configuration_state.ClientAccount) -> int:
+    def max_running(self, account: configuration_state.ClientAccount) -> int:
         """Return this instance's part of the account's limit.
 
         At least one: a limit below the number of instances is exceeded by
@@ -79,41 +87,41 @@
 
     def may_run(self, account: configuration_state.ClientAccount) -> bool:
         """Return whether one more request of the account may run."""
-        limit = self.most_running(account)
-        return self.running_of[account.name] < limit
+        limit = self.max_running(account)
+        return self.running_per_account[account.name] < limit
 
     def refusal(
         self,
         ticket: fair_queue.Ticket,
         account: configuration_state.ClientAccount,
-        resumes: bool,
+        is_resume: bool,
         now: float,
     ) -> requests.Failure | None:
         """Return why a request is refused at once, or None to let it wait.
 
         The rate is taken last, so that a refused request uses none of it.
         """
-        if self.queued_of[account.name] >= account.most_queued:
-            return self.not_run(
+        if self.queued_per_account[account.name] >= account.most_queued:
+            return self.not_run_failure(
                 'account-queue-full',
                 f'{account.most_queued} requests wait already',
-                self.expected_wait(ticket),
+                self.expected_wait_seconds(ticket),
             )
-        wait = self.expected_wait(ticket)
-        latest = now + WAIT_MARGIN * wait + self.expected_run(ticket)
+        wait = self.expected_wait_seconds(ticket)
+        latest = now + WAIT_MARGIN * wait + self.expected_run_seconds(ticket)
         if latest > ticket.deadline:
-            return self.not_run(
+            return self.not_run_failure(
                 'deadline-too-near',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
             )
         if now + WAIT_MARGIN * wait > ticket.start_by:
-            return self.not_run(
+            return self.not_run_failure(
                 'wait-too-long',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
             )
-        if resumes:
+        if is_resume:
             return self.resume_refusal(account, now)
         return self.rate_refusal(ticket, account, now)
 
@@ -134,7 +142,9 @@
         wait = bucket.take(ticket.cost, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run('account-rate-exceeded', account.name, wait)
+        return self.not_run_failure(
+            'account-rate-exceeded', account.name, wait
+        )
 
     def resume_refusal(
         self, account: configuration_state.ClientAccount, now: float
@@ -153,32 +163,36 @@
         wait = bucket.take(1.0, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run('resume-budget-spent', account.name, wait)
+        return self.not_run_failure('resume-budget-spent', account.name, wait)
 
-    def not_run(self, code: str, detail: str, wait: float) -> requests.Failure:
+    def not_run_failure(
+        self, code: str, detail: str, wait: float
+    ) -> requests.Failure:
         """Return a refusal that tells when to come back.
 
         Without jitter all refused callers would come back at the same time
         and be refused again.
         """
-        base = min(max(RETRY_AFTER_SECONDS, wait), MOST_RETRY_AFTER_SECONDS)
+        base = min(max(MIN_RETRY_AFTER_SECONDS, wait), MAX_RETRY_AFTER_SECONDS)
         seconds = base * self.rng.uniform(1.0, 2.0)
         return requests.Failure(code, requests.Ran.NO, detail, seconds)
 
     # -- estimates ----------------------------------------------------------
 
-    def expected_wait(self, ticket: fair_queue.Ticket) -> float:
+    def expected_wait_seconds(self, ticket: fair_queue.Ticket) -> float:
         """Return the seconds until a new ticket starts, as far as known.
 
         What runs now tells how many places this instance can use: while
         something waits, all of them are in use.
         """
-        key = key_of(ticket)
-        pace = self.paces.get(key)
-        running = self.running_in[key]
-        if pace is None or not running:
+        key = queue_key(ticket)
+        duration_estimate = self.duration_estimates.get(key)
+        running = self.running_per_queue[key]
+        if duration_estimate is None or not running:
             return 0.0
-        return pace.mean_seconds(self.cost_before(ticket)) / running
+        return (
+            duration_estimate.mean_seconds(self.cost_before(ticket)) / running
+        )
 
     def cost_before(self, ticket: fair_queue.Ticket) -> float:
         """Return the waiting cost that goes before a new ticket."""
@@ -189,104 +203,116 @@
             if priority == ticket.priority:
                 cost += queue.cost_before(ticket.account)
             else:
-                cost += queue.cost
+                cost += queue.waiting_cost
         return cost
 
     def waiting_before(self, ticket: fair_queue.Ticket) -> int:
         """Return how many requests are likely to start before a new one."""
-        queue = self.queues.get(key_of(ticket))
+        queue = self.queues.get(queue_key(ticket))
         if queue is None or not queue.size:
             return 0
-        own = queue.lines.get(ticket.account)
-        mine = len(own.waiting) if own is not None else 0
-        return min(queue.size, (mine + 1) * max(1, queue.active))
+        account_queue = queue.account_queues.get(ticket.account)
+        own_waiting = (
+            len(account_queue.waiting) if account_queue is not None else 0
+        )
+        return min(
+            queue.size, (own_waiting + 1) * max(1, queue.active_accounts)
+        )
 
-    def expected_run(self, ticket: fair_queue.Ticket) -> float:
+    def expected_run_seconds(self, ticket: fair_queue.Ticket) -> float:
         """Return the seconds that a request may run, as far as known.
 
         The account's own requests tell it, where there were any: one
         account's slow requests must not have the others' refused.
         """
-        key = key_of(ticket)
-        pace = self.paces_of.get((key, ticket.account)) or self.paces.get(key)
-        if pace is None:
+        key = queue_key(ticket)
+        duration_estimate = self.account_duration_estimates.get(
+            (key, ticket.account)
+        ) or self.duration_estimates.get(key)
+        if duration_estimate is None:
             return 0.0
-        return pace.most_seconds(ticket.cost)
+        return duration_estimate.conservative_seconds(ticket.cost)
 
     # -- moves --------------------------------------------------------------
 
     def push(self, ticket: fair_queue.Ticket) -> None:
         """Let a ticket wait."""
-        key = key_of(ticket)
+        key = queue_key(ticket)
         if key not in self.queues:
             self.queues[key] = fair_queue.FairQueue()
-            self.keys = sorted(self.queues, key=lambda k: (k[1], k[0]))
+            self.queue_keys = sorted(self.queues, key=lambda k: (k[1], k[0]))
         self.queues[key].push(ticket)
-        self.queued_of[ticket.account] += 1
-        self.changed = True
+        self.queued_per_account[ticket.account] += 1
+        self.recheck_needed = True
 
-    def start(
+    def start_ticket(
         self, ticket: fair_queue.Ticket, weight: int, now: float
     ) -> None:
         """Take a head out of its queue and count it as running."""
-        key = key_of(ticket)
+        key = queue_key(ticket)
         self.queues[key].pop(weight)
-        self.queued_of[ticket.account] -= 1
-        self.running[ticket.exchange] = Running(ticket, now)
-        self.running_of[ticket.account] += 1
-        self.running_in[key] += 1
+        self.queued_per_account[ticket.account] -= 1
+        self.running[ticket.exchange] = RunningRequest(ticket, now)
+        self.running_per_account[ticket.account] += 1
+        self.running_per_queue[key] += 1
 
-    def park(self, ticket: fair_queue.Ticket) -> None:
+    def park_account(self, ticket: fair_queue.Ticket) -> None:
         """Set the ticket's account aside until one of its requests ends."""
-        self.queues[key_of(ticket)].park(ticket.account)
+        self.queues[queue_key(ticket)].park_account(ticket.account)
 
     def keep_accounts(self, names: set[str]) -> None:
         """Forget what is known of accounts that no longer exist."""
         for buckets in (self.rate_buckets, self.resume_buckets):
             for name in buckets.keys() - names:
                 del buckets[name]
-        for key in list(self.paces_of):
+        for key in list(self.account_duration_estimates):
             if key[1] not in names:
-                del self.paces_of[key]
-        self.unpark_all()
+                del self.account_duration_estimates[key]
+        self.unpark_all_accounts()
 
-    def unpark_all(self) -> None:
+    def unpark_all_accounts(self) -> None:
         """Let every account compete again: limits have changed."""
         for queue in self.queues.values():
-            for account in list(queue.lines):
-                queue.unpark(account)
-        self.changed = True
+            for account in list(queue.account_queues):
+                queue.unpark_account(account)
+        self.recheck_needed = True
 
     def discard(self, ticket: fair_queue.Ticket) -> None:
         """Forget a ticket that waits."""
-        queue = self.queues[key_of(ticket)]
+        queue = self.queues[queue_key(ticket)]
         queue.discard(ticket.account, ticket.exchange)
-        self.queued_of[ticket.account] -= 1
+        self.queued_per_account[ticket.account] -= 1
 
-    def finish(self, exchange: int, completed: bool, now: float) -> None:
+    def finish_exchange(
+        self, exchange: int, completed: bool, now: float
+    ) -> None:
         """Count a request as no longer running.
 
         ``completed`` tells that its time counts for the pace. Callers that
         hang up at once would make the engines look faster than they are.
         """
-        ended = self.running.pop(exchange, None)
-        if ended is None:
+        finished = self.running.pop(exchange, None)
+        if finished is None:
             return
-        ticket = ended.ticket
-        key = key_of(ticket)
-        self.running_of[ticket.account] -= 1
-        self.running_in[key] -= 1
+        ticket = finished.ticket
+        key = queue_key(ticket)
+        self.running_per_account[ticket.account] -= 1
+        self.running_per_queue[key] -= 1
         if completed:
-            self.learn_pace(ticket, now - ended.started_at)
+            self.observe_duration(ticket, now - finished.started_at)
         for queue in self.queues.values():
-            queue.unpark(ticket.account)
-        self.changed = True
+            queue.unpark_account(ticket.account)
+        self.recheck_needed = True
 
-    def learn_pace(self, ticket: fair_queue.Ticket, seconds: float) -> None:
+    def observe_duration(
+        self, ticket: fair_queue.Ticket, seconds: float
+    ) -> None:
         """Take in how long a request of an account has run."""
-        key = key_of(ticket)
-        own = (key, ticket.account)
-        self.paces.setdefault(key, rates.Pace()).observe(seconds, ticket.cost)
-        self.paces_of.setdefault(own, rates.Pace()).observe(
-            seconds, ticket.cost
-        )
+        key = queue_key(ticket)
+        account_key = (key, ticket.account)
+        self.duration_estimates.setdefault(
+            key, rates.DurationEstimate()
+        ).observe(seconds, ticket.cost)
+        self.account_duration_estimates.setdefault(
+            account_key, rates.DurationEstimate()
+        ).observe(seconds, ticket.cost)
--- a/src/greengagelb/coordination/sharing/arrivals.py
+++ b/src/greengagelb/coordination/sharing/arrivals.py
@@ -23,7 +23,7 @@
 )
 
 
-def service_of(
+def resolve_service(
     configuration: configuration_state.Configuration,
     request: requests.GenerationRequest | requests.CallRequest,
 ) -> configuration_state.Service | None:
@@ -38,7 +38,7 @@
     return dataclasses.replace(service, priority=request.priority)
 
 
-def ticket_of(
+def build_ticket(
     event: Arrival,
     service: configuration_state.Service,
     now: float,
@@ -55,44 +55,46 @@
         event.request.request.account,
         service.pool,
         priority,
-        cost_of(event),
+        estimate_cost(event),
         event.request.deadline,
         now + service.most_wait if service.most_wait else float('inf'),
     )
 
 
-def refusal_of(
+def find_refusal(
     event: Arrival,
     account: configuration_state.ClientAccount | None,
     service: configuration_state.Service | None,
 ) -> requests.Failure | None:
     """Return why a request can't be taken, or None."""
     if account is None:
-        return not_run('unknown-account', 'no such client account', None)
+        return not_run_failure(
+            'unknown-account', 'no such client account', None
+        )
     if service is None or service.name not in account.services:
-        return not_run('unknown-service', 'no such service', None)
-    wanted = (
+        return not_run_failure('unknown-service', 'no such service', None)
+    expected_kind = (
         configuration_state.ServiceKind.CALL
         if isinstance(event, events.CallSubmitted)
         else configuration_state.ServiceKind.GENERATION
     )
-    if service.kind is not wanted:
-        return not_run('wrong-service-kind', service.kind.value, None)
+    if service.kind is not expected_kind:
+        return not_run_failure('wrong-service-kind', service.kind.value, None)
     return None
 
 
-def cost_of(event: Arrival) -> float:
+def estimate_cost(event: Arrival) -> float:
     """Return what a request may use, in tokens."""
     match event:
         case events.CallSubmitted():
             return 1.0
         case events.GenerationResumed():
-            prompt = len(event.request.prompt) / CHARACTERS_PER_TOKEN
-            left = event.request.most_tokens - len(event.received)
-            return prompt + max(1, left)
+            prompt_tokens = len(event.request.prompt) / CHARACTERS_PER_TOKEN
+            remaining_tokens = event.request.most_tokens - len(event.received)
+            return prompt_tokens + max(1, remaining_tokens)
         case _:
-            prompt = len(event.request.prompt) / CHARACTERS_PER_TOKEN
-            return prompt + event.request.most_tokens
+            prompt_tokens = len(event.request.prompt) / CHARACTERS_PER_TOKEN
+            return prompt_tokens + event.request.most_tokens
 
 
 def needs_claim(event: Arrival, service: configuration_state.Service) -> bool:
@@ -121,14 +123,14 @@
     return claims.truthful(failure, event.request, service)
 
 
-def not_run(
+def not_run_failure(
     code: str, detail: str, retry_after: float | None
 ) -> requests.Failure:
     """Return a failure for a request that was never handed on."""
     return requests.Failure(code, requests.Ran.NO, detail, retry_after)
 
 
-def prefix_of(event: Arrival) -> str:
+def cache_prefix(event: Arrival) -> str:
     """Return what requests have in common that share a cached prefix.
 
     It is scoped by client account, so that no account can learn from its
--- a/src/greengagelb/coordination/sharing/fair_queue.py
+++ b/src/greengagelb/coordination/sharing/fair_queue.py
@@ -16,7 +16,7 @@
 from greengagelb import errors
 from greengagelb.state import configuration as configuration_state
 
-NOT_READY = 0
+NO_HEAP_ENTRY = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AccountLine:
+class AccountQueue:
     """An account's waiting tickets, oldest first, and its service so far.
 
     ``finish`` is in virtual time. ``serial`` names the line's entry in the
@@ -46,15 +46,15 @@
     """
 
     account: str
-    finish: float = 0.0
-    cost: float = 0.0
-    serial: int = NOT_READY
+    virtual_finish: float = 0.0
+    waiting_cost: float = 0.0
+    heap_serial: int = NO_HEAP_ENTRY
     parked: bool = False
     waiting: collections.OrderedDict[int, Ticket] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
 
-    def first(self) -> Ticket:
+    def oldest_ticket(self) -> Ticket:
         """Return the oldest ticket."""
         return next(iter(self.waiting.values()))
 
@@ -69,111 +69,131 @@
 
     def __init__(self) -> None:
         self.virtual_time = 0.0
-        self.lines: dict[str, AccountLine] = {}
+        self.account_queues: dict[str, AccountQueue] = {}
         self.heap: list[tuple[float, int, str]] = []
-        self.serials = itertools.count(NOT_READY + 1)
+        self.heap_serials = itertools.count(NO_HEAP_ENTRY + 1)
         self.size = 0
-        self.cost = 0.0
-        self.active = 0
-        self.pops_since_sweep = 0
+        self.waiting_cost = 0.0
+        self.active_accounts = 0
+        self.pops_since_cleanup = 0
 
     def push(self, ticket: Ticket) -> None:
         """Append a ticket to its account's line."""
-        line = self.lines.setdefault(
-            ticket.account, AccountLine(ticket.account)
+        account_queue = self.account_queues.setdefault(
+            ticket.account, AccountQueue(ticket.account)
         )
-        if not line.waiting:
-            line.finish = max(line.finish, self.virtual_time)
-            self.active += 1
-        line.waiting[ticket.exchange] = ticket
-        line.cost += ticket.cost
+        if not account_queue.waiting:
+            account_queue.virtual_finish = max(
+                account_queue.virtual_finish, self.virtual_time
+            )
+            self.active_accounts += 1
+        account_queue.waiting[ticket.exchange] = ticket
+        account_queue.waiting_cost += ticket.cost
         self.size += 1
-        self.cost += ticket.cost
-        self.make_ready(line)
+        self.waiting_cost += ticket.cost
+        self.schedule_account(account_queue)
 
-    def head(self) -> Ticket | None:
+    def peek(self) -> Ticket | None:
         """Return the ticket that is next, without taking it."""
         while self.heap:
-            _, serial, account = self.heap[0]
-            line = self.lines.get(account)
-            if line is not None and line.serial == serial:
-                return line.first()
+            _, heap_serial, account = self.heap[0]
+            account_queue = self.account_queues.get(account)
+            if (
+                account_queue is not None
+                and account_queue.heap_serial == heap_serial
+            ):
+                return account_queue.oldest_ticket()
             heapq.heappop(self.heap)
         return None
 
     def pop(self, weight: int) -> Ticket:
         """Take the next ticket and charge its account by its weight."""
-        ticket = self.head()
+        ticket = self.peek()
         if ticket is None:
             raise errors.InvariantViolated('pop from an empty fair queue')
         heapq.heappop(self.heap)
-        line = self.lines[ticket.account]
-        line.serial = NOT_READY
-        self.virtual_time = max(self.virtual_time, line.finish)
-        line.finish += ticket.cost / weight
-        self.remove(line, ticket.exchange)
-        self.make_ready(line)
-        self.sweep()
+        account_queue = self.account_queues[ticket.account]
+        account_queue.heap_serial = NO_HEAP_ENTRY
+        self.virtual_time = max(
+            self.virtual_time, account_queue.virtual_finish
+        )
+        account_queue.virtual_finish += ticket.cost / weight
+        self.remove_ticket(account_queue, ticket.exchange)
+        self.schedule_account(account_queue)
+        self.drop_idle_accounts()
         return ticket
 
     def discard(self, account: str, exchange: int) -> None:
         """Drop the ticket of an exchange that nobody waits for."""
-        line = self.lines.get(account)
-        if line is None or exchange not in line.waiting:
+        account_queue = self.account_queues.get(account)
+        if account_queue is None or exchange not in account_queue.waiting:
             return
-        self.remove(line, exchange)
-        if not line.waiting:
-            line.serial = NOT_READY
+        self.remove_ticket(account_queue, exchange)
+        if not account_queue.waiting:
+            account_queue.heap_serial = NO_HEAP_ENTRY
 
-    def remove(self, line: AccountLine, exchange: int) -> None:
+    def remove_ticket(
+        self, account_queue: AccountQueue, exchange: int
+    ) -> None:
         """Take a ticket out of its line and out of the sums."""
-        ticket = line.waiting.pop(exchange)
-        line.cost -= ticket.cost
+        ticket = account_queue.waiting.pop(exchange)
+        account_queue.waiting_cost -= ticket.cost
         self.size -= 1
-        self.cost -= ticket.cost
-        if not line.waiting:
-            self.active -= 1
-            line.cost = 0.0
+        self.waiting_cost -= ticket.cost
+        if not account_queue.waiting:
+            self.active_accounts -= 1
+            account_queue.waiting_cost = 0.0
         if not self.size:
-            self.cost = 0.0
+            self.waiting_cost = 0.0
 
-    def park(self, account: str) -> None:
+    def park_account(self, account: str) -> None:
         """Set an account aside that may not run more at the moment.
 
         If its tickets stayed at the head, every other account would wait for
         it with engines free.
         """
-        line = self.lines[account]
-        line.parked = True
-        line.serial = NOT_READY
+        account_queue = self.account_queues[account]
+        account_queue.parked = True
+        account_queue.heap_serial = NO_HEAP_ENTRY
 
-    def unpark(self, account: str) -> None:
+    def unpark_account(self, account: str) -> None:
         """Let an account compete again, without credit for the time."""
-        line = self.lines.get(account)
-        if line is None or not line.parked:
+        account_queue = self.account_queues.get(account)
+        if account_queue is None or not account_queue.parked:
             return
-        line.parked = False
-        line.finish = max(line.finish, self.virtual_time)
-        self.make_ready(line)
+        account_queue.parked = False
+        account_queue.virtual_finish = max(
+            account_queue.virtual_finish, self.virtual_time
+        )
+        self.schedule_account(account_queue)
 
-    def make_ready(self, line: AccountLine) -> None:
+    def schedule_account(self, account_queue: AccountQueue) -> None:
         """Enter a line into the heap, if it may compete and is not there."""
-        if line.parked or line.serial != NOT_READY or not line.waiting:
+        if (
+            account_queue.parked
+            or account_queue.heap_serial != NO_HEAP_ENTRY
+            or not account_queue.waiting
+        ):
             return
-        line.serial = next(self.serials)
-        entry = (line.finish, line.serial, line.account)
+        account_queue.heap_serial = next(self.heap_serials)
+        entry = (
+            account_queue.virtual_finish,
+            account_queue.heap_serial,
+            account_queue.account,
+        )
         heapq.heappush(self.heap, entry)
 
-    def sweep(self) -> None:
+    def drop_idle_accounts(self) -> None:
         """Drop lines without tickets and debt, at a constant mean cost."""
-        self.pops_since_sweep += 1
-        if self.pops_since_sweep < len(self.lines):
+        self.pops_since_cleanup += 1
+        if self.pops_since_cleanup < len(self.account_queues):
             return
-        self.pops_since_sweep = 0
-        self.lines = {
-            account: line
-            for account, line in self.lines.items()
-            if line.waiting or line.finish > self.virtual_time
+        self.pops_since_cleanup = 0
+        self.account_queues = {
+            account: account_queue
+            for account, account_queue in self.account_queues.items()
+            if account_queue.waiting
+            or account_queue.virtual_finish > self.virtual_time
         }
 
     def cost_before(self, account: str) -> float:
@@ -182,23 +202,26 @@
         Fair turns let about the account's own waiting cost pass for each
         account that competes, and never more than all that waits.
         """
-        line = self.lines.get(account)
-        own = line.cost if line is not None else 0.0
-        return min(self.cost, own * max(1, self.active))
+        account_queue = self.account_queues.get(account)
+        own_cost = (
+            account_queue.waiting_cost if account_queue is not None else 0.0
+        )
+        return min(self.waiting_cost, own_cost * max(1, self.active_accounts))
 
     def tickets(self) -> Iterator[Ticket]:
         """Yield all waiting tickets."""
-        for line in self.lines.values():
-            yield from line.waiting.values()
+        for account_queue in self.account_queues.values():
+            yield from account_queue.waiting.values()
 
-    def check(self) -> None:
+    def check_invariants(self) -> None:
         """Raise InvariantViolated if the heap and the lines disagree."""
-        entries = {serial for _, serial, _ in self.heap}
-        for line in self.lines.values():
-            ready = bool(line.waiting) and not line.parked
-            if ready != (line.serial in entries):
+        heap_serials = {heap_serial for _, heap_serial, _ in self.heap}
+        for account_queue in self.account_queues.values():
+            is_ready = bool(account_queue.waiting) and not account_queue.parked
+            if is_ready != (account_queue.heap_serial in heap_serials):
                 raise errors.InvariantViolated(
-                    f'line of {line.account} is not where it should be'
+                    f'line of {account_queue.account} '
+                    'is not where it should be'
                 )
         if self.size != sum(1 for _ in self.tickets()):
             raise errors.InvariantViolated('size differs from the tickets')
--- a/src/greengagelb/coordination/sharing/fingerprints.py
+++ b/src/greengagelb/coordination/sharing/fingerprints.py
@@ -15,20 +15,22 @@
 OwnRequest = requests.CallRequest | requests.GenerationRequest
 
 
-def digest_of(parts: Iterable[bytes]) -> str:
+def digest_parts(parts: Iterable[bytes]) -> str:
     """Return a digest that no other sequence of parts has.
 
     Each part is hashed with its length, so that two sequences that read the
     same when joined differ.
     """
-    found = hashlib.blake2b(digest_size=DIGEST_BYTES)
+    hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
-        found.update(b'%d:' % len(part))
-        found.update(part)
-    return found.hexdigest()
+        hasher.update(b'%d:' % len(part))
+        hasher.update(part)
+    return hasher.hexdigest()
 
 
-def of_relayed(request: relay_requests.CallerRequest, account: str) -> str:
+def for_relayed_request(
+    request: relay_requests.CallerRequest, account: str
+) -> str:
     """Return the fingerprint of a relayed request of a client account.
 
     A request without a body says in its query what it asks for.
@@ -36,7 +38,7 @@
     path, _, query = request.target.partition(b'?')
     content = request.body or query
     parts = (account.encode(), request.host.encode(), path, content)
-    return digest_of(parts)
+    return digest_parts(parts)
 
 
 def content_parts(request: OwnRequest) -> list[bytes]:
@@ -45,12 +47,12 @@
     match request:
         case requests.CallRequest(operation=operation, body=body):
             return [service, operation.encode(), body]
-        case requests.GenerationRequest(prompt=prompt, most_tokens=most):
+        case requests.GenerationRequest(prompt=prompt, most_tokens=max_tokens):
             text = prompt.encode('utf-8', 'surrogatepass')
-            return [service, text, b'%d' % most]
+            return [service, text, b'%d' % max_tokens]
 
 
-def of_own(request: OwnRequest) -> str:
+def for_own_request(request: OwnRequest) -> str:
     """Return the fingerprint of a request by the product's own interface."""
     account = request.request.account.encode()
-    return digest_of([account, *content_parts(request)])
+    return digest_parts([account, *content_parts(request)])
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -16,24 +16,24 @@
 # An issuer that has answered none of so many questions for so many seconds is
 # asked for a sign of life: at once, again after the third figure, twice as
 # late each time, and at most after the fourth one.
-SILENT_QUESTIONS = 4
-SILENT_SECONDS = 0.05
-ASK_PRESENCE_SECONDS = 0.05
-MOST_ASK_PRESENCE_SECONDS = 2.0
+SUSPECT_AFTER_QUESTIONS = 4
+SUSPECT_AFTER_SECONDS = 0.05
+FIRST_PROBE_INTERVAL_SECONDS = 0.05
+MAX_PROBE_INTERVAL_SECONDS = 2.0
 # If so many of these bring nothing it is passed over until it is heard again,
 # or for so many seconds.
-SURE_AFTER_QUESTIONS = 2
-PASS_OVER_SECONDS = 20.0
+SKIP_AFTER_PROBES = 2
+SUSPICION_TTL_SECONDS = 20.0
 # The most that are looked at because others say so.
-MOST_SILENT = 512
+MAX_SUSPECTED = 512
 # So many instances are tried before this one issues permits itself.
-MOST_RANKED = 8
+MAX_RANKED = 8
 # Which instances there are is looked at again after so many seconds.
-RANKED_SECONDS = 0.5
+RANKING_TTL_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outgoing:
+class OutgoingMessage:
     """A message to another instance, or to all where ``receiver`` is empty."""
 
     receiver: str
@@ -41,21 +41,25 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Unanswered:
+class UnansweredQuestions:
     """Questions to an issuer that has said nothing since."""
 
-    since: float
+    first_asked_at: float
     count: int = 0
 
     @property
-    def silent_at(self) -> float:
+    def suspect_at(self) -> float:
         """Return when the issuer counts as silent."""
-        few = self.count < SILENT_QUESTIONS
-        return float('inf') if few else self.since + SILENT_SECONDS
+        too_few = self.count < SUSPECT_AFTER_QUESTIONS
+        return (
+            float('inf')
+            if too_few
+            else self.first_asked_at + SUSPECT_AFTER_SECONDS
+        )
 
 
 @dataclasses.dataclass(slots=True)
-class Silent:
+class SuspectedIssuer:
     """An issuer that is asked for a sign of life at ``ask_at``.
 
     ``asked_for`` is how often it was; it is passed over once it is ``sure``
@@ -64,10 +68,10 @@
     forgotten at ``until``.
     """
 
-    until: float
-    ask_at: float
-    asked_for: int = 0
-    sure: bool = False
+    forget_at: float
+    probe_at: float
+    probe_count: int = 0
+    has_failed: bool = False
     known_to_all: bool = False
 
 
@@ -76,7 +80,7 @@
     """The instances in the order in which they issue a life's permits."""
 
     names: tuple[str, ...]
-    until: float
+    expires_at: float
 
 
 class IssuerRanking:
@@ -86,114 +90,128 @@
     and ``has_part`` whether this instance may.
     """
 
-    def __init__(self, own: str) -> None:
-        self.own = own
-        self.members: Callable[[str], Collection[str]] = nobody
-        self.has_part: Callable[[str], bool] = always
+    def __init__(self, own_incarnation: str) -> None:
+        self.own_incarnation = own_incarnation
+        self.members: Callable[[str], Collection[str]] = no_members
+        self.has_part: Callable[[str], bool] = has_every_part
         self.rankings: dict[str, Ranking] = {}
-        self.unanswered: dict[str, Unanswered] = {}
-        self.silent: dict[str, Silent] = {}
+        self.unanswered: dict[str, UnansweredQuestions] = {}
+        self.suspected: dict[str, SuspectedIssuer] = {}
 
     def issuer_of(self, life: str, now: float) -> str:
         """Return who issues a life's permits, as far as is known here."""
         ranking = self.rankings.get(life)
-        if ranking is None or now >= ranking.until:
-            found = set(self.members(life))
+        if ranking is None or now >= ranking.expires_at:
+            candidates = set(self.members(life))
             if self.has_part(life):
-                found.add(self.own)
-            names = rendezvous.highest_scoring(life, found, MOST_RANKED)
-            ranking = Ranking(tuple(names), now + RANKED_SECONDS)
+                candidates.add(self.own_incarnation)
+            names = rendezvous.highest_scoring(life, candidates, MAX_RANKED)
+            ranking = Ranking(tuple(names), now + RANKING_TTL_SECONDS)
             self.rankings[life] = ranking
-            self.look_at_next(ranking, now)
+            self.suspect_next_issuer(ranking, now)
         for name in ranking.names:
-            if not self.is_passed_over(name, now):
+            if not self.is_skipped(name, now):
                 return name
-        return self.own
+        return self.own_incarnation
 
-    def is_passed_over(self, name: str, now: float) -> bool:
+    def is_skipped(self, name: str, now: float) -> bool:
         """Return whether an instance gives no sign of life."""
-        found = self.silent.get(name)
-        return found is not None and found.sure and now < found.until
-
-    def asked(self, issuer: str, now: float) -> None:
+        suspect = self.suspected.get(name)
+        return (
+            suspect is not None
+            and suspect.has_failed
+            and now < suspect.forget_at
+        )
+
+    def count_question(self, issuer: str, now: float) -> None:
         """Count a question to an issuer."""
-        found = self.unanswered.setdefault(issuer, Unanswered(now))
-        found.count += 1
+        questions = self.unanswered.setdefault(
+            issuer, UnansweredQuestions(now)
+        )
+        questions.count += 1
 
-    def heard(self, sender: str) -> None:
+    def mark_alive(self, sender: str) -> None:
         """Note that an instance says something."""
         self.unanswered.pop(sender, None)
-        self.silent.pop(sender, None)
+        self.suspected.pop(sender, None)
 
-    def left(self, incarnation: str) -> None:
+    def remove_instance(self, incarnation: str) -> None:
         """Do without an instance that has stopped."""
         self.rankings.clear()
-        self.heard(incarnation)
+        self.mark_alive(incarnation)
 
-    def due(self, now: float) -> None:
+    def suspect_unanswered(self, now: float) -> None:
         """Look at the issuers that have answered nothing."""
-        for issuer, found in list(self.unanswered.items()):
-            if now >= found.silent_at:
+        for issuer, questions in list(self.unanswered.items()):
+            if now >= questions.suspect_at:
                 del self.unanswered[issuer]
-                self.look_at(issuer, now)
+                self.suspect_issuer(issuer, now)
 
-    def look_at(
+    def suspect_issuer(
         self, issuer: str, now: float, *, known_to_all: bool = False
     ) -> None:
         """Ask an issuer for a sign of life from now on."""
-        if issuer != self.own and issuer not in self.silent:
-            until = now + PASS_OVER_SECONDS
-            self.silent[issuer] = Silent(until, now, known_to_all=known_to_all)
+        if issuer != self.own_incarnation and issuer not in self.suspected:
+            forget_at = now + SUSPICION_TTL_SECONDS
+            self.suspected[issuer] = SuspectedIssuer(
+                forget_at, now, known_to_all=known_to_all
+            )
 
-    def look_at_next(self, ranking: Ranking, now: float) -> None:
+    def suspect_next_issuer(self, ranking: Ranking, now: float) -> None:
         """Look at the first one behind those that are passed over, too.
 
         It may be silent for the same reason.
         """
         for name in ranking.names:
-            if not self.is_passed_over(name, now):
+            if not self.is_skipped(name, now):
                 if name != ranking.names[0]:
-                    self.look_at(name, now, known_to_all=True)
+                    self.suspect_issuer(name, now, known_to_all=True)
                 return
 
-    def silent_elsewhere(self, issuer: str, now: float) -> None:
+    def suspect_reported(self, issuer: str, now: float) -> None:
         """Look at an issuer that another instance has found silent."""
-        if len(self.silent) < MOST_SILENT:
-            self.look_at(issuer, now, known_to_all=True)
+        if len(self.suspected) < MAX_SUSPECTED:
+            self.suspect_issuer(issuer, now, known_to_all=True)
 
-    def questions(self, now: float) -> list[Outgoing]:
+    def due_messages(self, now: float) -> list[OutgoingMessage]:
         """Return what is due to be told about silent issuers."""
-        due: list[Outgoing] = []
-        for issuer, found in list(self.silent.items()):
-            if now >= found.until:
-                del self.silent[issuer]
+        messages: list[OutgoingMessage] = []
+        for issuer, suspect in list(self.suspected.items()):
+            if now >= suspect.forget_at:
+                del self.suspected[issuer]
                 continue
-            if now < found.ask_at:
+            if now < suspect.probe_at:
                 continue
-            if found.asked_for == SURE_AFTER_QUESTIONS:
-                found.sure = True
+            if suspect.probe_count == SKIP_AFTER_PROBES:
+                suspect.has_failed = True
                 for ranking in self.rankings.values():
-                    self.look_at_next(ranking, now)
-                if not found.known_to_all:
-                    due.append(Outgoing('', limits.IssuerSilent(issuer)))
-            wait = ASK_PRESENCE_SECONDS * 2.0**found.asked_for
-            found.ask_at = now + min(MOST_ASK_PRESENCE_SECONDS, wait)
-            found.asked_for += 1
-            due.append(Outgoing(issuer, limits.PresenceWanted()))
-        return due
-
-    def next_at(self) -> float:
+                    self.suspect_next_issuer(ranking, now)
+                if not suspect.known_to_all:
+                    messages.append(
+                        OutgoingMessage('', limits.IssuerSilent(issuer))
+                    )
+            interval_seconds = (
+                FIRST_PROBE_INTERVAL_SECONDS * 2.0**suspect.probe_count
+            )
+            suspect.probe_at = now + min(
+                MAX_PROBE_INTERVAL_SECONDS, interval_seconds
+            )
+            suspect.probe_count += 1
+            messages.append(OutgoingMessage(issuer, limits.PresenceWanted()))
+        return messages
+
+    def next_due_at(self) -> float:
         """Return when the next issuer is to be looked at, or to be asked."""
-        times = [found.silent_at for found in self.unanswered.values()]
-        times += [found.ask_at for found in self.silent.values()]
+        times = [entry.suspect_at for entry in self.unanswered.values()]
+        times += [entry.probe_at for entry in self.suspected.values()]
         return min(times, default=float('inf'))
 
 
-def nobody(life: str) -> Collection[str]:
+def no_members(life: str) -> Collection[str]:
     """Return no other instances."""
     return ()
 
 
-def always(life: str) -> bool:
+def has_every_part(life: str) -> bool:
     """Return that this instance has a part of each limit."""
     return True
--- a/src/greengagelb/coordination/sharing/leases.py
+++ b/src/greengagelb/coordination/sharing/leases.py
@@ -16,11 +16,11 @@
 # The same in heartbeats, where these come more seldom.
 HEARTBEATS_TO_JOIN = 1.5
 # A part that was nobody's for longer brings no more, in seconds.
-MOST_UNUSED_SECONDS = 3_600.0
+MAX_UNUSED_SECONDS = 3_600.0
 
 
 @dataclasses.dataclass(slots=True)
-class Lending:
+class Loan:
     """To whom a part is lent; it was nobody's since ``free_since`` before."""
 
     borrower: str
@@ -35,42 +35,50 @@
     """
 
     def __init__(self) -> None:
-        self.size = 0
+        self.instance_count = 0
         self.rank = 0
-        self.former_size = 0
-        self.former_until = float('-inf')
+        self.previous_instance_count = 0
+        self.previous_count_until = float('-inf')
         self.joins_at = float('inf')
-        self.lent: dict[str, Lending] = {}
+        self.loans: dict[str, Loan] = {}
 
-    def resize(self, size: int, heartbeat_seconds: float, now: float) -> None:
+    def resize(
+        self, instance_count: int, heartbeat_seconds: float, now: float
+    ) -> None:
         """Share limits with that many instances, this one included.
 
         An instance that has gone may have lent its part: what it leaves is
         the others' once that is over.
         """
-        if not self.size:
+        if not self.instance_count:
             wait = max(JOIN_SECONDS, HEARTBEATS_TO_JOIN * heartbeat_seconds)
             self.joins_at = now + wait
-        if size < self.size:
-            self.former_size = max(self.size, self.counted(now))
-            self.former_until = now + LEASE_SECONDS
-        self.size = size
-
-    def counted(self, now: float) -> int:
+        if instance_count < self.instance_count:
+            self.previous_instance_count = max(
+                self.instance_count, self.counted_instances(now)
+            )
+            self.previous_count_until = now + LEASE_SECONDS
+        self.instance_count = instance_count
+
+    def counted_instances(self, now: float) -> int:
         """Return how many instances may have parts."""
-        former = self.former_size if now < self.former_until else 0
-        return max(self.size, former)
+        previous = (
+            self.previous_instance_count
+            if now < self.previous_count_until
+            else 0
+        )
+        return max(self.instance_count, previous)
 
     @property
     def phase(self) -> float:
         """Return this instance's turn among all, from 0 to 1."""
-        return self.rank / max(1, self.size)
+        return self.rank / max(1, self.instance_count)
 
     def share(self, now: float) -> float:
         """Return this instance's part of a limit, 0 to 1."""
         if now < self.joins_at:
             return 0.0
-        return 1.0 / self.counted(now)
+        return 1.0 / self.counted_instances(now)
 
     def lend(
         self, life: str, borrower: str, free_since: float, now: float
@@ -80,88 +88,92 @@
         Returns for how many seconds it was nobody's, or None if it is lent to
         somebody else. It was never lent before ``free_since``.
         """
-        known = self.lent.get(life)
+        loan = self.loans.get(life)
         until = now + LEASE_SECONDS
-        if known is None or now >= known.until:
+        if loan is None or now >= loan.until:
             since = max(free_since, self.joins_at)
-            if known is not None:
-                since = max(since, known.until)
-            self.lent[life] = Lending(borrower, until)
-            return min(MOST_UNUSED_SECONDS, max(0.0, now - since))
-        if known.borrower != borrower:
+            if loan is not None:
+                since = max(since, loan.until)
+            self.loans[life] = Loan(borrower, until)
+            return min(MAX_UNUSED_SECONDS, max(0.0, now - since))
+        if loan.borrower != borrower:
             return None
-        known.until = until
+        loan.until = until
         return 0.0
 
-    def returned(self, life: str, borrower: str, now: float) -> None:
+    def take_back(self, life: str, borrower: str, now: float) -> None:
         """Have a part back before its time."""
-        known = self.lent.get(life)
-        if known is not None and known.borrower == borrower:
-            known.until = min(known.until, now)
+        loan = self.loans.get(life)
+        if loan is not None and loan.borrower == borrower:
+            loan.until = min(loan.until, now)
 
-    def left(self, borrower: str, now: float) -> None:
+    def take_back_all(self, borrower: str, now: float) -> None:
         """Have the parts back that an instance had which has stopped."""
-        for life in self.lent:
-            self.returned(life, borrower, now)
+        for life in self.loans:
+            self.take_back(life, borrower, now)
 
-    def forget(self, life: str) -> None:
+    def forget_life(self, life: str) -> None:
         """Forget a life without a limit."""
-        self.lent.pop(life, None)
+        self.loans.pop(life, None)
 
 
 @dataclasses.dataclass(slots=True)
-class Part:
+class BorrowedPart:
     """What a lender's part adds to a borrower, until a monotonic time."""
 
     share: float
     until: float
 
 
-class Borrowed:
+class BorrowedParts:
     """The parts of one limit that this instance has.
 
     ``counted_at`` is up to when what they bring was counted.
     """
 
     def __init__(self, now: float) -> None:
-        self.parts: dict[str, Part] = {}
-        self.counted_at = now
+        self.parts: dict[str, BorrowedPart] = {}
+        self.accrued_until = now
 
-    def take(self, lender: str, share: float, until: float) -> None:
+    def add_part(self, lender: str, share: float, until: float) -> None:
         """Have a lender's part until a time, in place of what it lent."""
-        known = self.parts.get(lender)
-        if known is None or until > known.until:
-            self.parts[lender] = Part(share, until)
+        part = self.parts.get(lender)
+        if part is None or until > part.until:
+            self.parts[lender] = BorrowedPart(share, until)
 
-    def drop(self, lender: str, now: float) -> None:
+    def end_part(self, lender: str, now: float) -> None:
         """Have a lender's part no more."""
-        known = self.parts.get(lender)
-        if known is not None:
-            known.until = min(known.until, now)
+        part = self.parts.get(lender)
+        if part is not None:
+            part.until = min(part.until, now)
 
-    def total(self, now: float) -> float:
+    def total_share(self, now: float) -> float:
         """Return the part of the limit that this instance has now, 0 to 1."""
         shares = (p.share for p in self.parts.values() if now < p.until)
         return min(1.0, sum(shares))
 
-    def gained(self, now: float) -> float:
+    def take_accrued_seconds(self, now: float) -> float:
         """Return the seconds of the whole limit that came in since last.
 
         Parts that have ended are forgotten.
         """
-        since = self.counted_at
-        self.counted_at = max(since, now)
-        gained = 0.0
+        since = self.accrued_until
+        self.accrued_until = max(since, now)
+        accrued_seconds = 0.0
         for lender, part in list(self.parts.items()):
-            gained += part.share * max(0.0, min(now, part.until) - since)
+            accrued_seconds += part.share * max(
+                0.0, min(now, part.until) - since
+            )
             if now >= part.until:
                 del self.parts[lender]
-        return min(gained, max(0.0, now - since))
+        return min(accrued_seconds, max(0.0, now - since))
 
-    def ending(self, known: set[str], before: float) -> set[str]:
+    def lenders_ending_before(
+        self, lenders: set[str], before: float
+    ) -> set[str]:
         """Return who of some instances lends nothing beyond a time."""
         return {
             lender
-            for lender in known
+            for lender in lenders
             if lender not in self.parts or self.parts[lender].until < before
         }
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -13,33 +13,33 @@
 import itertools
 
 from greengagelb.coordination.sharing import issuer_ranking
-from greengagelb.coordination.sharing import issuing
-from greengagelb.coordination.sharing import limit_book
+from greengagelb.coordination.sharing import limit_table
+from greengagelb.coordination.sharing import permit_issuers
 from greengagelb.coordination.sharing import permits
 from greengagelb.state import limits
 
 # A question without an answer is asked again after the first figure, twice as
 # late each time, and at most after the second one. In seconds.
-ASK_AGAIN_SECONDS = 0.015
-MOST_ASK_AGAIN_SECONDS = 0.25
+FIRST_RESEND_SECONDS = 0.015
+MAX_RESEND_SECONDS = 0.25
 # A limit is told again after so many seconds, as datagrams are lost.
-RETELL_SECONDS = (0.4, 1.2)
+REBROADCAST_DELAYS_SECONDS = (0.4, 1.2)
 # How often what others know is asked for, in seconds.
-ASK_NEWS_SECONDS = 0.5
+NEWS_REQUEST_INTERVAL_SECONDS = 0.5
 # ``due`` is not called again before so many seconds.
-LEAST_STEP = 0.001
+MIN_STEP_SECONDS = 0.001
 # How long an issuer's answer may take, in seconds.
-ANSWER_SECONDS = 0.02
+ANSWER_DELAY_SECONDS = 0.02
 # Where a permit was denied, none is asked for again before so many seconds.
-LEAST_CLOSED_SECONDS = 0.05
+MIN_BLOCK_SECONDS = 0.05
 # The most of these that are remembered.
-MOST_CLOSED = 4_096
+MAX_ACCOUNT_BLOCKS = 4_096
 # The wait that is told where no issuer answers, in seconds.
-NO_ANSWER_WAIT = 0.25
+NO_ANSWER_WAIT_SECONDS = 0.25
 
 
 @dataclasses.dataclass(slots=True)
-class Ask:
+class PermitRequest:
     """A request of this instance that waits for a permit.
 
     ``again_at`` is when it is asked for once more; ``asked_for`` how often it
@@ -52,9 +52,9 @@
     urgent: bool
     deadline: float
     issuer: str = ''
-    asked_for: int = 0
-    again_at: float = 0.0
-    expected_at: float = float('-inf')
+    send_count: int = 0
+    resend_at: float = 0.0
+    expected_grant_at: float = float('-inf')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,11 +83,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Closed:
+class AccountBlock:
     """Until when a life is not asked for an account, and what it was told."""
 
     until: float
-    back_at: float
+    next_permit_at: float
 
 
 class LimitKeeper:
@@ -98,117 +98,121 @@
     Invariant: each number in ``asks`` has had no outcome yet, and gets one.
     """
 
-    def __init__(self, own: str) -> None:
-        self.own = own
-        self.book = limit_book.LimitBook()
-        self.ranking = issuer_ranking.IssuerRanking(own)
-        self.issuing = issuing.Issuing(
-            own, self.book, self.ranking, self.tell_or_hear
+    def __init__(self, own_incarnation: str) -> None:
+        self.own_incarnation = own_incarnation
+        self.table = limit_table.LimitTable()
+        self.ranking = issuer_ranking.IssuerRanking(own_incarnation)
+        self.issuers = permit_issuers.PermitIssuers(
+            own_incarnation, self.table, self.ranking, self.send_or_handle
         )
-        self.parts = self.issuing.parts
-        self.asks: dict[int, Ask] = {}
+        self.parts = self.issuers.parts
+        self.requests: dict[int, PermitRequest] = {}
         self.numbers = itertools.count(1)
-        self.closed: dict[tuple[str, str], Closed] = {}
-        self.had: dict[int, float] = {}
-        self.retell: list[tuple[float, str]] = []
-        self.ask_news_at = float('-inf')
-        self.granted = 0
-        self.denied = 0
-        self.stirred = False
-        self.outgoing: list[issuer_ranking.Outgoing] = []
+        self.account_blocks: dict[tuple[str, str], AccountBlock] = {}
+        self.recent_grants: dict[int, float] = {}
+        self.rebroadcasts: list[tuple[float, str]] = []
+        self.next_news_request_at = float('-inf')
+        self.granted_count = 0
+        self.denied_count = 0
+        self.schedule_changed = False
+        self.outgoing: list[issuer_ranking.OutgoingMessage] = []
         self.outcomes: list[Granted | Denied] = []
 
     # -- limits -------------------------------------------------------------
 
-    def limited(self, life: str) -> bool:
+    def is_limited(self, life: str) -> bool:
         """Return whether a request to a life needs a permit."""
-        return self.book.rate(life) is not None
+        return self.table.rate_of(life) is not None
 
-    def named(
+    def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
     ) -> limits.LimitNews | None:
         """Take in what an answer says; tell the others if that is news."""
-        news = self.book.named(life, rate, asked_at, now)
+        news = self.table.update_from_answer(life, rate, asked_at, now)
         if news is not None:
-            self.tell('', news)
-            self.retell += [
-                (now + seconds, life) for seconds in RETELL_SECONDS
+            self.send('', news)
+            self.rebroadcasts += [
+                (now + seconds, life) for seconds in REBROADCAST_DELAYS_SECONDS
             ]
-            self.changed(life, now)
+            self.apply_limit_change(life, now)
         return news
 
     def figures(self) -> limits.Figures:
         """Return what a scrape shows of limits."""
-        rates = self.book.in_force().values()
+        rates = self.table.limits_in_force().values()
         return limits.Figures(
             len(rates),
             sum(rates),
-            len(self.asks),
-            self.granted,
-            self.denied,
+            len(self.requests),
+            self.granted_count,
+            self.denied_count,
         )
 
-    def differs(self, incarnation: str, digest: int, now: float) -> None:
+    def request_news_if_different(
+        self, incarnation: str, digest: int, now: float
+    ) -> None:
         """Ask an instance that knows other limits for what it knows."""
-        if digest == self.book.digest() or now < self.ask_news_at:
+        if digest == self.table.digest() or now < self.next_news_request_at:
             return
-        self.ask_news_at = now + ASK_NEWS_SECONDS
-        self.tell(incarnation, limits.NewsWanted())
+        self.next_news_request_at = now + NEWS_REQUEST_INTERVAL_SECONDS
+        self.send(incarnation, limits.NewsWanted())
 
-    def told(self, news: limits.LimitNews, now: float) -> bool:
+    def merge_news(self, news: limits.LimitNews, now: float) -> bool:
         """Take in what another instance knows; return whether it is news."""
-        is_news = self.book.told(news, now)
+        is_news = self.table.merge_news(news, now)
         if is_news:
-            self.changed(news.life, now)
+            self.apply_limit_change(news.life, now)
         return is_news
 
-    def changed(self, life: str, now: float) -> None:
+    def apply_limit_change(self, life: str, now: float) -> None:
         """Go by a limit that has changed."""
-        self.stirred = True
-        for key in [key for key in self.closed if key[0] == life]:
-            del self.closed[key]
-        self.issuing.changed(life, now)
-        if self.limited(life):
+        self.schedule_changed = True
+        for key in [key for key in self.account_blocks if key[0] == life]:
+            del self.account_blocks[key]
+        self.issuers.apply_limit_change(life, now)
+        if self.is_limited(life):
             return
-        for ask in [a for a in self.asks.values() if a.life == life]:
-            del self.asks[ask.number]
-            self.outcomes.append(Granted(ask.number))
+        for request in [a for a in self.requests.values() if a.life == life]:
+            del self.requests[request.number]
+            self.outcomes.append(Granted(request.number))
 
-    def ended(self, life: str) -> None:
+    def forget_life(self, life: str) -> None:
         """Forget a life that is over."""
-        self.stirred = True
-        self.book.forget(life)
-        self.issuing.ended(life)
-        for ask in [a for a in self.asks.values() if a.life == life]:
-            self.deny(ask, 0.0)
+        self.schedule_changed = True
+        self.table.forget_life(life)
+        self.issuers.forget_life(life)
+        for request in [a for a in self.requests.values() if a.life == life]:
+            self.deny_request(request, 0.0)
 
     # -- permits for requests of this instance ------------------------------
 
-    def back_at(self, life: str, account: str, now: float) -> float | None:
+    def next_permit_at(
+        self, life: str, account: str, now: float
+    ) -> float | None:
         """Return when an account may come back to a life that is closed.
 
         None if it may be asked for now.
         """
-        known = self.book.known.get(life)
-        if known is None or known.rate is None:
+        limit = self.table.known_limits.get(life)
+        if limit is None or limit.rate is None:
             return None
-        if not limit_book.flow_of(known, now):
-            return known.known_at + limit_book.ZERO_SECONDS
-        found = self.closed.get((life, account))
-        if found is None or now >= found.until:
+        if not limit_table.send_rate(limit, now):
+            return limit.known_at + limit_table.ZERO_LIMIT_SECONDS
+        block = self.account_blocks.get((life, account))
+        if block is None or now >= block.until:
             return None
-        return found.back_at
+        return block.next_permit_at
 
-    def expected_wait(self, life: str, now: float) -> float:
+    def expected_wait_seconds(self, life: str, now: float) -> float:
         """Return how long the last request for a life has to wait yet."""
         waits = [
-            ask.expected_at - now
-            for ask in self.asks.values()
-            if ask.life == life
+            request.expected_grant_at - now
+            for request in self.requests.values()
+            if request.life == life
         ]
         return max(0.0, *waits) if waits else 0.0
 
-    def ask(
+    def request_permit(
         self,
         life: str,
         account: str,
@@ -219,65 +223,71 @@
     ) -> int:
         """Ask for a permit; its outcome bears the number returned."""
         number = next(self.numbers)
-        ask = Ask(number, life, account, urgent, deadline)
-        self.asks[number] = ask
-        self.put(ask, now)
+        request = PermitRequest(number, life, account, urgent, deadline)
+        self.requests[number] = request
+        self.send_request(request, now)
         return number
 
-    def put(self, ask: Ask, now: float) -> None:
+    def send_request(self, request: PermitRequest, now: float) -> None:
         """Ask whoever issues permits now."""
-        self.stirred = True
-        issuer = self.ranking.issuer_of(ask.life, now)
-        if issuer != ask.issuer:
-            ask.asked_for = 0
-        ask.issuer = issuer
-        wait = ASK_AGAIN_SECONDS * 2.0**ask.asked_for
-        ask.again_at = now + min(MOST_ASK_AGAIN_SECONDS, wait)
-        ask.asked_for += 1
-        known = self.book.known.get(ask.life)
-        if known is None or known.rate is None:
+        self.schedule_changed = True
+        issuer = self.ranking.issuer_of(request.life, now)
+        if issuer != request.issuer:
+            request.send_count = 0
+        request.issuer = issuer
+        resend_seconds = FIRST_RESEND_SECONDS * 2.0**request.send_count
+        request.resend_at = now + min(MAX_RESEND_SECONDS, resend_seconds)
+        request.send_count += 1
+        limit = self.table.known_limits.get(request.life)
+        if limit is None or limit.rate is None:
             return
         wanted = limits.PermitWanted(
-            ask.life,
-            ask.number,
-            ask.account,
-            ask.urgent,
-            max(0.0, ask.deadline - now),
-            known.rate,
-            known.version,
+            request.life,
+            request.number,
+            request.account,
+            request.urgent,
+            max(0.0, request.deadline - now),
+            limit.rate,
+            limit.version,
         )
-        if issuer != self.own:
-            self.ranking.asked(issuer, now)
-        self.tell_or_hear(issuer, wanted, now)
+        if issuer != self.own_incarnation:
+            self.ranking.count_question(issuer, now)
+        self.send_or_handle(issuer, wanted, now)
 
-    def give_back(self, life: str, granted: Granted, now: float) -> None:
+    def return_permit(self, life: str, granted: Granted, now: float) -> None:
         """Return a permit that is not used."""
-        self.stirred = True
+        self.schedule_changed = True
         if granted.issuer:
             returned = limits.PermitReturned(life, granted.number)
-            self.tell_or_hear(granted.issuer, returned, now)
+            self.send_or_handle(granted.issuer, returned, now)
 
-    def spend(self, life: str, count: int, now: float) -> None:
+    def count_unpermitted(self, life: str, count: int, now: float) -> None:
         """Count what was sent to a life without a permit."""
         issuer = self.ranking.issuer_of(life, now)
-        self.tell_or_hear(issuer, limits.Spent(life, count), now)
+        self.send_or_handle(issuer, limits.Spent(life, count), now)
 
-    def deny(
-        self, ask: Ask, wait: float, issuer: str = '', share: float = 0.0
+    def deny_request(
+        self,
+        request: PermitRequest,
+        wait: float,
+        issuer: str = '',
+        share: float = 0.0,
     ) -> None:
         """Give a request its outcome, and ask no more for its account."""
-        del self.asks[ask.number]
-        self.denied += 1
-        self.outcomes.append(Denied(ask.number, wait, issuer, share))
+        del self.requests[request.number]
+        self.denied_count += 1
+        self.outcomes.append(Denied(request.number, wait, issuer, share))
 
-    def close(self, ask: Ask, wait: float, now: float) -> None:
+    def block_account(
+        self, request: PermitRequest, wait: float, now: float
+    ) -> None:
         """Ask no more for an account until its wait can be borne."""
-        patience = max(0.0, ask.deadline - now)
-        seconds = max(LEAST_CLOSED_SECONDS, wait - patience)
-        if len(self.closed) >= MOST_CLOSED:
-            self.closed.clear()
-        key = (ask.life, ask.account)
-        self.closed[key] = Closed(now + seconds, now + wait)
+        remaining_seconds = max(0.0, request.deadline - now)
+        seconds = max(MIN_BLOCK_SECONDS, wait - remaining_seconds)
+        if len(self.account_blocks) >= MAX_ACCOUNT_BLOCKS:
+            self.account_blocks.clear()
+        key = (request.life, request.account)
+        self.account_blocks[key] = AccountBlock(now + seconds, now + wait)
 
     # -- other instances ----------------------------------------------------
 
@@ -285,150 +295,156 @@
         """Share limits with that many instances, this one included."""
         self.parts.resize(size, heartbeat_seconds, now)
 
-    def left(self, incarnation: str, now: float) -> None:
+    def remove_instance(self, incarnation: str, now: float) -> None:
         """Do without an instance that has stopped."""
-        self.stirred = True
-        self.ranking.left(incarnation)
-        self.issuing.left(incarnation, now)
-        for ask in self.asks.values():
-            if ask.issuer == incarnation:
-                ask.again_at = now
-
-    def hear(self, sender: str, message: limits.Message, now: float) -> None:
+        self.schedule_changed = True
+        self.ranking.remove_instance(incarnation)
+        self.issuers.remove_instance(incarnation, now)
+        for request in self.requests.values():
+            if request.issuer == incarnation:
+                request.resend_at = now
+
+    def handle_message(
+        self, sender: str, message: limits.Message, now: float
+    ) -> None:
         """Take in a message of another instance, or of this one."""
-        self.stirred = True
-        self.ranking.heard(sender)
+        self.schedule_changed = True
+        self.ranking.mark_alive(sender)
         match message:
             case limits.LimitNews():
-                self.told(message, now)
+                self.merge_news(message, now)
             case limits.NewsWanted():
-                for news in self.book.reports():
-                    self.tell(sender, news)
+                for news in self.table.list_news():
+                    self.send(sender, news)
             case limits.LeaseWanted():
-                self.issuing.lease_wanted(sender, message, now)
+                self.issuers.handle_lease_wanted(sender, message, now)
             case limits.Leased():
-                self.issuing.leased(sender, message, now)
+                self.issuers.handle_lease(sender, message, now)
             case limits.LeaseReturned(life):
-                self.parts.returned(life, sender, now)
+                self.parts.take_back(life, sender, now)
             case limits.PermitWanted():
-                self.wanted(sender, message, now)
+                self.handle_permit_wanted(sender, message, now)
             case limits.PermitAnswer():
-                self.answered(sender, message, now)
+                self.handle_permit_answer(sender, message, now)
             case limits.PermitReturned():
-                self.issuing.returned(sender, message, now)
+                self.issuers.handle_permit_returned(sender, message, now)
             case limits.Spent():
-                self.issuing.spent(message, now)
-            case limits.PresenceWanted() | limits.IssuerSilent(self.own):
-                self.tell(sender, limits.Present())
+                self.issuers.handle_spent(message, now)
+            case limits.PresenceWanted() | limits.IssuerSilent(
+                self.own_incarnation
+            ):
+                self.send(sender, limits.Present())
             case limits.IssuerSilent(issuer):
-                self.ranking.silent_elsewhere(issuer, now)
+                self.ranking.suspect_reported(issuer, now)
 
-    def wanted(
+    def handle_permit_wanted(
         self, sender: str, wanted: limits.PermitWanted, now: float
     ) -> None:
         """Take in a question for a permit, and what its sender knows."""
         life = wanted.life
         news = limits.LimitNews(life, wanted.rate, wanted.version)
-        self.told(news, now)
-        known = self.book.known[life]
-        if known.version > wanted.version:
-            newer = limits.LimitNews(life, known.rate, known.version)
-            self.tell(sender, newer)
-        self.issuing.wanted(sender, wanted, now)
-
-    def answered(
+        self.merge_news(news, now)
+        limit = self.table.known_limits[life]
+        if limit.version > wanted.version:
+            newer = limits.LimitNews(life, limit.rate, limit.version)
+            self.send(sender, newer)
+        self.issuers.handle_permit_wanted(sender, wanted, now)
+
+    def handle_permit_answer(
         self, sender: str, answer: limits.PermitAnswer, now: float
     ) -> None:
         """Take in what an issuer says."""
-        ask = self.asks.get(answer.number)
-        granted = answer.verdict is limits.Verdict.GRANTED
-        if ask is None or ask.life != answer.life:
+        request = self.requests.get(answer.number)
+        is_granted = answer.verdict is limits.Verdict.GRANTED
+        if request is None or request.life != answer.life:
             # Asked twice, a permit is granted twice; the first counts.
-            if granted and answer.number not in self.had:
+            if is_granted and answer.number not in self.recent_grants:
                 returned = limits.PermitReturned(answer.life, answer.number)
-                self.tell_or_hear(sender, returned, now)
+                self.send_or_handle(sender, returned, now)
             return
         match answer.verdict:
-            case limits.Verdict.GRANTED if now > gives_up_at(ask):
+            case limits.Verdict.GRANTED if now > give_up_at(request):
                 # This process may have stood still since it was granted.
-                self.give_up(ask, now)
+                self.give_up_request(request, now)
             case limits.Verdict.GRANTED:
-                del self.asks[ask.number]
-                self.granted += 1
-                self.remember(ask.number, now)
-                self.outcomes.append(Granted(ask.number, sender))
+                del self.requests[request.number]
+                self.granted_count += 1
+                self.remember_grant(request.number, now)
+                self.outcomes.append(Granted(request.number, sender))
             case limits.Verdict.QUEUED:
-                ask.expected_at = now + answer.wait
-                wait = max(ASK_AGAIN_SECONDS, answer.wait)
-                ask.again_at = now + wait + ASK_AGAIN_SECONDS
+                request.expected_grant_at = now + answer.wait
+                wait = max(FIRST_RESEND_SECONDS, answer.wait)
+                request.resend_at = now + wait + FIRST_RESEND_SECONDS
             case limits.Verdict.DENIED:
-                self.close(ask, answer.wait, now)
-                self.deny(ask, answer.wait, sender, answer.share)
+                self.block_account(request, answer.wait, now)
+                self.deny_request(request, answer.wait, sender, answer.share)
 
-    def remember(self, number: int, now: float) -> None:
+    def remember_grant(self, number: int, now: float) -> None:
         """Know a permit again that is granted once more."""
-        self.had[number] = now
-        for known, at in list(self.had.items()):
-            if now < at + permits.REMEMBER_SECONDS:
+        self.recent_grants[number] = now
+        for recent_number, granted_at in list(self.recent_grants.items()):
+            if now < granted_at + permits.GRANT_MEMORY_SECONDS:
                 return
-            del self.had[known]
+            del self.recent_grants[recent_number]
 
-    def tell(self, receiver: str, message: limits.Message) -> None:
+    def send(self, receiver: str, message: limits.Message) -> None:
         """Send a message to an instance, or to all."""
-        self.outgoing.append(issuer_ranking.Outgoing(receiver, message))
+        self.outgoing.append(issuer_ranking.OutgoingMessage(receiver, message))
 
-    def tell_or_hear(
+    def send_or_handle(
         self, receiver: str, message: limits.Message, now: float
     ) -> None:
         """Send a message to an instance, which may be this one."""
-        if receiver == self.own:
-            self.hear(receiver, message, now)
+        if receiver == self.own_incarnation:
+            self.handle_message(receiver, message, now)
         else:
-            self.tell(receiver, message)
+            self.send(receiver, message)
 
     # -- time ---------------------------------------------------------------
 
-    def due(self, now: float) -> None:
+    def run_due(self, now: float) -> None:
         """Do what it is time for."""
-        self.stirred = True
-        self.ranking.due(now)
-        self.outgoing += self.ranking.questions(now)
-        for ask in list(self.asks.values()):
-            if now >= gives_up_at(ask):
-                self.give_up(ask, now)
-            elif now >= ask.again_at:
-                self.put(ask, now)
-        self.issuing.due(now)
-        for at, life in list(self.retell):
-            if now >= at:
-                self.retell.remove((at, life))
-                self.tell_again(life)
-
-    def tell_again(self, life: str) -> None:
+        self.schedule_changed = True
+        self.ranking.suspect_unanswered(now)
+        self.outgoing += self.ranking.due_messages(now)
+        for request in list(self.requests.values()):
+            if now >= give_up_at(request):
+                self.give_up_request(request, now)
+            elif now >= request.resend_at:
+                self.send_request(request, now)
+        self.issuers.run_due(now)
+        for due_at, life in list(self.rebroadcasts):
+            if now >= due_at:
+                self.rebroadcasts.remove((due_at, life))
+                self.rebroadcast_limit(life)
+
+    def rebroadcast_limit(self, life: str) -> None:
         """Tell all others of a limit once more."""
-        known = self.book.known.get(life)
-        if known is not None:
-            self.tell('', limits.LimitNews(life, known.rate, known.version))
+        limit = self.table.known_limits.get(life)
+        if limit is not None:
+            self.send('', limits.LimitNews(life, limit.rate, limit.version))
 
-    def give_up(self, ask: Ask, now: float) -> None:
+    def give_up_request(self, request: PermitRequest, now: float) -> None:
         """Wait no longer for an answer."""
-        self.close(ask, NO_ANSWER_WAIT, now)
-        self.deny(ask, NO_ANSWER_WAIT)
-        returned = limits.PermitReturned(ask.life, ask.number)
-        self.tell_or_hear(ask.issuer, returned, now)
+        self.block_account(request, NO_ANSWER_WAIT_SECONDS, now)
+        self.deny_request(request, NO_ANSWER_WAIT_SECONDS)
+        returned = limits.PermitReturned(request.life, request.number)
+        self.send_or_handle(request.issuer, returned, now)
 
-    def next_at(self, now: float) -> float:
+    def next_due_at(self, now: float) -> float:
         """Return when ``due`` has something to do."""
-        times = [self.ranking.next_at(), self.issuing.next_at(now)]
-        times += [min(a.again_at, gives_up_at(a)) for a in self.asks.values()]
-        times += [at for at, _ in self.retell]
-        return max(now + LEAST_STEP, min(times))
+        times = [self.ranking.next_due_at(), self.issuers.next_due_at(now)]
+        times += [
+            min(a.resend_at, give_up_at(a)) for a in self.requests.values()
+        ]
+        times += [due_at for due_at, _ in self.rebroadcasts]
+        return max(now + MIN_STEP_SECONDS, min(times))
 
 
-def gives_up_at(ask: Ask) -> float:
+def give_up_at(request: PermitRequest) -> float:
     """Return when a request waits for no answer any more.
 
     An issuer that has given it a place answers at its deadline.
     """
-    queued = ask.expected_at > float('-inf')
-    return ask.deadline + (ANSWER_SECONDS if queued else 0.0)
+    is_queued = request.expected_grant_at > float('-inf')
+    return request.deadline + (ANSWER_DELAY_SECONDS if is_queued else 0.0)
--- a/src/greengagelb/coordination/sharing/limit_book.py
+++ b/src/greengagelb/coordination/sharing/limit_table.py
@@ -13,20 +13,20 @@
 from greengagelb.state import limits
 
 # The most lives of engines that are kept; those without a limit go first.
-MOST_LIVES = 4_096
+MAX_LIVES = 4_096
 # A limit that has been lifted is remembered for so long, in seconds, to
 # answer those that have not heard of it.
-REMEMBER_LIFTED_SECONDS = 60.0
+LIFTED_MEMORY_SECONDS = 60.0
 # An engine that takes nothing gets nothing for so many seconds, and then so
 # many requests a second to see whether that is over.
-ZERO_SECONDS = 30.0
-TRIAL_RATE = 0.1
+ZERO_LIMIT_SECONDS = 30.0
+TRIAL_REQUESTS_PER_SECOND = 0.1
 # An engine may name another limit with each answer. No more than one value in
 # so many seconds is taken up, as each is told to all instances.
-LEAST_CHANGE_SECONDS = 0.1
+MIN_CHANGE_INTERVAL_SECONDS = 0.1
 
 
-class LimitBook:
+class LimitTable:
     """The limits of engines' lives.
 
     Invariant: the version of a life never falls while it is kept.
@@ -34,105 +34,105 @@
     """
 
     def __init__(self) -> None:
-        self.known: dict[str, limits.KnownLimit] = {}
-        self.changes = 0
-        self.digest_changes = -1
-        self.last_digest = 0
+        self.known_limits: dict[str, limits.KnownLimit] = {}
+        self.change_count = 0
+        self.digest_change_count = -1
+        self.cached_digest = 0
 
-    def rate(self, life: str) -> float | None:
+    def rate_of(self, life: str) -> float | None:
         """Return the limit in force of a life, or None without one."""
-        found = self.known.get(life)
-        return found.rate if found else None
+        limit = self.known_limits.get(life)
+        return limit.rate if limit else None
 
-    def in_force(self) -> dict[str, float]:
+    def limits_in_force(self) -> dict[str, float]:
         """Return all limits that are in force, by life."""
         return {
-            life: found.rate
-            for life, found in self.known.items()
-            if found.rate is not None
+            life: limit.rate
+            for life, limit in self.known_limits.items()
+            if limit.rate is not None
         }
 
     # -- news ---------------------------------------------------------------
 
-    def named(
+    def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
     ) -> limits.LimitNews | None:
         """Take in what an answer says to a request sent at ``asked_at``.
 
         Returns what the others have to know.
         """
-        found = self.known.get(life)
-        if found is None:
+        limit = self.known_limits.get(life)
+        if limit is None:
             if rate is None:
                 return None
-            return self.put(life, rate, 1, now)
-        if found.rate == rate:
-            found.confirmed_at = now
+            return self.store_limit(life, rate, 1, now)
+        if limit.rate == rate:
+            limit.confirmed_at = now
             return None
-        settled_at = found.known_at + LEAST_CHANGE_SECONDS
-        if asked_at <= found.known_at or now < settled_at:
+        next_change_at = limit.known_at + MIN_CHANGE_INTERVAL_SECONDS
+        if asked_at <= limit.known_at or now < next_change_at:
             return None
-        return self.put(life, rate, found.version + 1, now)
+        return self.store_limit(life, rate, limit.version + 1, now)
 
-    def told(self, news: limits.LimitNews, now: float) -> bool:
+    def merge_news(self, news: limits.LimitNews, now: float) -> bool:
         """Take in what another instance knows; return whether it is news."""
-        found = self.known.get(news.life)
-        if found is not None and order_of(news) <= order_of(found):
+        limit = self.known_limits.get(news.life)
+        if limit is not None and precedence(news) <= precedence(limit):
             return False
-        self.put(news.life, news.rate, news.version, now)
+        self.store_limit(news.life, news.rate, news.version, now)
         return True
 
-    def put(
+    def store_limit(
         self, life: str, rate: float | None, version: int, now: float
     ) -> limits.LimitNews:
         """Keep a value."""
-        self.known[life] = limits.KnownLimit(rate, version, now, now)
-        self.changes += 1
-        self.forget_old(now)
+        self.known_limits[life] = limits.KnownLimit(rate, version, now, now)
+        self.change_count += 1
+        self.evict_old_lives(now)
         return limits.LimitNews(life, rate, version)
 
-    def forget(self, life: str) -> None:
+    def forget_life(self, life: str) -> None:
         """Forget a life that is over."""
-        if self.known.pop(life, None) is not None:
-            self.changes += 1
+        if self.known_limits.pop(life, None) is not None:
+            self.change_count += 1
 
-    def forget_old(self, now: float) -> None:
+    def evict_old_lives(self, now: float) -> None:
         """Forget limits that were lifted long ago, and the oldest of many."""
-        for life, found in list(self.known.items()):
-            lifted_before = now - REMEMBER_LIFTED_SECONDS
-            if found.rate is None and found.known_at < lifted_before:
-                self.forget(life)
-        while len(self.known) > MOST_LIVES:
-            self.forget(min(self.known, key=self.worth_of))
-
-    def worth_of(self, life: str) -> tuple[bool, float]:
+        for life, limit in list(self.known_limits.items()):
+            lifted_before = now - LIFTED_MEMORY_SECONDS
+            if limit.rate is None and limit.known_at < lifted_before:
+                self.forget_life(life)
+        while len(self.known_limits) > MAX_LIVES:
+            self.forget_life(min(self.known_limits, key=self.retention_key))
+
+    def retention_key(self, life: str) -> tuple[bool, float]:
         """Return how much a life is worth keeping; the lowest goes first."""
-        found = self.known[life]
-        return (found.rate is not None, found.confirmed_at)
+        limit = self.known_limits[life]
+        return (limit.rate is not None, limit.confirmed_at)
 
     # -- other instances ----------------------------------------------------
 
     def digest(self) -> int:
         """Return a number that differs where other limits are known."""
-        if self.digest_changes != self.changes:
-            self.digest_changes = self.changes
-            told = sorted(
-                f'{life} {found.rate} {found.version}'
-                for life, found in self.known.items()
-                if found.rate is not None
+        if self.digest_change_count != self.change_count:
+            self.digest_change_count = self.change_count
+            lines = sorted(
+                f'{life} {limit.rate} {limit.version}'
+                for life, limit in self.known_limits.items()
+                if limit.rate is not None
             )
-            self.last_digest = zlib.crc32('\n'.join(told).encode())
-        return self.last_digest
+            self.cached_digest = zlib.crc32('\n'.join(lines).encode())
+        return self.cached_digest
 
-    def reports(self) -> list[limits.LimitNews]:
+    def list_news(self) -> list[limits.LimitNews]:
         """Return what an instance is told that knows something else."""
         return [
-            limits.LimitNews(life, found.rate, found.version)
-            for life, found in self.known.items()
+            limits.LimitNews(life, limit.rate, limit.version)
+            for life, limit in self.known_limits.items()
         ]
 
 
-def order_of(
+def precedence(
     value: limits.LimitNews | limits.KnownLimit,
 ) -> tuple[int, float]:
     """Return the order in which values replace each other."""
@@ -140,19 +140,23 @@
     return (value.version, -rate)
 
 
-def told(news: limits.LimitNews) -> str:
+def describe_limit(news: limits.LimitNews) -> str:
     """Return a limit as the time line tells it."""
     if news.rate is None:
         return f'lifted, version {news.version}'
     return f'{news.rate:g} a second, version {news.version}'
 
 
-def flow_of(known: limits.KnownLimit, now: float) -> float:
+def send_rate(known: limits.KnownLimit, now: float) -> float:
     """Return the requests a second that are sent to a life with a limit.
 
     Only an answer tells that a limit of zero is over. So after a while some
     requests are sent to an engine that takes none.
     """
     rate = known.rate or 0.0
-    zero_for = now - known.known_at
-    return TRIAL_RATE if not rate and zero_for >= ZERO_SECONDS else rate
+    zero_seconds = now - known.known_at
+    return (
+        TRIAL_REQUESTS_PER_SECOND
+        if not rate and zero_seconds >= ZERO_LIMIT_SECONDS
+        else rate
+    )
--- a/src/greengagelb/coordination/sharing/permits.py
+++ b/src/greengagelb/coordination/sharing/permits.py
@@ -17,26 +17,26 @@
 
 # What may be saved up while nobody asks, in seconds of the limit. A whole
 # request can be saved up in any case.
-SAVED_SECONDS = 1.0
+MAX_SAVED_SECONDS = 1.0
 # With a part below this one, a request that was saved up lapses like the
 # others: many instances that are cut off from each other would else each keep
 # one, and use them in the same moment.
-MAIN_PART = 0.5
+MAIN_SHARE = 0.5
 # From here on a permit has come in; sums of small parts are not exact.
-WHOLE = 1.0 - 1e-6
+PERMIT_THRESHOLD = 1.0 - 1e-6
 # A permit that was granted is remembered so long, in seconds, to be granted
 # again if its datagram was lost.
-REMEMBER_SECONDS = 5.0
+GRANT_MEMORY_SECONDS = 5.0
 # The wait that is told where no part of the limit can be had, in seconds.
-NO_PART_WAIT = leases.LEASE_SECONDS
+NO_SHARE_WAIT_SECONDS = leases.LEASE_SECONDS
 # The longest wait that is told, in seconds.
-MOST_WAIT = 3_600.0
+MAX_WAIT_SECONDS = 3_600.0
 
 Holder = tuple[str, int]
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class WaitingRequest:
     """A request for a permit that waits until ``deadline``."""
 
     holder: Holder
@@ -55,7 +55,7 @@
     wait: float
 
 
-class Issuer:
+class PermitIssuer:
     """The permits of one life of an engine.
 
     ``phase``, from 0 to 1, is this instance's turn among those that have parts
@@ -68,171 +68,197 @@
     def __init__(self, rate: float, now: float, phase: float = 0.0) -> None:
         self.rate = rate
         self.phase = phase
-        self.borrowed = leases.Borrowed(now)
-        self.level = 0.0
+        self.borrowed = leases.BorrowedParts(now)
+        self.available_permits = 0.0
         self.serials = itertools.count(1)
         self.queues = {
             True: fair_queue.FairQueue(),
             False: fair_queue.FairQueue(),
         }
-        self.waiting: dict[int, Waiting] = {}
-        self.fresh: list[Waiting] = []
-        self.serial_of: dict[Holder, int] = {}
-        self.granted: collections.OrderedDict[Holder, float] = (
+        self.waiting_requests: dict[int, WaitingRequest] = {}
+        self.new_requests: list[WaitingRequest] = []
+        self.serials_by_holder: dict[Holder, int] = {}
+        self.grant_times: collections.OrderedDict[Holder, float] = (
             collections.OrderedDict()
         )
-        self.asked_at = now
+        self.last_asked_at = now
 
     # -- the flow -----------------------------------------------------------
 
-    def flow(self, now: float) -> float:
+    def permits_per_second(self, now: float) -> float:
         """Return the requests a second that come in."""
-        return self.rate * self.borrowed.total(now)
+        return self.rate * self.borrowed.total_share(now)
 
-    def count(self, now: float) -> None:
+    def accrue(self, now: float) -> None:
         """Add what has come in; drop what was saved up for too long."""
-        self.level += self.rate * self.borrowed.gained(now)
-        share = self.borrowed.total(now)
+        self.available_permits += (
+            self.rate * self.borrowed.take_accrued_seconds(now)
+        )
+        share = self.borrowed.total_share(now)
         if not share:
-            self.level = min(self.level, 0.0)
+            self.available_permits = min(self.available_permits, 0.0)
             return
-        most = 1.0 + share * self.rate * SAVED_SECONDS
-        over = self.level - most
-        if over <= 0.0:
+        max_available = 1.0 + share * self.rate * MAX_SAVED_SECONDS
+        excess = self.available_permits - max_available
+        if excess <= 0.0:
             return
-        self.level -= over if share >= MAIN_PART else math.ceil(over)
+        self.available_permits -= (
+            excess if share >= MAIN_SHARE else math.ceil(excess)
+        )
 
-    def change(self, rate: float, now: float) -> None:
+    def change_rate(self, rate: float, now: float) -> None:
         """Go by another limit from now on."""
-        self.count(now)
+        self.accrue(now)
         self.rate = rate
 
-    def lent(
+    def add_lease(
         self, lender: str, lease: limits.Leased, until: float, now: float
     ) -> None:
         """Take in a lease; what its part brought before was nobody's."""
-        self.count(now)
+        self.accrue(now)
         is_new = lender not in self.borrowed.parts
-        self.borrowed.take(lender, lease.share, until)
+        self.borrowed.add_part(lender, lease.share, until)
         if is_new and self.rate > 0.0:
-            seconds = min(lease.unused, max(SAVED_SECONDS, 1.0 / self.rate))
-            self.level += self.rate * lease.share * seconds
+            seconds = min(
+                lease.unused, max(MAX_SAVED_SECONDS, 1.0 / self.rate)
+            )
+            self.available_permits += self.rate * lease.share * seconds
 
-    def spend(self, count: float, now: float) -> None:
+    def count_unpermitted(self, count: float, now: float) -> None:
         """Take out what was sent without a permit."""
-        self.count(now)
-        self.level -= count
+        self.accrue(now)
+        self.available_permits -= count
 
     # -- requests -----------------------------------------------------------
 
-    def ask(
+    def request_permit(
         self, wanted: limits.PermitWanted, holder: Holder, now: float
     ) -> Answer | None:
         """Have a request wait; answer at once one that has asked before."""
-        self.asked_at = now
-        if holder in self.granted:
+        self.last_asked_at = now
+        if holder in self.grant_times:
             return Answer(holder, limits.Verdict.GRANTED, 0.0)
-        if holder in self.serial_of:
-            found = self.waiting[self.serial_of[holder]]
-            wait = min(self.expected(found, now), found.deadline - now)
+        if holder in self.serials_by_holder:
+            request = self.waiting_requests[self.serials_by_holder[holder]]
+            wait = min(
+                self.expected_wait_seconds(request, now),
+                request.deadline - now,
+            )
             return Answer(holder, limits.Verdict.QUEUED, max(0.0, wait))
         serial = next(self.serials)
         ticket = fair_queue.Ticket(
             serial, wanted.account, '', configuration.Priority.SHORT, 1.0
         )
-        found = Waiting(
+        request = WaitingRequest(
             holder, ticket, wanted.urgent, wanted.wait, now + wanted.wait
         )
-        self.waiting[serial] = found
-        self.serial_of[holder] = serial
-        self.fresh.append(found)
+        self.waiting_requests[serial] = request
+        self.serials_by_holder[holder] = serial
+        self.new_requests.append(request)
         return None
 
-    def answers(self, now: float) -> list[Answer]:
+    def take_answers(self, now: float) -> list[Answer]:
         """Return whom to answer what by now."""
-        self.count(now)
-        share = self.borrowed.total(now)
+        self.accrue(now)
+        share = self.borrowed.total_share(now)
         if share and self.phase:
-            self.level -= self.phase * (1.0 - share)
+            self.available_permits -= self.phase * (1.0 - share)
             self.phase = 0.0
-        done: list[Answer] = []
-        for found in self.fresh:
-            if found.holder in self.serial_of:
-                done.append(self.judge(found, now))
-        self.fresh.clear()
+        answers: list[Answer] = []
+        for request in self.new_requests:
+            if request.holder in self.serials_by_holder:
+                answers.append(self.queue_or_deny(request, now))
+        self.new_requests.clear()
         for queue in (self.queues[True], self.queues[False]):
-            while self.level >= WHOLE and (ticket := queue.head()):
+            while self.available_permits >= PERMIT_THRESHOLD and (
+                ticket := queue.peek()
+            ):
                 queue.pop(1)
-                done.append(self.grant(self.waiting[ticket.exchange], now))
-        for found in list(self.waiting.values()):
-            if now >= found.deadline:
-                self.remove(found)
-                wait = self.expected(found, now)
-                done.append(Answer(found.holder, limits.Verdict.DENIED, wait))
-        self.forget_granted(now)
-        return done
-
-    def judge(self, found: Waiting, now: float) -> Answer:
+                answers.append(
+                    self.grant_permit(
+                        self.waiting_requests[ticket.exchange], now
+                    )
+                )
+        for request in list(self.waiting_requests.values()):
+            if now >= request.deadline:
+                self.remove_request(request)
+                wait = self.expected_wait_seconds(request, now)
+                answers.append(
+                    Answer(request.holder, limits.Verdict.DENIED, wait)
+                )
+        self.forget_old_grants(now)
+        return answers
+
+    def queue_or_deny(self, request: WaitingRequest, now: float) -> Answer:
         """Give a request its place, or deny it if that is too far back."""
-        wait = self.expected(found, now)
-        if wait > found.wait:
-            self.remove(found)
-            return Answer(found.holder, limits.Verdict.DENIED, wait)
-        self.queues[found.urgent].push(found.ticket)
-        return Answer(found.holder, limits.Verdict.QUEUED, wait)
-
-    def expected(self, found: Waiting, now: float) -> float:
+        wait = self.expected_wait_seconds(request, now)
+        if wait > request.wait:
+            self.remove_request(request)
+            return Answer(request.holder, limits.Verdict.DENIED, wait)
+        self.queues[request.urgent].push(request.ticket)
+        return Answer(request.holder, limits.Verdict.QUEUED, wait)
+
+    def expected_wait_seconds(
+        self, request: WaitingRequest, now: float
+    ) -> float:
         """Return the seconds until a new request gets its permit."""
-        flow = self.flow(now)
-        if flow <= 0.0:
-            return NO_PART_WAIT
-        ahead = self.queues[True].cost
-        if not found.urgent:
-            ahead += self.queues[False].cost_before(found.ticket.account)
-        wait = max(0.0, (ahead + 1.0 - self.level) / flow)
-        return min(wait, MOST_WAIT)
-
-    def grant(self, found: Waiting, now: float) -> Answer:
+        rate_per_second = self.permits_per_second(now)
+        if rate_per_second <= 0.0:
+            return NO_SHARE_WAIT_SECONDS
+        ahead = self.queues[True].waiting_cost
+        if not request.urgent:
+            ahead += self.queues[False].cost_before(request.ticket.account)
+        wait = max(
+            0.0, (ahead + 1.0 - self.available_permits) / rate_per_second
+        )
+        return min(wait, MAX_WAIT_SECONDS)
+
+    def grant_permit(self, request: WaitingRequest, now: float) -> Answer:
         """Take a permit out of what has come in."""
-        self.level -= 1.0
-        self.forget(found)
-        self.granted[found.holder] = now
-        return Answer(found.holder, limits.Verdict.GRANTED, 0.0)
+        self.available_permits -= 1.0
+        self.forget_request(request)
+        self.grant_times[request.holder] = now
+        return Answer(request.holder, limits.Verdict.GRANTED, 0.0)
 
-    def returned(self, holder: Holder, now: float) -> None:
+    def return_permit(self, holder: Holder, now: float) -> None:
         """Take back a permit, or a request that nobody waits for."""
-        self.count(now)
-        if self.granted.pop(holder, None) is not None:
-            self.level += 1.0
-        serial = self.serial_of.get(holder)
+        self.accrue(now)
+        if self.grant_times.pop(holder, None) is not None:
+            self.available_permits += 1.0
+        serial = self.serials_by_holder.get(holder)
         if serial is not None:
-            self.remove(self.waiting[serial])
+            self.remove_request(self.waiting_requests[serial])
 
-    def remove(self, found: Waiting) -> None:
+    def remove_request(self, request: WaitingRequest) -> None:
         """Let a request wait no longer."""
-        ticket = found.ticket
-        self.queues[found.urgent].discard(ticket.account, ticket.exchange)
-        self.forget(found)
+        ticket = request.ticket
+        self.queues[request.urgent].discard(ticket.account, ticket.exchange)
+        self.forget_request(request)
 
-    def forget(self, found: Waiting) -> None:
+    def forget_request(self, request: WaitingRequest) -> None:
         """Forget a request that is in no queue any more."""
-        del self.waiting[found.ticket.exchange]
-        del self.serial_of[found.holder]
+        del self.waiting_requests[request.ticket.exchange]
+        del self.serials_by_holder[request.holder]
 
-    def forget_granted(self, now: float) -> None:
+    def forget_old_grants(self, now: float) -> None:
         """Forget permits that nobody asks for again."""
-        while self.granted:
-            holder, at = next(iter(self.granted.items()))
-            if now < at + REMEMBER_SECONDS:
+        while self.grant_times:
+            holder, granted_at = next(iter(self.grant_times.items()))
+            if now < granted_at + GRANT_MEMORY_SECONDS:
                 return
-            del self.granted[holder]
+            del self.grant_times[holder]
 
-    def next_at(self, now: float) -> float:
+    def next_due_at(self, now: float) -> float:
         """Return when there is something to answer."""
-        if not self.waiting:
+        if not self.waiting_requests:
             return float('inf')
-        due = min(found.deadline for found in self.waiting.values())
-        flow = self.flow(now)
-        if flow > 0.0:
-            due = min(due, now + max(0.0, 1.0 - self.level) / flow)
-        return due
+        due_at = min(
+            request.deadline for request in self.waiting_requests.values()
+        )
+        rate_per_second = self.permits_per_second(now)
+        if rate_per_second > 0.0:
+            due_at = min(
+                due_at,
+                now + max(0.0, 1.0 - self.available_permits) / rate_per_second,
+            )
+        return due_at
--- a/src/greengagelb/coordination/sharing/rates.py
+++ b/src/greengagelb/coordination/sharing/rates.py
@@ -5,8 +5,8 @@
 
 import dataclasses
 
-PACE_DECAY = 0.95
-DEVIATIONS = 2.0
+OBSERVATION_DECAY = 0.95
+MARGIN_DEVIATIONS = 2.0
 BURST_SECONDS = 10.0
 
 
@@ -21,10 +21,10 @@
     level: float
     updated_at: float
 
-    def fill(self, rate: float, burst: float, now: float) -> None:
+    def refill(self, rate: float, burst: float, now: float) -> None:
         """Add what has come in since the last time."""
-        passed = max(0.0, now - self.updated_at)
-        self.level = min(burst, self.level + passed * rate)
+        elapsed_seconds = max(0.0, now - self.updated_at)
+        self.level = min(burst, self.level + elapsed_seconds * rate)
         self.updated_at = now
 
     def take(
@@ -34,7 +34,7 @@
 
         ``rate`` is per second and above zero.
         """
-        self.fill(rate, burst, now)
+        self.refill(rate, burst, now)
         if self.level <= 0.0:
             return (1.0 - self.level) / rate
         self.level -= cost
@@ -42,37 +42,41 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
+class DurationEstimate:
     """Seconds that a unit of cost takes, from requests that were completed.
 
     A ratio of sums, so that a small request counts little: one account's
     tiny requests can't make all others look hopeless.
     """
 
-    seconds: float = 0.0
-    cost: float = 0.0
-    deviation: float = 0.0
+    seconds_sum: float = 0.0
+    cost_sum: float = 0.0
+    deviation_sum: float = 0.0
 
     def observe(self, seconds: float, cost: float) -> None:
         """Take in a completed request."""
-        off = abs(seconds - self.mean_seconds(cost)) if self.cost else 0.0
-        self.deviation = self.deviation * PACE_DECAY + off
-        self.seconds = self.seconds * PACE_DECAY + seconds
-        self.cost = self.cost * PACE_DECAY + cost
+        error_seconds = (
+            abs(seconds - self.mean_seconds(cost)) if self.cost_sum else 0.0
+        )
+        self.deviation_sum = (
+            self.deviation_sum * OBSERVATION_DECAY + error_seconds
+        )
+        self.seconds_sum = self.seconds_sum * OBSERVATION_DECAY + seconds
+        self.cost_sum = self.cost_sum * OBSERVATION_DECAY + cost
 
     def mean_seconds(self, cost: float) -> float:
         """Return the mean time of work of a cost; zero if unknown."""
-        if not self.cost:
+        if not self.cost_sum:
             return 0.0
-        return cost * self.seconds / self.cost
+        return cost * self.seconds_sum / self.cost_sum
 
-    def most_seconds(self, cost: float) -> float:
+    def conservative_seconds(self, cost: float) -> float:
         """Return a time that work of a cost rarely exceeds.
 
         By the mean alone, half of the requests that are started close to
         their deadline would miss it, and what they used would be lost.
         """
-        if not self.cost:
+        if not self.cost_sum:
             return 0.0
-        seconds = self.seconds + DEVIATIONS * self.deviation
-        return cost * seconds / self.cost
+        seconds = self.seconds_sum + MARGIN_DEVIATIONS * self.deviation_sum
+        return cost * seconds / self.cost_sum
--- a/src/greengagelb/coordination/sharing/budgets.py
+++ b/src/greengagelb/coordination/sharing/replay_budgets.py
@@ -6,7 +6,7 @@
 from greengagelb.state import identity
 
 WINDOW_SECONDS = 60.0
-REMEMBERED_REQUESTS = 1024
+MAX_REMEMBERED_REQUESTS = 1024
 
 
 class ReplayBudgets:
@@ -20,7 +20,7 @@
     def __init__(self) -> None:
         self.buckets: dict[str, rates.CostBucket] = {}
 
-    def spend(self, account: str, per_minute: int, now: float) -> float:
+    def take_replay(self, account: str, per_minute: int, now: float) -> float:
         """Take one replay; return 0, or the seconds until one is left."""
         burst = float(per_minute)
         rate = max(burst, 1.0) / WINDOW_SECONDS
@@ -43,7 +43,7 @@
     def add(self, request: identity.RequestId) -> None:
         """Remember a request, at the cost of the oldest one."""
         self.requests[request] = None
-        if len(self.requests) > REMEMBERED_REQUESTS:
+        if len(self.requests) > MAX_REMEMBERED_REQUESTS:
             self.requests.popitem(last=False)
 
     def __contains__(self, request: identity.RequestId) -> bool:
--- a/src/greengagelb/coordination/sharing/retry_budget.py
+++ b/src/greengagelb/coordination/sharing/retry_budget.py
@@ -7,12 +7,12 @@
 
 import random
 
-EARNED_PER_CALL = 0.1
-MOST_SAVED = 10.0
-BASE_SECONDS = 1.0
-MOST_DOUBLINGS = 5
-LEAST_SPREAD = 0.5
-MOST_SPREAD = 1.5
+RETRIES_EARNED_PER_CALL = 0.1
+MAX_SAVED_RETRIES = 10.0
+BASE_BACKOFF_SECONDS = 1.0
+MAX_DOUBLINGS = 5
+MIN_JITTER_FACTOR = 0.5
+MAX_JITTER_FACTOR = 1.5
 
 
 class RetryBudget:
@@ -22,19 +22,22 @@
     """
 
     def __init__(self) -> None:
-        self.saved: dict[str, float] = {}
+        self.saved_retries: dict[str, float] = {}
 
-    def earn(self, account: str) -> None:
+    def count_first_attempt(self, account: str) -> None:
         """Count a first try."""
-        saved = self.saved.get(account, MOST_SAVED) + EARNED_PER_CALL
-        self.saved[account] = min(MOST_SAVED, saved)
+        saved_retries = (
+            self.saved_retries.get(account, MAX_SAVED_RETRIES)
+            + RETRIES_EARNED_PER_CALL
+        )
+        self.saved_retries[account] = min(MAX_SAVED_RETRIES, saved_retries)
 
-    def spend(self, account: str) -> bool:
+    def take_retry(self, account: str) -> bool:
         """Take one retry out of the budget, if there is one."""
-        saved = self.saved.get(account, MOST_SAVED)
-        if saved < 1.0:
+        saved_retries = self.saved_retries.get(account, MAX_SAVED_RETRIES)
+        if saved_retries < 1.0:
             return False
-        self.saved[account] = saved - 1.0
+        self.saved_retries[account] = saved_retries - 1.0
         return True
 
 
@@ -48,18 +51,18 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Start from the shortest wait again."""
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    def failed(self) -> float:
+    def record_failure(self) -> float:
         """Count a failure and return the wait in seconds."""
-        doublings = min(self.failures, MOST_DOUBLINGS)
-        self.failures += 1
-        return self.spread(BASE_SECONDS * 2.0**doublings)
+        doublings = min(self.consecutive_failures, MAX_DOUBLINGS)
+        self.consecutive_failures += 1
+        return self.add_jitter(BASE_BACKOFF_SECONDS * 2.0**doublings)
 
-    def spread(self, seconds: float) -> float:
+    def add_jitter(self, seconds: float) -> float:
         """Return a wait around ``seconds``."""
-        return seconds * self.rng.uniform(LEAST_SPREAD, MOST_SPREAD)
+        return seconds * self.rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
--- a/src/greengagelb/coordination/sharing/store_budget.py
+++ b/src/greengagelb/coordination/sharing/store_budget.py
@@ -14,15 +14,15 @@
 
 from greengagelb.coordination import actions
 
-MOST_IN_FLIGHT = 64
+MAX_IN_FLIGHT = 64
 FAILURES_TO_OPEN = 5
 FIRST_OPEN_SECONDS = 0.5
-MOST_OPEN_SECONDS = 8.0
-LEAST_SPREAD = 0.5
+MAX_OPEN_SECONDS = 8.0
+MIN_JITTER_FACTOR = 0.5
 BURST_SECONDS = 2.0
-DEFERRABLE_LEAVES = 0.5
-MOST_OF_ONE_ACCOUNT = 0.5
-MOST_SHARES = 256
+DEFERRABLE_RESERVED_SHARE = 0.5
+MAX_ACCOUNT_SHARE = 0.5
+MAX_ACCOUNT_BUCKETS = 256
 
 
 class RequestKind(enum.Enum):
@@ -38,7 +38,7 @@
     DEFERRABLE_WRITE = 'deferrable-write'
 
 
-class Circuit(enum.Enum):
+class CircuitState(enum.Enum):
     """State of the breaker; while half open, one request is a probe."""
 
     CLOSED = 'closed'
@@ -63,15 +63,17 @@
 
     rate: float
     tokens: float
-    filled_at: float
+    refilled_at: float
 
-    def take(self, now: float, left_share: float = 0.0) -> bool:
+    def take(self, now: float, reserved_share: float = 0.0) -> bool:
         """Take one token, if that leaves a share of the burst."""
-        gained = max(0.0, now - self.filled_at) * self.rate
+        gained = max(0.0, now - self.refilled_at) * self.rate
         burst = max(1.0, self.rate * BURST_SECONDS)
         self.tokens = min(burst, self.tokens + gained)
-        self.filled_at = max(now, self.filled_at)
-        if self.tokens < 1.0 or self.tokens - 1.0 < left_share * (burst - 1):
+        self.refilled_at = max(now, self.refilled_at)
+        if self.tokens < 1.0 or self.tokens - 1.0 < reserved_share * (
+            burst - 1
+        ):
             return False
         self.tokens -= 1.0
         return True
@@ -94,11 +96,11 @@
             RequestKind.WRITE: write_bucket,
             RequestKind.DEFERRABLE_WRITE: write_bucket,
         }
-        self.shares: dict[str, TokenBucket] = {}
-        self.circuit = Circuit.CLOSED
+        self.account_buckets: dict[str, TokenBucket] = {}
+        self.circuit = CircuitState.CLOSED
         self.in_flight = 0
-        self.failures = 0
-        self.openings = 0
+        self.consecutive_failures = 0
+        self.consecutive_openings = 0
         self.open_until = now
 
     def admit(
@@ -108,58 +110,66 @@
 
         ``account`` is the client account that it is made for, if any.
         """
-        if self.circuit is Circuit.HALF_OPEN:
+        if self.circuit is CircuitState.HALF_OPEN:
             return Refusal.CIRCUIT_OPEN
-        if self.circuit is Circuit.OPEN and now < self.open_until:
+        if self.circuit is CircuitState.OPEN and now < self.open_until:
             return Refusal.CIRCUIT_OPEN
-        if self.in_flight >= MOST_IN_FLIGHT:
+        if self.in_flight >= MAX_IN_FLIGHT:
             return Refusal.TOO_MANY_IN_FLIGHT
-        if account and not self.share_of(account, now).take(now):
+        if account and not self.account_bucket(account, now).take(now):
             return Refusal.OVER_RATE
-        deferrable = kind is RequestKind.DEFERRABLE_WRITE
-        left_share = DEFERRABLE_LEAVES if deferrable else 0.0
-        if not self.buckets[kind].take(now, left_share):
+        is_deferrable = kind is RequestKind.DEFERRABLE_WRITE
+        reserved_share = DEFERRABLE_RESERVED_SHARE if is_deferrable else 0.0
+        if not self.buckets[kind].take(now, reserved_share):
             return Refusal.OVER_RATE
-        if self.circuit is Circuit.OPEN:
-            self.circuit = Circuit.HALF_OPEN
+        if self.circuit is CircuitState.OPEN:
+            self.circuit = CircuitState.HALF_OPEN
         self.in_flight += 1
         return None
 
-    def share_of(self, account: str, now: float) -> TokenBucket:
+    def account_bucket(self, account: str, now: float) -> TokenBucket:
         """Return the bucket of the writes that one account may cause.
 
         Without it an account that floods an instance with charges uses up
         all its writes, and other accounts' charges are turned away.
         """
-        if len(self.shares) > MOST_SHARES:
-            self.shares.clear()
-        rate = self.buckets[RequestKind.WRITE].rate * MOST_OF_ONE_ACCOUNT
-        full = TokenBucket(rate, rate * BURST_SECONDS, now)
-        return self.shares.setdefault(account, full)
+        if len(self.account_buckets) > MAX_ACCOUNT_BUCKETS:
+            self.account_buckets.clear()
+        rate = self.buckets[RequestKind.WRITE].rate * MAX_ACCOUNT_SHARE
+        full_bucket = TokenBucket(rate, rate * BURST_SECONDS, now)
+        return self.account_buckets.setdefault(account, full_bucket)
 
-    def succeeded(self) -> list[actions.Record]:
+    def record_success(self) -> list[actions.Record]:
         """Note that a request was answered."""
         self.in_flight -= 1
-        self.failures = 0
-        self.openings = 0
-        if self.circuit is Circuit.CLOSED:
+        self.consecutive_failures = 0
+        self.consecutive_openings = 0
+        if self.circuit is CircuitState.CLOSED:
             return []
-        self.circuit = Circuit.CLOSED
+        self.circuit = CircuitState.CLOSED
         return [actions.Record('store-circuit-closed', 'store answers')]
 
-    def failed(self, now: float) -> list[actions.Record]:
+    def record_failure(self, now: float) -> list[actions.Record]:
         """Note that a request got no answer in time, or an error."""
         self.in_flight -= 1
-        self.failures += 1
-        if self.circuit is Circuit.OPEN:
+        self.consecutive_failures += 1
+        if self.circuit is CircuitState.OPEN:
             return []
-        probing = self.circuit is Circuit.HALF_OPEN
-        if not probing and self.failures < FAILURES_TO_OPEN:
+        was_half_open = self.circuit is CircuitState.HALF_OPEN
+        if not was_half_open and self.consecutive_failures < FAILURES_TO_OPEN:
             return []
-        wait = min(MOST_OPEN_SECONDS, FIRST_OPEN_SECONDS * 2.0**self.openings)
-        wait *= self.rng.uniform(LEAST_SPREAD, 1.0)
-        self.openings = min(self.openings + 1, FAILURES_TO_OPEN)
-        self.open_until = now + wait
-        self.circuit = Circuit.OPEN
-        reason = f'{self.failures} failures, next try in {wait:.2f} s'
+        open_seconds = min(
+            MAX_OPEN_SECONDS,
+            FIRST_OPEN_SECONDS * 2.0**self.consecutive_openings,
+        )
+        open_seconds *= self.rng.uniform(MIN_JITTER_FACTOR, 1.0)
+        self.consecutive_openings = min(
+            self.consecutive_openings + 1, FAILURES_TO_OPEN
+        )
+        self.open_until = now + open_seconds
+        self.circuit = CircuitState.OPEN
+        reason = (
+            f'{self.consecutive_failures} failures, '
+            f'next try in {open_seconds:.2f} s'
+        )
         return [actions.Record('store-circuit-opened', reason)]
--- a/src/greengagelb/coordination/sharing/suspicions.py
+++ b/src/greengagelb/coordination/sharing/suspicions.py
@@ -6,19 +6,19 @@
 
 import dataclasses
 
-from greengagelb.coordination.sharing import crashes as crash_records
+from greengagelb.coordination.sharing import crash_records
 from greengagelb.state import crashes
 
 # How long an engine may take to show what has become of it, in seconds.
-WAIT_SECONDS = 10.0
+SUSPICION_TTL_SECONDS = 10.0
 # The most that wait for one engine.
-MOST_WAITING = 256
+MAX_SUSPICIONS_PER_ENGINE = 256
 # An engine that does not answer is asked so often. It may be the network that
 # has lost the question, or the engine is just ending.
-MOST_QUESTIONS = 3
+MAX_PROBES = 3
 # After a question without an answer the next one waits for so many seconds: a
 # process that is ending may reset several in a row.
-ASK_AGAIN_SECONDS = 0.05
+PROBE_RETRY_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,59 +28,63 @@
     fingerprint: str
     life: str
     began_at: float
-    broke_at: float
+    broken_at: float
 
 
 class Suspicions:
     """Runs that broke off, by the engine that had them."""
 
     def __init__(self) -> None:
-        self.waiting: dict[str, list[Suspicion]] = {}
+        self.by_engine: dict[str, list[Suspicion]] = {}
 
     def add(self, engine: str, suspicion: Suspicion) -> bool:
         """Keep a run; return whether its engine is to be asked."""
-        found = self.waiting.setdefault(engine, [])
-        found[:] = [
-            s for s in found if s.broke_at > suspicion.broke_at - WAIT_SECONDS
+        runs = self.by_engine.setdefault(engine, [])
+        runs[:] = [
+            run
+            for run in runs
+            if run.broken_at > suspicion.broken_at - SUSPICION_TTL_SECONDS
         ]
-        if len(found) < MOST_WAITING:
-            found.append(suspicion)
-        return len(found) == 1
+        if len(runs) < MAX_SUSPICIONS_PER_ENGINE:
+            runs.append(suspicion)
+        return len(runs) == 1
 
-    def ended(self, engine: str, now: float) -> list[Suspicion]:
+    def pop_suspicions(self, engine: str, now: float) -> list[Suspicion]:
         """Return the runs that an engine's end explains, and forget them."""
-        found = self.waiting.pop(engine, [])
-        return [s for s in found if s.broke_at > now - WAIT_SECONDS]
+        runs = self.by_engine.pop(engine, [])
+        return [
+            run for run in runs if run.broken_at > now - SUSPICION_TTL_SECONDS
+        ]
 
-    def lives(self, engine: str) -> None:
+    def clear_engine(self, engine: str) -> None:
         """Forget the runs of an engine that is still there."""
-        self.waiting.pop(engine, None)
+        self.by_engine.pop(engine, None)
 
-    def crashes_of(self, fingerprint: str) -> dict[str, crashes.Crash]:
+    def suspected_crashes(self, fingerprint: str) -> dict[str, crashes.Crash]:
         """Return the crashes that a request is suspected of, by life."""
         return {
-            suspicion.life: crash_of(suspicion)
-            for waiting in self.waiting.values()
-            for suspicion in waiting
+            suspicion.life: crash_from_suspicion(suspicion)
+            for runs in self.by_engine.values()
+            for suspicion in runs
             if suspicion.fingerprint == fingerprint
         }
 
-    def forget_old(self, now: float) -> None:
+    def forget_expired(self, now: float) -> None:
         """Forget engines that never showed what became of them."""
-        for engine, found in list(self.waiting.items()):
-            if found[-1].broke_at <= now - WAIT_SECONDS:
-                del self.waiting[engine]
+        for engine, runs in list(self.by_engine.items()):
+            if runs[-1].broken_at <= now - SUSPICION_TTL_SECONDS:
+                del self.by_engine[engine]
 
 
-def crash_of(suspicion: Suspicion) -> crashes.Crash:
+def crash_from_suspicion(suspicion: Suspicion) -> crashes.Crash:
     """Return what a suspicion means if its engine has ended."""
     return crashes.Crash(
-        suspicion.life, suspicion.began_at, suspicion.broke_at
+        suspicion.life, suspicion.began_at, suspicion.broken_at
     )
 
 
-def count(
-    found: list[Suspicion], records: crash_records.CrashRecords, now: float
+def count_crashes(
+    runs: list[Suspicion], records: crash_records.CrashRecords, now: float
 ) -> list[str]:
     """Count an engine's crash against the runs that it had.
 
@@ -88,6 +92,8 @@
     """
     return [
         suspicion.fingerprint
-        for suspicion in found
-        if records.crashed(suspicion.fingerprint, crash_of(suspicion), now)
+        for suspicion in runs
+        if records.add_crash(
+            suspicion.fingerprint, crash_from_suspicion(suspicion), now
+        )
     ]
--- a/src/greengagelb/coordination/streams/continuing.py
+++ b/src/greengagelb/coordination/streams/continuing.py
@@ -194,7 +194,7 @@
             reason = f'ended at {event.position}'
             return self.ladder.lost(stream, attempt, now, reason)
         done = self.settle_spare(stream, attempt, now)
-        self.guard.survived(stream.request, now)
+        self.guard.record_survival(stream.request, now)
         return done + self.ladder.end(stream, event.reason)
 
     # -- trouble ------------------------------------------------------------
@@ -246,7 +246,7 @@
         its answer is out.
         """
         accepted = attempt.accepted_at <= now
-        return self.guard.broke_off(
+        return self.guard.suspect_upstream(
             stream.request,
             attempt.upstream,
             attempt.incarnation,
@@ -264,12 +264,14 @@
             stream
             for stream in self.streams.values()
             if not (stream.attempt and stream.attempt.has_progressed)
-            and fingerprints.of_own(stream.request) == fingerprint
+            and fingerprints.for_own_request(stream.request) == fingerprint
         ]
         return [
             action
             for stream in found
-            for action in self.ladder.fail(stream, crash_guard.RAN_CODE, None)
+            for action in self.ladder.fail(
+                stream, crash_guard.BLOCKED_RAN_CODE, None
+            )
         ]
 
     def engine_reported(
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -12,8 +12,8 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination import timers
 from greengagelb.coordination.fleet import routing
-from greengagelb.coordination.sharing import budgets
 from greengagelb.coordination.sharing import crash_guard
+from greengagelb.coordination.sharing import replay_budgets
 from greengagelb.coordination.streams import attempts
 from greengagelb.coordination.streams import endings
 from greengagelb.coordination.streams import pinning
@@ -41,8 +41,8 @@
         super().__init__(directory, table)
         self.guard = guard
         self.configuration = configuration_state.Configuration()
-        self.budgets = budgets.ReplayBudgets()
-        self.exhausted = budgets.ExhaustedRequests()
+        self.budgets = replay_budgets.ReplayBudgets()
+        self.exhausted = replay_budgets.ExhaustedRequests()
 
     # -- first step ---------------------------------------------------------
 
@@ -115,7 +115,7 @@
         done += self.table.drop(stream, attempt)
         if self.has_killed_too_many(stream):
             self.exhausted.add(stream.request.request)
-            return done + self.fail(stream, crash_guard.RAN_CODE, None)
+            return done + self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if not is_current:
             return done
         if stream.spare is not None:
@@ -141,9 +141,9 @@
             return self.end(stream, 'length')
         if stream.would_run_twice:
             return self.fail(stream, 'outcome-unknown', None)
-        if self.guard.blocks(stream.request, now):
-            return self.fail(stream, crash_guard.RAN_CODE, None)
-        if self.guard.holds(stream.request, now):
+        if self.guard.is_blocked(stream.request, now):
+            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+        if self.guard.has_blocking_suspicions(stream.request, now):
             return self.wait(stream, now)
         account = stream.request.request.account
         self.directory.limits.set_retry_requester(account, now, urgent=True)
@@ -202,7 +202,7 @@
         """
         pool = pinning.pool_in_force(self.configuration, stream)
         if self.guard.must_not_run(stream.request, now):
-            return self.fail(stream, crash_guard.RAN_CODE, None)
+            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if pool is not None and self.directory.choose_upstream(
             pool, set(), now
         ):
@@ -255,4 +255,4 @@
         account = self.configuration.find_account(name)
         if account is None:
             return 0.0
-        return self.budgets.spend(name, account.resume_budget, now)
+        return self.budgets.take_replay(name, account.resume_budget, now)
--- a/src/greengagelb/measure/baselines.py
+++ b/src/greengagelb/measure/baselines.py
@@ -74,11 +74,16 @@
 class FirstInFirstOut(fair_queue.FairQueue):
     """Serves requests in the order of their arrival, whoever sent them."""
 
-    def make_ready(self, line: fair_queue.AccountLine) -> None:
+    def schedule_account(self, account_queue: fair_queue.AccountQueue) -> None:
         """Enter a line by the number of its oldest exchange."""
-        if line.serial == fair_queue.NOT_READY and line.waiting:
-            line.finish = line.first().exchange
-            super().make_ready(line)
+        if (
+            account_queue.heap_serial == fair_queue.NO_HEAP_ENTRY
+            and account_queue.waiting
+        ):
+            account_queue.virtual_finish = (
+                account_queue.oldest_ticket().exchange
+            )
+            super().schedule_account(account_queue)
 
 
 class NoAdmission(admission.AdmissionControl):
@@ -92,22 +97,22 @@
         self,
         ticket: fair_queue.Ticket,
         account: configuration_state.ClientAccount,
-        resumes: bool,
+        is_resume: bool,
         now: float,
     ) -> requests.Failure | None:
         """Let every request wait."""
         return None
 
-    def expected_run(self, ticket: fair_queue.Ticket) -> float:
+    def expected_run_seconds(self, ticket: fair_queue.Ticket) -> float:
         """Return nothing: each request is started, however late."""
         return 0.0
 
     def push(self, ticket: fair_queue.Ticket) -> None:
         """Let a ticket wait in the order of its arrival."""
-        key = admission.key_of(ticket)
+        key = admission.queue_key(ticket)
         if key not in self.queues:
             self.queues[key] = FirstInFirstOut()
-            self.keys = sorted(self.queues)
+            self.queue_keys = sorted(self.queues)
         super().push(ticket)
 
 
--- a/src/greengagelb/transport/instance.py
+++ b/src/greengagelb/transport/instance.py
@@ -183,7 +183,7 @@
                 if view.leaving and view.incarnation
             ),
             self.orders.held,
-            self.node.guard.suspects(),
+            self.node.guard.sorted_suspects(),
         )
 
     def probe_upstreams(self) -> None:
@@ -290,7 +290,9 @@
             timeline_dropped=self.recorder.timeline.dropped,
             suspects=len(self.node.guard.records.histories),
             blocked=len(
-                self.node.guard.records.blocked(self.reactor.seconds())
+                self.node.guard.records.blocked_fingerprints(
+                    self.reactor.seconds()
+                )
             ),
             limits=self.node.limits.keeper.figures(),
         )
--- a/src/greengagelb/transport/platform_client.py
+++ b/src/greengagelb/transport/platform_client.py
@@ -169,13 +169,13 @@
 
     def available(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
         """Note that the platform answers."""
-        for action in self.budget.succeeded():
+        for action in self.budget.record_success():
             self.record(action)
         return answer
 
     def unavailable(self, why: failure.Failure) -> None:
         """Note that the platform is away, and raise it."""
-        for action in self.budget.failed(self.reactor.seconds()):
+        for action in self.budget.record_failure(self.reactor.seconds()):
             self.record(action)
         unavailable = errors.PlatformUnavailable(why.type.__name__)
         unavailable.handed_over = http.was_handed_over(why)
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -197,7 +197,9 @@
             timeline_dropped=self.recorder.timeline.dropped,
             suspects=len(self.relay.crashes.records.histories),
             blocked=len(
-                self.relay.crashes.records.blocked(self.reactor.seconds())
+                self.relay.crashes.records.blocked_fingerprints(
+                    self.reactor.seconds()
+                )
             ),
             limits=self.relay.keeper.figures(),
         )
--- a/tests/callers/test_priority.py
+++ b/tests/callers/test_priority.py
@@ -31,4 +31,4 @@
     )
     current = configuration.Configuration(services=(service,))
     request = site.events[0].request
-    assert arrivals.service_of(current, request).priority is served
+    assert arrivals.resolve_service(current, request).priority is served
--- a/tests/calls/test_claims.py
+++ b/tests/calls/test_claims.py
@@ -413,7 +413,7 @@
 
 def test_waits_grow_with_an_outage_and_are_spread():
     keeper = claims.ClaimKeeper('i', random.Random(1))
-    waits = [keeper.advice.failed() for _ in range(40)]
+    waits = [keeper.advice.record_failure() for _ in range(40)]
     assert max(waits[:1]) <= 1.5
     assert min(waits[6:]) >= 16.0
     assert max(waits) <= 48.0
--- a/tests/calls/test_platform_client.py
+++ b/tests/calls/test_platform_client.py
@@ -106,7 +106,7 @@
     store.network.accept().answer(b'', status='429 Busy', length=5)
     (why,) = failed
     assert why.check(errors.PlatformUnavailable)
-    assert store.platform.budget.failures == 1
+    assert store.platform.budget.consecutive_failures == 1
 
 
 def test_request_that_can_not_be_built_is_not_counted_as_under_way():
--- a/tests/calls/test_store_budget.py
+++ b/tests/calls/test_store_budget.py
@@ -10,7 +10,7 @@
 
 READ = store_budget.RequestKind.READ
 WRITE = store_budget.RequestKind.WRITE
-Circuit = store_budget.Circuit
+CircuitState = store_budget.CircuitState
 
 
 def small_budget(writes=5.0):
@@ -20,7 +20,7 @@
 def fail_until_open(budget, now=0.0):
     for _ in range(store_budget.FAILURES_TO_OPEN):
         assert budget.admit(READ, now) is None
-        opened = budget.failed(now)
+        opened = budget.record_failure(now)
     return opened
 
 
@@ -34,14 +34,14 @@
     for tick in range(1000):
         if budget.admit(WRITE, tick * 0.01) is None:
             admitted += 1
-            budget.succeeded()
+            budget.record_success()
     assert admitted <= 5.0 * 10 + 5.0 * store_budget.BURST_SECONDS
 
 
 def test_reads_do_not_use_up_writes():
     budget = small_budget()
     while budget.admit(READ, 0.0) is None:
-        budget.succeeded()
+        budget.record_success()
     assert budget.admit(WRITE, 0.0) is None
 
 
@@ -53,7 +53,7 @@
     budget = small_budget()
     deferrable = store_budget.RequestKind.DEFERRABLE_WRITE
     while budget.admit(deferrable, 0.0) is None:
-        budget.succeeded()
+        budget.record_success()
     assert budget.buckets[WRITE].tokens >= 5.0
     assert budget.admit(WRITE, 0.0) is None
 
@@ -67,11 +67,11 @@
     for tick in range(500):
         now = tick * 0.01
         while budget.admit(WRITE, now, 'karri') is None:
-            budget.succeeded()
+            budget.record_success()
     assert budget.admit(WRITE, now, 'teratak') is None
 
 
-def test_failures_in_a_row_open_the_circuit_and_say_so():
+def test_consecutive_failures_open_the_circuit_and_are_recorded():
     (opened,) = fail_until_open(small_budget())
     assert opened.kind == 'store-circuit-opened'
 
@@ -90,12 +90,12 @@
     fail_until_open(budget)
     assert budget.admit(READ, 10.0) is None
     assert budget.admit(READ, 10.0) is store_budget.Refusal.CIRCUIT_OPEN
-    (closed,) = budget.succeeded()
+    (closed,) = budget.record_success()
     assert closed.kind == 'store-circuit-closed'
     assert budget.admit(READ, 10.0) is None
 
 
-def test_failed_probe_opens_it_for_longer():
+def test_failed_probe_opens_the_circuit_for_longer():
     budget = small_budget()
     fail_until_open(budget)
     now = 0.0
@@ -104,9 +104,9 @@
         waits.append(budget.open_until - now)
         now = budget.open_until
         assert budget.admit(READ, now) is None
-        budget.failed(now)
+        budget.record_failure(now)
     assert waits[0] <= store_budget.FIRST_OPEN_SECONDS
-    assert max(waits) <= store_budget.MOST_OPEN_SECONDS
+    assert max(waits) <= store_budget.MAX_OPEN_SECONDS
     assert min(waits[5:]) >= 4.0
 
 
@@ -114,7 +114,7 @@
     """A store that takes requests and answers none fills the memory."""
     budget = store_budget.StoreBudget(1e6, 1e6, random.Random(1), 0.0)
     admitted = sum(budget.admit(READ, 0.0) is None for _ in range(999))
-    assert admitted == store_budget.MOST_IN_FLIGHT
+    assert admitted == store_budget.MAX_IN_FLIGHT
 
 
 STEPS = strategies.lists(
@@ -128,7 +128,7 @@
 
 @given(STEPS)
 @settings(derandomize=True, max_examples=200, deadline=None)
-def test_any_history_keeps_the_bounds(steps):
+def test_bounds_hold_for_any_sequence(steps):
     budget = small_budget()
     now = 0.0
     for what, wait in steps:
@@ -137,13 +137,13 @@
             before = budget.circuit
             kind = READ if what == 'read' else WRITE
             refused = budget.admit(kind, now)
-            if before is Circuit.HALF_OPEN:
+            if before is CircuitState.HALF_OPEN:
                 assert refused is not None
         elif budget.in_flight and what == 'good':
-            budget.succeeded()
+            budget.record_success()
         elif budget.in_flight:
-            budget.failed(now)
-        assert 0 <= budget.in_flight <= store_budget.MOST_IN_FLIGHT
+            budget.record_failure(now)
+        assert 0 <= budget.in_flight <= store_budget.MAX_IN_FLIGHT
         assert all(b.tokens >= 0.0 for b in budget.buckets.values())
-        if budget.circuit is Circuit.OPEN:
-            assert budget.open_until <= now + store_budget.MOST_OPEN_SECONDS
+        if budget.circuit is CircuitState.OPEN:
+            assert budget.open_until <= now + store_budget.MAX_OPEN_SECONDS
--- a/tests/common/generations.py
+++ b/tests/common/generations.py
@@ -493,8 +493,8 @@
     assert not found.waiting
     assert not found.streams.streams
     assert not found.streams.table.exchanges
-    assert not +found.admission.running_of
-    assert not +found.admission.queued_of
+    assert not +found.admission.running_per_account
+    assert not +found.admission.queued_per_account
     assert not found.cancels.pending
     for view in found.directory.views.values():
         assert view.in_flight == 0
--- a/tests/load/test_crash_records.py
+++ b/tests/load/test_crash_records.py
@@ -6,12 +6,12 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 
-from greengagelb.coordination.sharing import crashes
+from greengagelb.coordination.sharing import crash_records
 from greengagelb.state import crashes as crash_state
 
 NOW = 1000.0
-GUILTY = 'guilty'
-INNOCENT = 'innocent'
+CRASHING = 'guilty'
+HARMLESS = 'innocent'
 
 
 def crash(life, began_at, seconds=0.1):
@@ -20,44 +20,44 @@
 
 def records_of(found, now=NOW):
     """Return records with crashes as pairs of a fingerprint and a crash."""
-    records = crashes.CrashRecords()
+    records = crash_records.CrashRecords()
     for fingerprint, one in found:
-        records.crashed(fingerprint, one, now)
+        records.add_crash(fingerprint, one, now)
     return records
 
 
-def test_three_crashes_just_after_the_beginning_block():
+def test_three_early_crashes_block_a_request():
     """Guards against a verdict that comes too late, or too soon."""
-    found = [(GUILTY, crash(f'e{n}', 900.0 + n)) for n in range(3)]
-    assert not records_of(found[:2]).blocks(GUILTY, NOW)
-    assert records_of(found).blocks(GUILTY, NOW)
-    assert not records_of(found).blocks(INNOCENT, NOW)
+    found = [(CRASHING, crash(f'e{n}', 900.0 + n)) for n in range(3)]
+    assert not records_of(found[:2]).is_blocked(CRASHING, NOW)
+    assert records_of(found).is_blocked(CRASHING, NOW)
+    assert not records_of(found).is_blocked(HARMLESS, NOW)
 
 
-def test_crashes_long_after_the_beginning_count_for_less():
+def test_late_crashes_need_a_higher_count_to_block():
     """Guards against streams that are blocked for the crashes of others.
 
     They were in the middle of their output; engines that a request does bring
     down late are still spared in the end.
     """
-    late = [(GUILTY, crash(f'e{n}', 900.0 + 10 * n, 5.0)) for n in range(6)]
-    assert not records_of(late[:5]).blocks(GUILTY, NOW)
-    assert records_of(late).blocks(GUILTY, NOW)
+    late = [(CRASHING, crash(f'e{n}', 900.0 + 10 * n, 5.0)) for n in range(6)]
+    assert not records_of(late[:5]).is_blocked(CRASHING, NOW)
+    assert records_of(late).is_blocked(CRASHING, NOW)
 
 
-def test_engines_that_end_at_one_time_are_one_crash():
+def test_engines_that_end_together_count_as_one_crash():
     """Guards against a lookup blamed for the end of a data centre.
 
     It was on all engines there when they lost power.
     """
-    dark = [(INNOCENT, crash(f'e{n}', 900.0 + n / 100)) for n in range(8)]
+    dark = [(HARMLESS, crash(f'e{n}', 900.0 + n / 100)) for n in range(8)]
     records = records_of(dark)
-    assert not records.blocks(INNOCENT, NOW)
-    records.crashed(INNOCENT, crash('later', 950.0), NOW)
-    assert not records.blocks(INNOCENT, NOW)
+    assert not records.is_blocked(HARMLESS, NOW)
+    records.add_crash(HARMLESS, crash('later', 950.0), NOW)
+    assert not records.is_blocked(HARMLESS, NOW)
 
 
-def test_a_likelier_request_takes_the_blame():
+def test_crashes_count_only_against_the_likelier_request():
     """Guards against the blame for engines that another request ended.
 
     Both were on the same three engines, and one had run for longer there.
@@ -65,56 +65,56 @@
     found = []
     for n in range(3):
         end = 900.0 + 10 * n
-        found.append((GUILTY, crash_state.Crash(f'e{n}', end - 0.05, end)))
-        found.append((INNOCENT, crash_state.Crash(f'e{n}', end - 0.4, end)))
+        found.append((CRASHING, crash_state.Crash(f'e{n}', end - 0.05, end)))
+        found.append((HARMLESS, crash_state.Crash(f'e{n}', end - 0.4, end)))
     records = records_of(found)
-    assert records.blocks(GUILTY, NOW)
-    assert not records.blocks(INNOCENT, NOW)
+    assert records.is_blocked(CRASHING, NOW)
+    assert not records.is_blocked(HARMLESS, NOW)
 
 
-def test_a_block_ends_and_one_more_crash_renews_it():
+def test_a_block_expires_and_another_crash_renews_it():
     """Guards against requests that are refused for ever."""
-    found = [(GUILTY, crash(f'e{n}', 900.0 + n)) for n in range(3)]
+    found = [(CRASHING, crash(f'e{n}', 900.0 + n)) for n in range(3)]
     records = records_of(found)
-    until = records.blocked_until(GUILTY, NOW)
-    assert until == 900.1 + crashes.REMEMBERED_SECONDS
-    assert not records.blocks(GUILTY, until + 0.01)
-    records.crashed(GUILTY, crash('e9', until), until + 0.1)
-    assert records.blocks(GUILTY, until + 0.2)
+    until = records.blocked_until(CRASHING, NOW)
+    assert until == 900.1 + crash_records.CRASH_TTL_SECONDS
+    assert not records.is_blocked(CRASHING, until + 0.01)
+    records.add_crash(CRASHING, crash('e9', until), until + 0.1)
+    assert records.is_blocked(CRASHING, until + 0.2)
 
 
-def test_an_account_can_not_have_another_request_forgotten():
+def test_many_suspects_do_not_evict_a_blocked_request():
     """Guards against a flood of suspects that makes room for a guilty one."""
-    found = [(GUILTY, crash(f'e{n}', 900.0 + n)) for n in range(3)]
+    found = [(CRASHING, crash(f'e{n}', 900.0 + n)) for n in range(3)]
     records = records_of(found)
-    for n in range(2 * crashes.MOST_FINGERPRINTS):
-        records.crashed(f'flood{n}', crash(f'f{n}', 950.0), NOW)
-    assert len(records.histories) <= crashes.MOST_FINGERPRINTS
-    assert records.blocks(GUILTY, NOW)
+    for n in range(2 * crash_records.MAX_FINGERPRINTS):
+        records.add_crash(f'flood{n}', crash(f'f{n}', 950.0), NOW)
+    assert len(records.histories) <= crash_records.MAX_FINGERPRINTS
+    assert records.is_blocked(CRASHING, NOW)
 
 
-def test_nothing_is_kept_for_longer_than_it_counts():
+def test_expired_crashes_are_removed():
     """Guards against memory that grows with each crash there ever was."""
     found = [(f'r{n}', crash(f'e{n}', 900.0)) for n in range(20)]
     records = records_of(found)
-    later = NOW + 2 * crashes.REMEMBERED_SECONDS
-    records.crashed(GUILTY, crash('e', later - 1.0), later)
-    assert list(records.histories) == [GUILTY]
+    later = NOW + 2 * crash_records.CRASH_TTL_SECONDS
+    records.add_crash(CRASHING, crash('e', later - 1.0), later)
+    assert list(records.histories) == [CRASHING]
 
 
-def test_a_crash_that_is_not_kept_is_no_news():
+def test_a_crash_that_is_not_kept_is_not_reported_as_new():
     """Guards against instances that tell each other of it for ever."""
-    records = crashes.CrashRecords()
-    for n in range(crashes.MOST_REMEMBERED):
-        assert records.crashed(GUILTY, crash(f'e{n}', 900.0 + n), NOW)
-    changes = records.changes
-    assert not records.crashed(GUILTY, crash('older', 890.0), NOW)
-    assert records.changes == changes
-    assert records.crashed(GUILTY, crash('newer', 950.0), NOW)
+    records = crash_records.CrashRecords()
+    for n in range(crash_records.MAX_CRASHES_PER_REQUEST):
+        assert records.add_crash(CRASHING, crash(f'e{n}', 900.0 + n), NOW)
+    changes = records.change_count
+    assert not records.add_crash(CRASHING, crash('older', 890.0), NOW)
+    assert records.change_count == changes
+    assert records.add_crash(CRASHING, crash('newer', 950.0), NOW)
 
 
 LIVES = st.sampled_from([f'e{n}' for n in range(12)])
-NAMES = st.sampled_from([GUILTY, INNOCENT, 'third'])
+NAMES = st.sampled_from([CRASHING, HARMLESS, 'third'])
 CRASHES = st.builds(
     crash,
     LIVES,
@@ -124,7 +124,7 @@
 
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=30), st.randoms())
-def test_all_come_to_the_same_verdict(found, order):
+def test_verdict_does_not_depend_on_order_or_repetition(found, order):
     """Guards against instances that differ in whom they refuse.
 
     They hear of the same crashes in another order, and of some repeatedly.
@@ -140,59 +140,61 @@
     order.shuffle(heard)
     one, other = records_of(once), records_of(heard)
     assert one.digest() == other.digest()
-    for name in (GUILTY, INNOCENT, 'third'):
+    for name in (CRASHING, HARMLESS, 'third'):
         assert one.blocked_until(name, NOW) == other.blocked_until(name, NOW)
 
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=30))
-def test_reports_tell_all_that_leads_to_a_verdict(found):
+def test_reports_contain_everything_a_verdict_needs(found):
     """Guards against reports after which an instance knows less."""
     records = records_of(found)
-    told = crashes.CrashRecords()
-    for name in records.worst():
-        told.told(records.report(name, NOW), NOW)
-    for name in records.worst():
+    told = crash_records.CrashRecords()
+    for name in records.worst_fingerprints():
+        told.merge_report(records.build_report(name, NOW), NOW)
+    for name in records.worst_fingerprints():
         blocked = records.blocked_until(name, NOW)
         if blocked is not None:
-            assert told.blocks(name, NOW)
+            assert told.is_blocked(name, NOW)
 
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=40), st.floats(900, 990))
-def test_invariants_hold_whatever_is_heard(found, survived_at):
+def test_history_invariants_hold_for_any_input(found, survived_at):
     """Guards against histories that grow, or outlive what clears them."""
-    records = crashes.CrashRecords()
+    records = crash_records.CrashRecords()
     rng = random.Random(1)
     for name, one in found:
-        records.crashed(name, one, NOW)
+        records.add_crash(name, one, NOW)
         if rng.random() < 0.2:
-            records.survived(name, survived_at, NOW)
+            records.record_survival(name, survived_at, NOW)
         for history in records.histories.values():
-            assert len(history.crashes) <= crashes.MOST_REMEMBERED
+            assert (
+                len(history.crashes) <= crash_records.MAX_CRASHES_PER_REQUEST
+            )
             assert all(
                 c.ended_at > history.survived_at
                 for c in history.crashes.values()
             )
 
 
-def test_news_that_was_slower_than_what_follows_leads_to_the_same_verdict():
+def test_a_delayed_report_leads_to_the_same_verdict():
     """Guards against an instance that never blocks what others block.
 
     Each run began some milliseconds after the crash before, and the news of
     the first crash took longer than that of all three.
     """
-    there, here = crashes.CrashRecords(), crashes.CrashRecords()
+    there, here = crash_records.CrashRecords(), crash_records.CrashRecords()
     seen = [
         crash_state.Crash(f'engine {n}', 100.0 + 0.02 * n, 100.016 + 0.02 * n)
         for n in range(3)
     ]
-    there.crashed('f', seen[0], 100.02)
-    first = there.report('f', 100.02)
+    there.add_crash('f', seen[0], 100.02)
+    first = there.build_report('f', 100.02)
     for crash in seen[1:]:
-        there.crashed('f', crash, 100.06)
-    assert there.blocks('f', 100.06)
-    here.told(first, 100.02 + 0.01)
-    here.told(there.report('f', 100.06), 100.06 + 0.001)
-    assert here.blocks('f', 100.07)
+        there.add_crash('f', crash, 100.06)
+    assert there.is_blocked('f', 100.06)
+    here.merge_report(first, 100.02 + 0.01)
+    here.merge_report(there.build_report('f', 100.06), 100.06 + 0.001)
+    assert here.is_blocked('f', 100.07)
 
 
 DELAYS = st.lists(st.floats(0.0, 0.5), max_size=3)
@@ -200,23 +202,26 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(NAMES, CRASHES, DELAYS), max_size=20))
-def test_the_quickest_news_of_each_crash_decides(found):
+def test_the_earliest_reported_time_of_a_crash_counts(found):
     """Guards against a verdict that depends on how long news took.
 
     Each crash is told of once without delay, before or after slower news.
     """
-    seen, heard = crashes.CrashRecords(), crashes.CrashRecords()
+    seen, heard = crash_records.CrashRecords(), crash_records.CrashRecords()
     for number, (name, one, delays) in enumerate(found):
         life = f'engine {number}'
         for delay in (*delays, 0.0):
             late = crash_state.Crash(
                 life, one.began_at + delay, one.ended_at + delay
             )
-            heard.crashed(name, late, NOW)
+            heard.add_crash(name, late, NOW)
         exact = crash_state.Crash(life, one.began_at, one.ended_at)
-        seen.crashed(name, exact, NOW)
+        seen.add_crash(name, exact, NOW)
     for name in seen.histories:
-        if len(seen.histories[name].crashes) < crashes.MOST_REMEMBERED:
+        if (
+            len(seen.histories[name].crashes)
+            < crash_records.MAX_CRASHES_PER_REQUEST
+        ):
             assert seen.blocked_until(name, NOW) == heard.blocked_until(
                 name, NOW
             )
@@ -228,17 +233,19 @@
     st.floats(1e3, 1e7),
     st.floats(1e3, 1e7),
 )
-def test_runs_without_a_pause_are_told_apart_by_all(lasted, clock, other):
+def test_consecutive_runs_without_a_pause_count_separately(
+    lasted, clock, other
+):
     """Guards against a verdict that hangs on the rounding of ages.
 
     Each run began in the moment in which the one before was lost.
     """
-    there, here = crashes.CrashRecords(), crashes.CrashRecords()
+    there, here = crash_records.CrashRecords(), crash_records.CrashRecords()
     for number, seconds in enumerate(lasted):
         began, clock = clock, clock + seconds
-        there.crashed(
+        there.add_crash(
             'f', crash_state.Crash(f'e{number}', began, clock), clock
         )
-    assert there.blocks('f', clock)
-    here.told(there.report('f', clock + 0.01), other)
-    assert here.blocks('f', other)
+    assert there.is_blocked('f', clock)
+    here.merge_report(there.build_report('f', clock + 0.01), other)
+    assert here.is_blocked('f', other)
--- a/tests/load/test_crashing_requests.py
+++ b/tests/load/test_crashing_requests.py
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize('size', [3, 30])
 @pytest.mark.parametrize('kind', ['stream', 'query', 'call'])
-def test_what_has_crashed_three_engines_gets_no_more_of_them(size, kind):
+def test_a_request_that_crashed_three_engines_is_blocked(size, kind):
     """Guards against one request that ends engine after engine."""
     played = crashing_fleet.CrashingFleet(size)
     played.ask_again_and_again(kind, seconds=30.0, every=1.5)
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize('loss', [0.1, 0.5])
-def test_all_know_of_a_crash_although_datagrams_are_lost(loss):
+def test_all_instances_learn_of_a_crash_despite_lost_datagrams(loss):
     """Guards against instances that never hear what the others know."""
     played = crashing_fleet.CrashingFleet(30, loss=loss)
     played.ask_again_and_again('stream', seconds=20.0, every=0.7)
@@ -44,7 +44,7 @@
     assert played.retries_after_the_third_crash() <= MOST_RETRIES
 
 
-def test_a_data_centre_learns_after_a_cut_what_the_others_know():
+def test_a_data_centre_learns_of_blocks_after_a_network_partition():
     """Guards against a verdict that a cut keeps from some instances."""
     played = crashing_fleet.CrashingFleet(12)
     played.cut.add('west')
@@ -60,7 +60,7 @@
     assert all(played.refuses(instance) for instance in played.instances)
 
 
-def test_an_instance_that_starts_learns_what_the_others_know():
+def test_a_started_instance_learns_of_blocks():
     """Guards against a restart that gives a blocked request new engines."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
@@ -70,7 +70,7 @@
     assert played.refuses(played.instances[2])
 
 
-def test_the_store_keeps_what_is_blocked_over_an_end_of_all_instances():
+def test_blocks_survive_a_restart_of_all_instances():
     """Guards against a power cut after which engines are ended anew."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
@@ -83,7 +83,7 @@
     assert all(played.refuses(instance) for instance in played.instances)
 
 
-def test_requests_beside_one_that_crashes_engines_are_served():
+def test_requests_next_to_a_crashing_one_are_served():
     """Guards against innocent requests that are blocked with the guilty one.
 
     They are on the same engines, several of which end under each of them.
@@ -104,7 +104,7 @@
     assert answers.CRASHES_ENGINES not in codes
 
 
-def test_a_data_centre_that_goes_dark_blocks_no_request():
+def test_a_power_loss_of_a_data_centre_blocks_no_request():
     """Guards against a popular lookup that is blamed for a power cut.
 
     It was on all engines there, and comes again while they are down.
@@ -132,7 +132,7 @@
     return world
 
 
-def test_a_connection_that_breaks_is_no_crash():
+def test_a_broken_connection_is_not_a_crash():
     """Guards against resets that have a request blocked."""
     world = lone_world()
     for _ in range(6):
@@ -153,7 +153,7 @@
     assert not world.relay.crashes.records.histories
 
 
-def test_a_request_that_waits_on_an_engine_that_crashes_is_no_suspect():
+def test_a_request_not_yet_begun_on_a_crashed_engine_is_no_suspect():
     """Guards against prompts that are blocked while they are read.
 
     The engines end under another request, which had begun there.
@@ -181,7 +181,7 @@
     )
 
 
-def test_a_blocked_request_is_refused_at_once_with_when_to_come_back():
+def test_a_blocked_request_is_refused_at_once_with_retry_after():
     """Guards against callers who wait, or ask again, for nothing."""
     world = lone_world()
     exchange = world.ask(body=b'x')
@@ -198,7 +198,7 @@
     assert world.sends(world.ask(body=b'x'))
 
 
-def test_other_sends_of_a_blocked_request_are_taken_off_their_engines():
+def test_other_sends_of_a_blocked_request_are_abandoned():
     """Guards against the engines that are just reading its prompt."""
     world = lone_world()
     reading = world.ask(body=b'x')
@@ -212,7 +212,7 @@
     assert not world.refusals(other)
 
 
-def test_the_third_crash_is_waited_for_before_a_fourth_engine_gets_it():
+def test_a_possible_third_crash_is_checked_before_a_fourth_send():
     """Guards against a fourth engine that ends while the third is asked."""
     world = lone_world()
     exchange = world.ask(body=b'x')
@@ -230,7 +230,7 @@
     assert world.last_send(exchange) is not third
 
 
-def test_an_engine_that_survives_a_request_clears_it():
+def test_a_completed_run_clears_a_suspect():
     """Guards against requests that stay suspects for crashes of others."""
     world = lone_world()
     exchange = world.ask(body=b'x')
@@ -246,7 +246,7 @@
     assert not world.refusals()
 
 
-def test_an_engine_that_gives_no_answer_is_asked_again():
+def test_an_unanswered_engine_check_is_repeated():
     """Guards against crashes that a lost question leaves uncounted.
 
     A process that is ending may reset several questions in a row, so there is
@@ -270,7 +270,7 @@
     assert not world.relay.crashes.questions
 
 
-def test_heartbeats_of_instances_that_started_together_spread():
+def test_heartbeats_of_instances_started_together_spread_out():
     """Guards against repairs that wait for all heartbeats at once.
 
     Two hundred instances beat every five seconds each. Where all do so in
@@ -287,7 +287,7 @@
     assert max(gaps) < 1.0
 
 
-def test_two_hundred_instances_know_of_the_third_crash_in_time():
+def test_two_hundred_instances_learn_of_the_third_crash_in_time():
     """Guards against a fleet in which news takes longer than it may."""
     large = crashing_fleet.CrashingFleet(200, per_place=10, loss=0.05)
     large.ask_again_and_again('query', seconds=4.0, every=1.0)
