--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -28,7 +28,7 @@
 ROUNDS = 8
 
 
-def crash_what_runs(world):
+def crash_busy_engines(world):
     """Bring down the engines that run something; return how many."""
     world.deliver_all()
     engines = [
@@ -55,7 +55,7 @@
     return caller
 
 
-def test_a_generation_is_known_again_under_another_id():
+def test_a_generation_is_recognized_under_another_id():
     """Guards against a prompt that ends engine after engine."""
     world = generations.World(engines=4)
     world.report()
@@ -63,7 +63,7 @@
     for _ in range(ROUNDS):
         caller = ask(world, 'draft')
         while caller.waits:
-            crashed += crash_what_runs(world)
+            crashed += crash_busy_engines(world)
             world.pass_time(0.25)
             for engine in world.engines.values():
                 engine.come_back()
@@ -124,7 +124,7 @@
     return crashed, exchange.answers[-1]
 
 
-def test_a_call_is_known_again_under_another_id():
+def test_a_call_is_recognized_under_another_id():
     """Guards against an idempotent call that ends one upstream a try."""
     crashed, answer = crashed_by_calls(call_world.LOOKUP, has_key=False)
     assert crashed <= MOST_ENGINES
@@ -132,14 +132,14 @@
     assert answer.failure.code == 'request-crashes-engines'
 
 
-def test_a_keyed_call_is_known_again_under_another_key():
+def test_a_keyed_call_is_recognized_under_another_key():
     """Guards against a charge that ends an upstream with each new key."""
     crashed, answer = crashed_by_calls(call_world.CHARGE, has_key=True)
     assert crashed <= MOST_ENGINES
     assert answer.failure.code == 'request-crashes-engines'
 
 
-def test_an_upstream_that_resets_the_question_is_asked_again():
+def test_a_reset_probe_is_repeated():
     """Guards against a crash that is never found.
 
     A process that is ending may still take the connection with the question,
@@ -161,7 +161,7 @@
     assert world.kinds['engine-crashed'] == 1
 
 
-def test_an_upstream_that_never_answers_is_asked_a_few_times():
+def test_probes_of_an_unreachable_upstream_are_bounded():
     """Guards against questions without end to an upstream that is cut off."""
     world = call_world.World(instances=1)
     [home] = world.instances
@@ -172,11 +172,11 @@
     for _ in range(10):
         world.deliver(home, events.UpstreamUnreachable(dispatch.upstream))
         world.advance(0.2)
-    assert len(world.probes) == suspicions.MOST_QUESTIONS
+    assert len(world.probes) == suspicions.MAX_PROBES
     assert world.kinds['engine-crashed'] == 0
 
 
-def test_crashes_that_are_only_suspected_count_together():
+def test_suspected_crashes_count_together():
     """Guards against a fourth engine while three are still being asked.
 
     The answers of engines that end may take longer than the next tries.
@@ -190,13 +190,13 @@
         name = f'plain-{number}'
         upstream = configuration.Upstream(name, '127.0.0.1', 1, 'kl-1')
         began = 10.0 + number
-        guard.broke_off(request, upstream, 'life', began, began + 0.1)
+        guard.suspect_upstream(request, upstream, 'life', began, began + 0.1)
     assert guard.must_not_run(request, 13.0)
-    guard.reported(upstream_report('plain-1', 'life'), 13.0)
+    guard.handle_report(upstream_report('plain-1', 'life'), 13.0)
     assert not guard.must_not_run(request, 13.0)
 
 
-def test_an_upstream_whose_connections_break_is_one_suspect():
+def test_repeated_broken_connections_to_one_upstream_count_once():
     """Guards against blame for connections that break one after another."""
     guard = crash_guard.CrashGuard()
     request = requests.CallRequest(
@@ -205,18 +205,18 @@
     upstream = configuration.Upstream('plain', '127.0.0.1', 1, 'kl-1')
     for number in range(5):
         began = 10.0 + number
-        guard.broke_off(request, upstream, 'life', began, began + 0.1)
+        guard.suspect_upstream(request, upstream, 'life', began, began + 0.1)
     assert not guard.must_not_run(request, 15.0)
 
 
-def test_other_prompts_are_served_meanwhile():
+def test_other_prompts_are_served_while_one_is_blocked():
     """Guards against an account that is refused for one of its requests."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(3):
         caller = ask(world, 'draft')
         while caller.waits:
-            crash_what_runs(world)
+            crash_busy_engines(world)
             world.pass_time(0.25)
             for engine in world.engines.values():
                 engine.come_back()
@@ -227,7 +227,7 @@
     assert isinstance(other.finals[-1], actions.SendEnd)
 
 
-def test_an_engine_that_is_only_silent_has_not_crashed():
+def test_a_broken_connection_is_not_a_crash():
     """Guards against prompts that are blamed for connections."""
     world = generations.World(engines=4)
     world.report()
@@ -247,13 +247,13 @@
     assert 'engine-crashed' not in world.kinds()
 
 
-def test_a_survived_generation_is_no_suspect():
+def test_a_completed_generation_is_no_suspect():
     """Guards against prompts that were on engines which others crashed."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(4):
         caller = ask(world, 'draft')
-        crash_what_runs(world)
+        crash_busy_engines(world)
         world.pass_time(0.25)
         for engine in world.engines.values():
             engine.come_back()
@@ -312,7 +312,7 @@
         assert report.crashes[-1].age == network.now - 92.1
 
 
-def test_an_instance_that_starts_is_told_of_crashes_of_long_ago():
+def test_a_started_instance_is_told_of_earlier_crashes():
     """Guards against a restart that gives a blocked request engines."""
     network = joined_network(3)
     find_suspect(network, 0)
@@ -323,7 +323,7 @@
     assert heard_of(network, started) is not None
 
 
-def test_an_instance_is_told_after_a_cut():
+def test_an_instance_is_told_of_crashes_after_a_partition():
     """Guards against a verdict that a cut keeps from some instances."""
     network = joined_network(3)
     pairs = [
@@ -338,13 +338,13 @@
     assert heard_of(network, members.peer(2)) is not None
 
 
-def test_what_heartbeats_carry_of_crashes_is_bounded():
+def test_crash_reports_per_heartbeat_are_bounded():
     """Guards against heartbeats that a crash under many requests swells."""
     many = [
         dataclasses.replace(SUSPECT, fingerprint=f'f{n}') for n in range(500)
     ]
-    told = crash_guard.reports_of(tuple(many), 101.0, whole=True)
-    assert len(told) == crash_guard.MOST_IN_HEARTBEAT
+    told = crash_guard.heartbeat_reports(tuple(many), 101.0, include_all=True)
+    assert len(told) == crash_guard.MAX_REPORTS_PER_HEARTBEAT
 
 
 def test_reports_cross_the_wire_between_instances():
--- a/tests/load/test_fair_queue.py
+++ b/tests/load/test_fair_queue.py
@@ -10,7 +10,7 @@
 
 LONG = configuration.Priority.LONG
 ACCOUNTS = strategies.sampled_from(['a', 'b', 'c'])
-MOVES = strategies.lists(
+OPERATIONS = strategies.lists(
     strategies.tuples(
         strategies.sampled_from(['push', 'pop', 'drop', 'park', 'unpark']),
         ACCOUNTS,
@@ -25,8 +25,8 @@
 
 
 @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
-@hypothesis.given(MOVES)
-def test_no_ticket_is_lost_or_served_out_of_line(moves):
+@hypothesis.given(OPERATIONS)
+def test_no_ticket_is_lost_or_served_out_of_order(moves):
     queue = fair_queue.FairQueue()
     model = collections.defaultdict(list)
     parked = set()
@@ -35,21 +35,21 @@
             case 'push':
                 queue.push(ticket(exchange, account, cost))
                 model[account].append(exchange)
-            case 'pop' if queue.head() is not None:
+            case 'pop' if queue.peek() is not None:
                 taken = queue.pop(1)
                 assert taken.account not in parked
                 assert model[taken.account].pop(0) == taken.exchange
             case 'drop' if model[account]:
                 queue.discard(account, model[account].pop(-1))
             case 'park' if model[account]:
-                queue.park(account)
+                queue.park_account(account)
                 parked.add(account)
             case 'unpark':
-                queue.unpark(account)
+                queue.unpark_account(account)
                 parked.discard(account)
-        queue.check()
+        queue.check_invariants()
         free = any(model[name] for name in model if name not in parked)
-        assert (queue.head() is not None) == free
+        assert (queue.peek() is not None) == free
     assert len(queue) == sum(map(len, model.values()))
 
 
@@ -66,13 +66,16 @@
         for name in weights:
             queue.push(ticket((exchange, name), name, cost))
     service = dict.fromkeys(weights, 0.0)
-    while all(line.waiting for line in queue.lines.values()):
-        taken = queue.pop(weights[queue.head().account])
+    while all(
+        account_queue.waiting
+        for account_queue in queue.account_queues.values()
+    ):
+        taken = queue.pop(weights[queue.peek().account])
         service[taken.account] += taken.cost / weights[taken.account]
         assert abs(service['light'] - service['heavy']) <= max(costs)
 
 
-def test_account_that_was_idle_has_saved_up_nothing():
+def test_idle_account_gains_no_credit():
     queue = fair_queue.FairQueue()
     for exchange in range(10):
         queue.push(ticket(exchange, 'a', 10))
--- a/tests/load/test_fair_start.py
+++ b/tests/load/test_fair_start.py
@@ -48,7 +48,7 @@
     assert not loaded_node.started(loaded_node.end(node, 1, 6.0))
 
 
-def test_short_call_finds_a_place_while_long_work_floods():
+def test_short_call_starts_while_long_work_fills_the_queue():
     """An account submits more long work than the engines can run.
 
     A short call behind the same engine would wait for minutes, were there
@@ -79,7 +79,7 @@
     assert loaded_node.started(done) == ['r1']
 
 
-def test_tokens_look_for_no_upstream_while_requests_wait(monkeypatch):
+def test_arriving_tokens_trigger_no_upstream_selection(monkeypatch):
     """Requests of many accounts wait while streams run.
 
     Looking for a place on each batch of tokens would take the processor
@@ -94,7 +94,7 @@
     assert loaded_node.only(actions.SendTokens, done)
 
 
-def test_refused_request_is_told_a_later_return_as_the_queue_grows():
+def test_retry_after_grows_with_the_queue():
     """A flood fills the queues, and what can't be done in time is refused.
 
     A constant time to come back would have all refused callers return at
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -31,7 +31,7 @@
         for name in NAMES:
             self.own[name] = leases.OwnParts()
             self.own[name].resize(INSTANCES, 0.0, self.now)
-            self.borrowed[name] = leases.Borrowed(self.now)
+            self.borrowed[name] = leases.BorrowedParts(self.now)
         self.questions = []
         self.answers = []
 
@@ -58,18 +58,18 @@
     def hear_answer(self, seed):
         borrower, lender, lease = random.Random(seed).choice(self.answers)
         until = lease.stamp + leases.LEASE_SECONDS
-        self.borrowed[borrower].take(lender, lease.share, until)
+        self.borrowed[borrower].add_part(lender, lease.share, until)
 
     @stateful.rule(borrower=names)
     def return_all(self, borrower):
         """Hand the parts over: use them no more, then tell the lenders."""
         mine = self.borrowed[borrower]
         lenders = list(mine.parts)
-        self.borrowed[borrower] = leases.Borrowed(self.now)
+        self.borrowed[borrower] = leases.BorrowedParts(self.now)
         self.answers = [a for a in self.answers if a[0] != borrower]
         self.questions = [q for q in self.questions if q[0] != borrower]
         for lender in lenders:
-            self.own[lender].returned(LIFE, borrower, self.now)
+            self.own[lender].take_back(LIFE, borrower, self.now)
 
     @stateful.rule(seconds=strategies.floats(0.01, 4.0))
     def pass_time(self, seconds):
@@ -89,7 +89,7 @@
     @stateful.invariant()
     def all_together_have_no_more_than_the_limit(self):
         """Guards against a sum of parts that is over the limit."""
-        totals = [b.total(self.now) for b in self.borrowed.values()]
+        totals = [b.total_share(self.now) for b in self.borrowed.values()]
         assert sum(totals) <= 1.0 + 1e-9
 
 
@@ -99,7 +99,7 @@
 )
 
 
-def test_an_instance_that_comes_adds_no_part_before_others_count_it():
+def test_a_new_instance_has_no_part_before_others_count_it():
     """Guards against a sum over the limit as the fleet grows."""
     newcomer = leases.OwnParts()
     newcomer.resize(9, 0.0, 100.0)
@@ -110,7 +110,7 @@
     assert slow.share(112.0) == 0.0
 
 
-def test_what_an_instance_leaves_is_shared_once_its_lease_is_over():
+def test_the_part_of_a_stopped_instance_is_shared_after_its_lease_ends():
     """Guards against a part that others take while it is still lent."""
     own = leases.OwnParts()
     own.resize(8, 0.0, 100.0)
@@ -119,7 +119,7 @@
     assert own.share(110.0 + leases.LEASE_SECONDS) == 1 / 7
 
 
-def test_a_part_that_was_lent_brings_nothing_for_that_time():
+def test_time_during_which_a_part_was_lent_is_not_credited_again():
     """Guards against a time that two borrowers are credited with."""
     own = leases.OwnParts()
     own.resize(4, 0.0, 100.0)
@@ -127,5 +127,5 @@
     assert own.lend(LIFE, 'i1', 103.0, 105.0) == 2.0
     assert own.lend(LIFE, 'i1', 103.0, 106.0) == 0.0
     assert own.lend(LIFE, 'i2', 103.0, 107.0) is None
-    own.returned(LIFE, 'i1', 107.0)
+    own.take_back(LIFE, 'i1', 107.0)
     assert own.lend(LIFE, 'i2', 103.0, 107.5) == 0.5
--- a/tests/load/test_limited_engines.py
+++ b/tests/load/test_limited_engines.py
@@ -7,7 +7,7 @@
 
 @pytest.mark.parametrize('size', [3, 30])
 @pytest.mark.parametrize('kind', ['call', 'query', 'stream'])
-def test_all_instances_together_keep_to_the_limit_of_an_engine(size, kind):
+def test_the_sum_over_all_instances_stays_within_an_engine_limit(size, kind):
     """Guards against a limit that each instance keeps, or none does.
 
     All engines of the service have one, and callers ask for three times as
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize('kind', ['call', 'query'])
-def test_what_an_engine_with_a_limit_does_not_take_goes_to_the_others(kind):
+def test_requests_above_an_engine_limit_go_to_other_engines(kind):
     """Guards against an engine in need that gets its part as before."""
     played = limited_fleet.LimitedFleet(8, per_place=1)
     [first, *others] = played.engines_of(kind)
--- a/tests/load/test_limited_upstreams.py
+++ b/tests/load/test_limited_upstreams.py
@@ -16,7 +16,7 @@
     'service',
     [limited_nodes.DRAFT, limited_nodes.LOOKUP, limited_nodes.CHARGE],
 )
-def test_all_instances_together_keep_to_the_limit_of_an_upstream(
+def test_the_sum_over_all_instances_stays_within_an_upstream_limit(
     size, service
 ):
     """Guards against a limit that each instance keeps, or none does."""
@@ -30,7 +30,7 @@
         assert played.worst_window(name) <= most
 
 
-def test_an_account_that_floods_leaves_the_other_its_turns():
+def test_an_account_over_the_limit_does_not_starve_another():
     """Guards against an account that uses up the rate of another."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
@@ -59,7 +59,7 @@
 @pytest.mark.parametrize(
     'service', [limited_nodes.DRAFT, limited_nodes.CHARGE]
 )
-def test_the_limit_is_used_by_whoever_has_callers(service):
+def test_one_instance_with_all_callers_can_use_the_whole_limit(service):
     """Guards against parts that lie where nobody asks."""
     played = limited_nodes.LimitedNodes(12)
     names = played.upstreams_of(service)
@@ -73,7 +73,7 @@
         assert used > 0.9 * RATE * 20.0
 
 
-def test_a_call_that_is_tried_again_waits_for_a_permit():
+def test_a_retried_call_waits_for_a_permit():
     """Guards against calls that fail as their second upstream has a limit.
 
     No permit is in stock at the moment in which the first try breaks off.
@@ -95,7 +95,7 @@
         assert played.worst_window(name) <= most
 
 
-def test_what_goes_on_waits_under_its_own_account():
+def test_resumed_and_retried_requests_wait_under_their_own_account():
     """Guards against the turns of an account that others use up.
 
     A stream and a call lose their upstreams just after another account has
@@ -111,8 +111,8 @@
         played.run(4.0)
         asked = []
         keeper = instance.node.limits.keeper
-        put = keeper.put
-        keeper.put = lambda ask, now, put=put, asked=asked: (
+        put = keeper.send_request
+        keeper.send_request = lambda ask, now, put=put, asked=asked: (
             asked.append((ask.account, ask.urgent)),
             put(ask, now),
         )
@@ -123,10 +123,10 @@
         goes_on = service == limited_nodes.DRAFT
         assert ('', goes_on) not in asked
         assert (one, goes_on) in asked
-        keeper.put = put
+        keeper.send_request = put
 
 
-def test_a_lifted_limit_is_forgotten():
+def test_a_lifted_limit_no_longer_applies():
     """Guards against an upstream that is spared for ever."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
@@ -154,7 +154,7 @@
     assert len(played.failures()) == failed
 
 
-def test_what_can_not_be_served_is_refused_with_a_time():
+def test_requests_above_the_limit_are_refused_with_retry_after():
     """Guards against callers who wait until their deadline for nothing."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
--- a/tests/load/test_limits.py
+++ b/tests/load/test_limits.py
@@ -20,7 +20,7 @@
     control = admission.AdmissionControl(random.Random(1))
     control.resize(instances)
     account = loaded_node.account('a', most_running=limit)
-    total = instances * control.most_running(account)
+    total = instances * control.max_running(account)
     assert total <= max(limit, instances)
 
 
@@ -87,7 +87,7 @@
         assert taken <= 20.0 + 5.0 * now + 100 + 1e-6
 
 
-def test_callers_that_return_in_a_loop_spend_their_own_budget():
+def test_repeated_resumes_use_up_the_account_budget():
     """A broken client drops its stream and comes back at once, for ever.
 
     Each return costs an engine the prompt again. After its budget the
--- a/tests/load/test_limits_under_faults.py
+++ b/tests/load/test_limits_under_faults.py
@@ -6,7 +6,7 @@
 from greengagelb.coordination.relay import answers
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.sharing import leases
-from greengagelb.coordination.sharing import limit_book
+from greengagelb.coordination.sharing import limit_table
 from tests.common import limited_fleet
 
 KIND = 'call'
@@ -15,7 +15,7 @@
 PRESSURE = 3.0
 
 
-def pressed(size=9, rate=RATE, loss=0.0):
+def loaded_fleet(size=9, rate=RATE, loss=0.0):
     """Return a fleet that has kept to a limit of all its engines."""
     played = limited_fleet.LimitedFleet(size, per_place=1, loss=loss)
     names = played.engines_of(KIND)
@@ -24,7 +24,7 @@
     return played, names
 
 
-def press_on(played, names, seconds=SECONDS, rate=RATE, instances=None):
+def continue_load(played, names, seconds=SECONDS, rate=RATE, instances=None):
     """Go on asking; return which part of the limits was used."""
     since = played.now
     asked = PRESSURE * rate * len(names)
@@ -33,22 +33,22 @@
     return sum(used) / len(used)
 
 
-def check_kept(played, names, rate=RATE, since=None):
+def check_limit_held(played, names, rate=RATE, since=None):
     for name in names:
         assert played.worst_window(name, since) <= played.allowed(rate)
 
 
 @pytest.mark.parametrize('size', [3, 30])
-def test_a_third_of_the_datagrams_is_lost(size):
+def test_limit_holds_while_a_third_of_datagrams_is_lost(size):
     """Guards against a limit that is overstepped or wasted by losses."""
-    played, names = pressed(size, loss=0.33)
-    assert press_on(played, names) > 0.85
-    check_kept(played, names)
+    played, names = loaded_fleet(size, loss=0.33)
+    assert continue_load(played, names) > 0.85
+    check_limit_held(played, names)
 
 
-def test_all_hear_of_a_silent_issuer_from_the_first_who_finds_it():
+def test_one_instance_reports_a_silent_issuer_to_all():
     """Guards against a cut that each instance finds out by a lost request."""
-    played, names = pressed(45)
+    played, names = loaded_fleet(45)
     played.cut.add('west')
     played.press(KIND, 9.0, 3.0, instances=(0, 1))
     here = [i for i in played.instances if i.own.data_centre != 'west']
@@ -59,21 +59,21 @@
         used = [r for r in rankings if life in r.rankings]
         assert len(used) > len(here) / 2
         assert {r.issuer_of(life, played.now) for r in used} <= reached
-    check_kept(played, names)
+    check_limit_held(played, names)
 
 
-def test_instances_are_far_from_each_other():
+def test_limit_holds_with_slow_links():
     """Guards against permits that are granted again for a late answer."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     played.peer_seconds = 0.03
-    assert press_on(played, names) > 0.9
+    assert continue_load(played, names) > 0.9
     assert played.share_used(names[0], RATE, played.now - 20.0) < 1.15
-    check_kept(played, names)
+    check_limit_held(played, names)
 
 
-def test_an_engine_that_is_missing_for_a_moment_keeps_its_limit():
+def test_an_engine_missing_for_a_moment_keeps_its_limit():
     """Guards against a limit that an outage of the store takes off."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     for instance in played.instances:
         instance.handle(relay_events.StoreLost('away'))
     for _ in range(12):
@@ -90,78 +90,78 @@
         assert got <= RATE * 1.5 + 3
 
 
-def test_all_callers_are_at_one_instance():
+def test_limit_is_used_with_all_callers_at_one_instance():
     """Guards against parts that lie where nobody asks."""
-    played, names = pressed(30)
-    assert press_on(played, names, instances=[7]) > 0.9
-    check_kept(played, names)
+    played, names = loaded_fleet(30)
+    assert continue_load(played, names, instances=[7]) > 0.9
+    check_limit_held(played, names)
 
 
 @pytest.mark.parametrize('size', [3, 30])
-def test_a_data_centre_is_cut_off_from_the_others(size):
+def test_limit_holds_while_a_data_centre_is_cut_off(size):
     """Guards against two sides of a cut that each use the whole limit."""
-    played, names = pressed(size)
+    played, names = loaded_fleet(size)
     played.cut.add('west')
-    assert press_on(played, names) > 0.8
-    check_kept(played, names)
+    assert continue_load(played, names) > 0.8
+    check_limit_held(played, names)
     played.cut.clear()
-    assert press_on(played, names) > 0.8
-    check_kept(played, names)
+    assert continue_load(played, names) > 0.8
+    check_limit_held(played, names)
 
 
-def test_all_instances_are_cut_off_from_each_other():
+def test_limit_holds_while_all_instances_are_isolated():
     """Guards against many instances that all use what they have saved up."""
-    played, names = pressed(30)
+    played, names = loaded_fleet(30)
     played.loss = 1.0
     played.run(60.0)
-    press_on(played, names)
-    check_kept(played, names)
+    continue_load(played, names)
+    check_limit_held(played, names)
 
 
-def test_all_instances_restart_in_turn():
+def test_limit_holds_while_all_instances_restart_in_turn():
     """Guards against parts that are handed out twice as instances change."""
-    played, names = pressed(8)
+    played, names = loaded_fleet(8)
     for number in range(8):
         played.after(1.0 + 3.0 * number, played.restart, number)
-    assert press_on(played, names, 32.0) > 0.6
-    check_kept(played, names)
+    assert continue_load(played, names, 32.0) > 0.6
+    check_limit_held(played, names)
 
 
 def test_an_issuer_that_dies_is_replaced():
     """Guards against a limit that nobody may use any more."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     for number in range(0, 9, 2):
         played.instances[number].alive = False
-    press_on(played, names, leases.LEASE_SECONDS + 3.0)
+    continue_load(played, names, leases.LEASE_SECONDS + 3.0)
     # Four of nine are left, and keep no more than their own parts.
-    assert press_on(played, names) > 0.9 * 4 / 9
-    check_kept(played, names)
+    assert continue_load(played, names) > 0.9 * 4 / 9
+    check_limit_held(played, names)
 
 
-def test_instances_that_froze_go_on_with_old_news():
+def test_limit_holds_after_instances_were_frozen():
     """Guards against instances that use what they were granted long ago."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     for number in (0, 3, 5):
         played.instances[number].alive = False
-    press_on(played, names, 8.0)
+    continue_load(played, names, 8.0)
     for number in (0, 3, 5):
         played.instances[number].alive = True
         played.instances[number].beat()
-    press_on(played, names)
-    check_kept(played, names)
+    continue_load(played, names)
+    check_limit_held(played, names)
 
 
-def test_a_limit_that_is_halved_holds_for_all():
+def test_a_lowered_limit_applies_to_all_instances():
     """Guards against instances that go on by a limit of before."""
-    played, names = pressed(30, rate=20.0)
+    played, names = loaded_fleet(30, rate=20.0)
     played.limit(10.0, *names)
-    assert press_on(played, names, rate=10.0) > 0.9
-    check_kept(played, names, 10.0)
+    assert continue_load(played, names, rate=10.0) > 0.9
+    check_limit_held(played, names, 10.0)
 
 
-def test_a_limit_that_is_lifted_is_forgotten_by_all():
+def test_a_lifted_limit_applies_to_no_instance():
     """Guards against an engine that is spared for ever."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     played.limit(None, *names)
     played.press(KIND, 30.0, 5.0)
     refused = len(played.refusals())
@@ -174,7 +174,7 @@
 
 def test_a_later_life_of_an_engine_starts_without_a_limit():
     """Guards against a limit that outlives the engine that named it."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     played.limit(None, *names)
     for name in names:
         played.crash(played.engines[name])
@@ -182,10 +182,12 @@
     refused = len(played.refusals())
     played.press(KIND, 30.0, 5.0)
     assert len(played.refusals()) == refused
-    assert not any(one.relay.keeper.book.known for one in played.instances)
+    assert not any(
+        one.relay.keeper.table.known_limits for one in played.instances
+    )
 
 
-def test_an_engine_that_takes_nothing_gets_nothing_for_a_while():
+def test_a_limit_of_zero_stops_requests_for_a_while():
     """Guards against a limit of zero that is taken for none, or for ever."""
     played = limited_fleet.LimitedFleet(9, per_place=1)
     names = played.engines_of(KIND)
@@ -197,15 +199,15 @@
     codes = {answer.code for answer in played.refusals()}
     assert codes == {answers.LIMITED}
     played.limit(None, *names)
-    played.press(KIND, 10.0, limit_book.ZERO_SECONDS)
+    played.press(KIND, 10.0, limit_table.ZERO_LIMIT_SECONDS)
     refused = len(played.refusals())
     played.press(KIND, 10.0, 5.0)
     assert len(played.refusals()) == refused
 
 
-def test_what_can_not_be_served_is_refused_at_once_with_a_time():
+def test_requests_above_the_limit_are_refused_at_once_with_retry_after():
     """Guards against callers who wait for nothing, or return all at once."""
-    played, names = pressed(9)
+    played, names = loaded_fleet(9)
     asked_at = {}
     refused = {}
     for number in range(200):
--- a/tests/load/test_measured_policies.py
+++ b/tests/load/test_measured_policies.py
@@ -67,7 +67,7 @@
     """Check that the counts of running requests match the streams."""
     assert set(node.running) == set(node.streams.streams)
     for queue in node.admission.queues.values():
-        queue.check()
+        queue.check_invariants()
     for name, view in node.directory.views.items():
         held = [
             stream
@@ -114,7 +114,7 @@
         node = instance.node
         assert not node.running
         assert not node.waiting
-        assert not +node.admission.running_of
+        assert not +node.admission.running_per_account
         assert not any(
             view.in_flight for view in node.directory.views.values()
         )
--- a/tests/load/test_permits_in_time.py
+++ b/tests/load/test_permits_in_time.py
@@ -8,13 +8,13 @@
 OTHER = 'other'
 
 
-def keeper_and_question():
+def keeper_with_request():
     """Return an instance that has asked another one for a permit."""
     keeper = limit_keeper.LimitKeeper('own')
     keeper.ranking.members = lambda life: (OTHER,)
     keeper.ranking.has_part = lambda life: False
-    keeper.told(limits.LimitNews(LIFE, 2.0, 1), 100.0)
-    number = keeper.ask(LIFE, 'one', 100.5, 100.0)
+    keeper.merge_news(limits.LimitNews(LIFE, 2.0, 1), 100.0)
+    number = keeper.request_permit(LIFE, 'one', 100.5, 100.0)
     [question] = keeper.outgoing
     assert question.receiver == OTHER
     keeper.outgoing.clear()
@@ -27,108 +27,108 @@
 
 def test_a_permit_that_is_granted_twice_is_used_once():
     """Guards against a limit that is doubled by questions asked again."""
-    keeper, number = keeper_and_question()
+    keeper, number = keeper_with_request()
     for _ in range(3):
-        keeper.hear(OTHER, answer(number), 100.1)
+        keeper.handle_message(OTHER, answer(number), 100.1)
     assert keeper.outcomes == [limit_keeper.Granted(number, OTHER)]
     assert keeper.outgoing == []
 
 
-def test_a_permit_that_is_read_after_a_freeze_is_given_back():
+def test_a_permit_read_after_a_freeze_is_returned():
     """Guards against a process that wakes up and spends old permits."""
-    keeper, number = keeper_and_question()
-    keeper.hear(OTHER, answer(number), 105.0)
+    keeper, number = keeper_with_request()
+    keeper.handle_message(OTHER, answer(number), 105.0)
     [outcome] = keeper.outcomes
     assert isinstance(outcome, limit_keeper.Denied)
     [returned] = keeper.outgoing
     assert returned.message == limits.PermitReturned(LIFE, number)
 
 
-def test_an_issuer_that_never_answers_is_passed_over():
+def test_an_issuer_that_never_answers_is_skipped():
     """Guards against callers who all wait for an instance that is dead."""
-    keeper, _ = keeper_and_question()
+    keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
     now = 100.0
     while now < 102.0:
         now += 0.01
-        if not keeper.asks:
-            keeper.ask(LIFE, 'one', now + 0.1, now)
-        keeper.due(now)
+        if not keeper.requests:
+            keeper.request_permit(LIFE, 'one', now + 0.1, now)
+        keeper.run_due(now)
     assert keeper.ranking.issuer_of(LIFE, now) == 'own'
-    keeper.hear(OTHER, limits.LeaseWanted(LIFE, 1.0), now)
+    keeper.handle_message(OTHER, limits.LeaseWanted(LIFE, 1.0), now)
     keeper.ranking.rankings.clear()
-    assert not keeper.ranking.is_passed_over(OTHER, now)
+    assert not keeper.ranking.is_skipped(OTHER, now)
     assert keeper.ranking.issuer_of(LIFE, now) == OTHER
 
 
-def pass_other_over(keeper):
+def skip_other(keeper):
     """Have an instance find another one silent; return the time."""
     now = 100.0
-    while not keeper.ranking.is_passed_over(OTHER, now):
+    while not keeper.ranking.is_skipped(OTHER, now):
         now += 0.01
-        keeper.due(now)
+        keeper.run_due(now)
     return now
 
 
-def test_an_issuer_that_was_silent_by_bad_luck_is_back_at_once():
+def test_a_skipped_issuer_is_used_again_once_it_answers():
     """Guards against losses that split permits among several issuers.
 
     A few lost datagrams look like a dead instance.
     """
-    keeper, _ = keeper_and_question()
+    keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
-    now = pass_other_over(keeper)
-    keeper.due(now)
-    asked = issuer_ranking.Outgoing(OTHER, limits.PresenceWanted())
+    now = skip_other(keeper)
+    keeper.run_due(now)
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
     assert asked in keeper.outgoing
     assert keeper.ranking.issuer_of(LIFE, now) == 'own'
-    keeper.hear(OTHER, limits.Present(), now + 0.002)
+    keeper.handle_message(OTHER, limits.Present(), now + 0.002)
     assert keeper.ranking.issuer_of(LIFE, now + 0.002) == OTHER
 
 
-def test_an_issuer_without_a_sign_of_life_is_told_of_and_asked_seldom():
+def test_a_silent_issuer_is_reported_once_and_probed_rarely():
     """Guards against instances that each find out by a request that fails.
 
     In a large fleet heartbeats are rare, and each of them asks seldom.
     """
-    keeper, _ = keeper_and_question()
+    keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
-    now = pass_other_over(keeper)
+    now = skip_other(keeper)
     for _ in range(1000):
         now += 0.01
-        keeper.due(now)
+        keeper.run_due(now)
     told = [o for o in keeper.outgoing if not o.receiver]
     assert [o.message for o in told] == [limits.IssuerSilent(OTHER)]
-    asked = issuer_ranking.Outgoing(OTHER, limits.PresenceWanted())
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
     assert 5 <= keeper.outgoing.count(asked) <= 12
 
 
-def test_what_another_instance_finds_silent_is_asked_before_it_is_believed():
+def test_a_reported_silent_issuer_is_probed_before_it_is_skipped():
     """Guards against one bad link that has all turn away from an issuer."""
-    keeper, _ = keeper_and_question()
+    keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
-    keeper.hear('third', limits.IssuerSilent(OTHER), 100.01)
-    keeper.due(100.01)
-    asked = issuer_ranking.Outgoing(OTHER, limits.PresenceWanted())
+    keeper.handle_message('third', limits.IssuerSilent(OTHER), 100.01)
+    keeper.run_due(100.01)
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
     assert asked in keeper.outgoing
-    keeper.hear(OTHER, limits.Present(), 100.012)
+    keeper.handle_message(OTHER, limits.Present(), 100.012)
     assert keeper.ranking.issuer_of(LIFE, 100.012) == OTHER
-    for number in range(2 * issuer_ranking.MOST_SILENT):
+    for number in range(2 * issuer_ranking.MAX_SUSPECTED):
         told = limits.IssuerSilent(f'stranger {number}')
-        keeper.hear('third', told, 100.02)
-    most = issuer_ranking.MOST_SILENT
-    assert len(keeper.ranking.silent) <= most
+        keeper.handle_message('third', told, 100.02)
+    most = issuer_ranking.MAX_SUSPECTED
+    assert len(keeper.ranking.suspected) <= most
 
 
-def test_an_instance_that_is_told_to_be_silent_says_that_it_is_there():
+def test_an_instance_reported_as_silent_answers():
     """Guards against an issuer that nobody asks although it works."""
     keeper = limit_keeper.LimitKeeper('own')
-    keeper.hear(OTHER, limits.IssuerSilent('own'), 100.0)
+    keeper.handle_message(OTHER, limits.IssuerSilent('own'), 100.0)
     [answered] = keeper.outgoing
-    assert answered == issuer_ranking.Outgoing(OTHER, limits.Present())
+    assert answered == issuer_ranking.OutgoingMessage(OTHER, limits.Present())
 
 
-def test_those_next_in_line_are_silent_as_well():
+def test_next_ranked_issuers_are_probed_as_well():
     """Guards against requests that are lost to one dead issuer each.
 
     A data centre that is cut off takes several of the first with it.
@@ -136,40 +136,40 @@
     keeper = limit_keeper.LimitKeeper('own')
     others = [f'other {number}' for number in range(6)]
     keeper.ranking.members = lambda life: others
-    keeper.told(limits.LimitNews(LIFE, 2.0, 1), 100.0)
+    keeper.merge_news(limits.LimitNews(LIFE, 2.0, 1), 100.0)
     keeper.ranking.issuer_of(LIFE, 100.0)
     [ranking] = keeper.ranking.rankings.values()
-    keeper.ask(LIFE, 'one', 100.2, 100.0)
+    keeper.request_permit(LIFE, 'one', 100.2, 100.0)
     now = 100.0
     while now < 101.0:
         now += 0.005
-        keeper.due(now)
+        keeper.run_due(now)
     before_own = ranking.names[: ranking.names.index('own')]
     assert len(before_own) > 1
-    assert all(keeper.ranking.is_passed_over(n, now) for n in before_own)
+    assert all(keeper.ranking.is_skipped(n, now) for n in before_own)
 
 
-def test_a_permit_for_a_request_that_is_gone_goes_back():
+def test_a_permit_for_a_request_that_is_gone_is_returned():
     """Guards against a rate that is lost with callers who leave."""
-    keeper, number = keeper_and_question()
-    keeper.hear(OTHER, answer(number), 100.1)
+    keeper, number = keeper_with_request()
+    keeper.handle_message(OTHER, answer(number), 100.1)
     [granted] = keeper.outcomes
-    keeper.give_back(LIFE, granted, 100.2)
+    keeper.return_permit(LIFE, granted, 100.2)
     [returned] = keeper.outgoing
     assert returned.receiver == OTHER
 
 
-def test_a_lease_that_comes_after_its_part_was_returned_is_none():
+def test_a_lease_that_arrives_after_its_part_was_returned_is_ignored():
     """Guards against an issuer that begins again with parts of before."""
-    keeper, _ = keeper_and_question()
+    keeper, _ = keeper_with_request()
     wanted = limits.PermitWanted(LIFE, 1, 'one', False, 5.0, 2.0, 1)
-    keeper.hear(OTHER, wanted, 101.0)
-    found = keeper.issuing.issued[LIFE]
-    keeper.issuing.hand_over(LIFE, found, 101.5)
-    keeper.hear(OTHER, wanted, 102.0)
+    keeper.handle_message(OTHER, wanted, 101.0)
+    found = keeper.issuers.lives[LIFE]
+    keeper.issuers.hand_over(LIFE, found, 101.5)
+    keeper.handle_message(OTHER, wanted, 102.0)
     late = limits.Leased(LIFE, 0.5, 0.0, 101.0)
-    keeper.hear(OTHER, late, 102.1)
-    issuer = keeper.issuing.issued[LIFE].issuer
-    assert not issuer.borrowed.total(102.1)
-    keeper.hear(OTHER, limits.Leased(LIFE, 0.5, 0.0, 102.0), 102.2)
-    assert issuer.borrowed.total(102.2) == 0.5
+    keeper.handle_message(OTHER, late, 102.1)
+    issuer = keeper.issuers.lives[LIFE].issuer
+    assert not issuer.borrowed.total_share(102.1)
+    keeper.handle_message(OTHER, limits.Leased(LIFE, 0.5, 0.0, 102.0), 102.2)
+    assert issuer.borrowed.total_share(102.2) == 0.5
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -84,7 +84,7 @@
     world.answer(world.sends()[-1], limit=limits.Unusable('-1'))
     assert reasons(world, 'engine-limit-refused') == ['limit-unusable: -1']
     life = first.engine.life
-    assert world.relay.keeper.book.rate(life) == 2.5
+    assert world.relay.keeper.table.rate_of(life) == 2.5
     assert len(world.answered()) == 2
 
 
--- a/tests/streams/test_returning_callers.py
+++ b/tests/streams/test_returning_callers.py
@@ -7,7 +7,7 @@
 import pytest
 
 from greengagelb.coordination.fleet import upstream_views
-from greengagelb.coordination.sharing import budgets
+from greengagelb.coordination.sharing import replay_budgets
 from greengagelb.state import configuration
 from greengagelb.state import identity
 from tests.common import generations
@@ -212,10 +212,10 @@
 @given(st.integers(1, 200), st.floats(0.0, 1e6))
 def test_who_waits_as_long_as_told_may_resume(per_minute, now):
     """A caller comes back exactly when Retry-After says."""
-    found = budgets.ReplayBudgets()
+    found = replay_budgets.ReplayBudgets()
     for _ in range(per_minute):
-        assert not found.spend('teratak', per_minute, now)
-    wait = found.spend('teratak', per_minute, now)
+        assert not found.take_replay('teratak', per_minute, now)
+    wait = found.take_replay('teratak', per_minute, now)
     assert wait
-    assert not found.spend('teratak', per_minute, now + wait)
-    assert not found.spend('karri', per_minute, now)
+    assert not found.take_replay('teratak', per_minute, now + wait)
+    assert not found.take_replay('karri', per_minute, now)
