--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -291,9 +291,11 @@
 
     # -- other instances ----------------------------------------------------
 
-    def resize(self, size: int, heartbeat_seconds: float, now: float) -> None:
+    def resize(
+        self, instance_count: int, heartbeat_seconds: float, now: float
+    ) -> None:
         """Share limits with that many instances, this one included."""
-        self.parts.resize(size, heartbeat_seconds, now)
+        self.parts.resize(instance_count, heartbeat_seconds, now)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
         """Do without an instance that has stopped."""
--- a/tests/load/test_crash_records.py
+++ b/tests/load/test_crash_records.py
@@ -136,9 +136,9 @@
     for name, one in once:
         per_name.setdefault(name, []).append((name, one))
     once = [p for all_of in per_name.values() for p in all_of[:8]]
-    heard = once + once[: len(once) // 2]
-    order.shuffle(heard)
-    one, other = records_of(once), records_of(heard)
+    received = once + once[: len(once) // 2]
+    order.shuffle(received)
+    one, other = records_of(once), records_of(received)
     assert one.digest() == other.digest()
     for name in (CRASHING, HARMLESS, 'third'):
         assert one.blocked_until(name, NOW) == other.blocked_until(name, NOW)
@@ -148,13 +148,13 @@
 def test_reports_contain_everything_a_verdict_needs(found):
     """Guards against reports after which an instance knows less."""
     records = records_of(found)
-    told = crash_records.CrashRecords()
+    receiver = crash_records.CrashRecords()
     for name in records.worst_fingerprints():
-        told.merge_report(records.build_report(name, NOW), NOW)
+        receiver.merge_report(records.build_report(name, NOW), NOW)
     for name in records.worst_fingerprints():
         blocked = records.blocked_until(name, NOW)
         if blocked is not None:
-            assert told.is_blocked(name, NOW)
+            assert receiver.is_blocked(name, NOW)
 
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=40), st.floats(900, 990))
@@ -182,19 +182,19 @@
     Each run began some milliseconds after the crash before, and the news of
     the first crash took longer than that of all three.
     """
-    there, here = crash_records.CrashRecords(), crash_records.CrashRecords()
+    remote, local = crash_records.CrashRecords(), crash_records.CrashRecords()
     seen = [
         crash_state.Crash(f'engine {n}', 100.0 + 0.02 * n, 100.016 + 0.02 * n)
         for n in range(3)
     ]
-    there.add_crash('f', seen[0], 100.02)
-    first = there.build_report('f', 100.02)
+    remote.add_crash('f', seen[0], 100.02)
+    first = remote.build_report('f', 100.02)
     for crash in seen[1:]:
-        there.add_crash('f', crash, 100.06)
-    assert there.is_blocked('f', 100.06)
-    here.merge_report(first, 100.02 + 0.01)
-    here.merge_report(there.build_report('f', 100.06), 100.06 + 0.001)
-    assert here.is_blocked('f', 100.07)
+        remote.add_crash('f', crash, 100.06)
+    assert remote.is_blocked('f', 100.06)
+    local.merge_report(first, 100.02 + 0.01)
+    local.merge_report(remote.build_report('f', 100.06), 100.06 + 0.001)
+    assert local.is_blocked('f', 100.07)
 
 
 DELAYS = st.lists(st.floats(0.0, 0.5), max_size=3)
@@ -207,24 +207,27 @@
 
     Each crash is told of once without delay, before or after slower news.
     """
-    seen, heard = crash_records.CrashRecords(), crash_records.CrashRecords()
+    exact_records, delayed_records = (
+        crash_records.CrashRecords(),
+        crash_records.CrashRecords(),
+    )
     for number, (name, one, delays) in enumerate(found):
         life = f'engine {number}'
         for delay in (*delays, 0.0):
             late = crash_state.Crash(
                 life, one.began_at + delay, one.ended_at + delay
             )
-            heard.add_crash(name, late, NOW)
+            delayed_records.add_crash(name, late, NOW)
         exact = crash_state.Crash(life, one.began_at, one.ended_at)
-        seen.add_crash(name, exact, NOW)
-    for name in seen.histories:
+        exact_records.add_crash(name, exact, NOW)
+    for name in exact_records.histories:
         if (
-            len(seen.histories[name].crashes)
+            len(exact_records.histories[name].crashes)
             < crash_records.MAX_CRASHES_PER_REQUEST
         ):
-            assert seen.blocked_until(name, NOW) == heard.blocked_until(
+            assert exact_records.blocked_until(
                 name, NOW
-            )
+            ) == delayed_records.blocked_until(name, NOW)
 
 
 @settings(derandomize=True, deadline=None)
@@ -240,12 +243,12 @@
 
     Each run began in the moment in which the one before was lost.
     """
-    there, here = crash_records.CrashRecords(), crash_records.CrashRecords()
+    remote, local = crash_records.CrashRecords(), crash_records.CrashRecords()
     for number, seconds in enumerate(lasted):
         began, clock = clock, clock + seconds
-        there.add_crash(
+        remote.add_crash(
             'f', crash_state.Crash(f'e{number}', began, clock), clock
         )
-    assert there.is_blocked('f', clock)
-    here.merge_report(there.build_report('f', clock + 0.01), other)
-    assert here.is_blocked('f', other)
+    assert remote.is_blocked('f', clock)
+    local.merge_report(remote.build_report('f', clock + 0.01), other)
+    assert local.is_blocked('f', other)
--- a/tests/load/test_crashing_requests.py
+++ b/tests/load/test_crashing_requests.py
@@ -20,7 +20,7 @@
 
 # What may reach engines later than the instances need to know of the third
 # crash; the operators' bound.
-MOST_RETRIES = 3
+MAX_RETRIES = 3
 
 
 @pytest.mark.parametrize('size', [3, 30])
@@ -30,7 +30,7 @@
     played = crashing_fleet.CrashingFleet(size)
     played.ask_again_and_again(kind, seconds=30.0, every=1.5)
     assert len(played.crashes) >= 3
-    assert played.retries_after_the_third_crash() <= MOST_RETRIES
+    assert played.retries_after_the_third_crash() <= MAX_RETRIES
 
 
 @pytest.mark.parametrize('loss', [0.1, 0.5])
@@ -41,7 +41,7 @@
     assert len(played.crashes) >= 3
     played.run(crashing_fleet.CONTACT_SECONDS)
     assert all(played.refuses(instance) for instance in played.instances)
-    assert played.retries_after_the_third_crash() <= MOST_RETRIES
+    assert played.retries_after_the_third_crash() <= MAX_RETRIES
 
 
 def test_a_data_centre_learns_of_blocks_after_a_network_partition():
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -24,7 +24,7 @@
 
 PROMPT = 'what crashes engines'
 # How many engines one request may bring down.
-MOST_ENGINES = 3
+MAX_ENGINES = 3
 ROUNDS = 8
 
 
@@ -69,7 +69,7 @@
                 engine.come_back()
             world.report()
         world.pass_time(2.0)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     failure = caller.finals[-1].failure
     assert failure.code == 'request-crashes-engines'
     assert failure.retry_after
@@ -127,7 +127,7 @@
 def test_a_call_is_recognized_under_another_id():
     """Guards against an idempotent call that ends one upstream a try."""
     crashed, answer = crashed_by_calls(call_world.LOOKUP, has_key=False)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     assert isinstance(answer, actions.SendFailure)
     assert answer.failure.code == 'request-crashes-engines'
 
@@ -135,7 +135,7 @@
 def test_a_keyed_call_is_recognized_under_another_key():
     """Guards against a charge that ends an upstream with each new key."""
     crashed, answer = crashed_by_calls(call_world.CHARGE, has_key=True)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     assert answer.failure.code == 'request-crashes-engines'
 
 
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -76,7 +76,7 @@
         self.now += seconds
 
     @stateful.invariant()
-    def parts_are_in_use_once(self):
+    def each_part_is_in_use_once(self):
         """Guards against two issuers that use the same part."""
         used = [
             lender
@@ -87,7 +87,7 @@
         assert len(used) == len(set(used))
 
     @stateful.invariant()
-    def all_together_have_no_more_than_the_limit(self):
+    def total_share_is_within_the_limit(self):
         """Guards against a sum of parts that is over the limit."""
         totals = [b.total_share(self.now) for b in self.borrowed.values()]
         assert sum(totals) <= 1.0 + 1e-9
