--- a/src/greengagelb/coordination/sharing/__init__.py
+++ b/src/greengagelb/coordination/sharing/__init__.py
@@ -1,1 +1,1 @@
-"""Who may use how much: client accounts, retries, and the store."""
+"""Quotas and admission: client accounts, retries, engines and the store."""
--- a/src/greengagelb/coordination/sharing/admission.py
+++ b/src/greengagelb/coordination/sharing/admission.py
@@ -1,9 +1,9 @@
-"""Who may run next, and who is refused at once.
+"""Admission control: which request starts next and which is refused at once.
 
-Requests wait in a fair queue per pool and class, bounded per client account.
-What can't be answered in time is refused when it arrives, with a time to come
-back that grows with the queue: work that is started too late costs an engine
-as much as work that somebody still waits for.
+Requests wait in a fair queue per pool and priority, bounded per client
+account. A request that cannot be answered in time is refused on arrival, with
+a Retry-After that grows with the queue: work that starts too late costs an
+engine as much as work that a caller still waits for.
 """
 
 import collections
@@ -18,9 +18,9 @@
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 120.0
 SECONDS_PER_MINUTE = 60.0
-# The wait is estimated from means. At five times capacity, without a margin,
-# a fifth of the long work that was let in waited only to be refused; with it
-# a thirtieth.
+# The wait is estimated from means. At five times capacity, a fifth of the
+# admitted long requests waited only to be refused without this margin, and a
+# thirtieth with it.
 WAIT_MARGIN = 1.5
 
 QueueKey = tuple[str, configuration_state.Priority]
@@ -28,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningRequest:
-    """A request that has been given to an upstream, and when."""
+    """A request that was given to an upstream at ``started_at``."""
 
     ticket: fair_queue.Ticket
     started_at: float
@@ -40,10 +40,10 @@
 
 
 class AdmissionControl:
-    """Counts what each account runs, and keeps what waits.
+    """Counts what each account runs and queues what waits.
 
     Invariant: each exchange is counted once, as waiting or as running.
-    ``changed`` tells that a waiting request may be able to start by now.
+    ``recheck_needed`` is set when a waiting request may be able to start.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -69,19 +69,17 @@
         self.resume_buckets: dict[str, rates.CostBucket] = {}
         self.recheck_needed = False
 
-    # -- limits -------------------------------------------------------------
-
     def resize(self, live_instances: int) -> None:
-        """Share the limits of the data centre between its instances."""
+        """Divide the limits of the data centre among its live instances."""
         self.live_instances = max(1, live_instances)
         self.unpark_all_accounts()
 
     def max_running(self, account: configuration_state.ClientAccount) -> int:
-        """Return this instance's part of the account's limit.
+        """Return this instance's part of the account's concurrency limit.
 
-        At least one: a limit below the number of instances is exceeded by
-        up to their difference, instead of shutting out the account's callers
-        at most instances.
+        It is at least 1. A limit below the number of instances may therefore
+        be exceeded by up to the difference; otherwise the account's callers
+        would be rejected at most instances.
         """
         return max(1, account.most_running // self.live_instances)
 
@@ -99,7 +97,8 @@
     ) -> requests.Failure | None:
         """Return why a request is refused at once, or None to let it wait.
 
-        The rate is taken last, so that a refused request uses none of it.
+        The rate limit is checked last, so that a refused request consumes none
+        of it.
         """
         if self.queued_per_account[account.name] >= account.most_queued:
             return self.not_run_failure(
@@ -131,7 +130,7 @@
         account: configuration_state.ClientAccount,
         now: float,
     ) -> requests.Failure | None:
-        """Return why the account's rate does not allow a request, if so."""
+        """Return a refusal if the account exceeds its token rate, or None."""
         if not account.tokens_per_second:
             return None
         rate = account.tokens_per_second / self.live_instances
@@ -149,11 +148,11 @@
     def resume_refusal(
         self, account: configuration_state.ClientAccount, now: float
     ) -> requests.Failure | None:
-        """Return why a caller may not come back to its stream yet, if so.
+        """Return a refusal if the account exceeds its resume budget, or None.
 
-        Each return costs engines the prompt again. Callers of one account
-        that drop their connections in a loop would use up what the others
-        need.
+        Each resume makes an engine process the prompt again. Without a budget,
+        callers of one account that drop their connections in a loop would use
+        up the capacity of the others.
         """
         burst = float(account.resume_budget)
         rate = max(burst, 1.0) / SECONDS_PER_MINUTE
@@ -168,22 +167,20 @@
     def not_run_failure(
         self, code: str, detail: str, wait: float
     ) -> requests.Failure:
-        """Return a refusal that tells when to come back.
+        """Return a refusal with a Retry-After in seconds.
 
-        Without jitter all refused callers would come back at the same time
-        and be refused again.
+        Without jitter all refused callers would come back at the same time and
+        be refused again.
         """
         base = min(max(MIN_RETRY_AFTER_SECONDS, wait), MAX_RETRY_AFTER_SECONDS)
         seconds = base * self.rng.uniform(1.0, 2.0)
         return requests.Failure(code, requests.Ran.NO, detail, seconds)
 
-    # -- estimates ----------------------------------------------------------
-
     def expected_wait_seconds(self, ticket: fair_queue.Ticket) -> float:
-        """Return the seconds until a new ticket starts, as far as known.
+        """Return the estimated seconds until a new ticket starts.
 
-        What runs now tells how many places this instance can use: while
-        something waits, all of them are in use.
+        While requests wait, every place that this instance can use is taken,
+        so the number of running requests is the number of places.
         """
         key = queue_key(ticket)
         duration_estimate = self.duration_estimates.get(key)
@@ -195,7 +192,7 @@
         )
 
     def cost_before(self, ticket: fair_queue.Ticket) -> float:
-        """Return the waiting cost that goes before a new ticket."""
+        """Return the waiting cost that is served before a new ticket."""
         cost = 0.0
         for (pool, priority), queue in self.queues.items():
             if pool != ticket.pool or priority > ticket.priority:
@@ -220,10 +217,10 @@
         )
 
     def expected_run_seconds(self, ticket: fair_queue.Ticket) -> float:
-        """Return the seconds that a request may run, as far as known.
+        """Return the estimated upper run time of a request, in seconds.
 
-        The account's own requests tell it, where there were any: one
-        account's slow requests must not have the others' refused.
+        The estimate uses the account's own requests if there were any: slow
+        requests of one account must not cause refusals for the others.
         """
         key = queue_key(ticket)
         duration_estimate = self.account_duration_estimates.get(
@@ -233,10 +230,8 @@
             return 0.0
         return duration_estimate.conservative_seconds(ticket.cost)
 
-    # -- moves --------------------------------------------------------------
-
     def push(self, ticket: fair_queue.Ticket) -> None:
-        """Let a ticket wait."""
+        """Append a ticket to its queue."""
         key = queue_key(ticket)
         if key not in self.queues:
             self.queues[key] = fair_queue.FairQueue()
@@ -248,7 +243,7 @@
     def start_ticket(
         self, ticket: fair_queue.Ticket, weight: int, now: float
     ) -> None:
-        """Take a head out of its queue and count it as running."""
+        """Pop the next ticket of its queue and count it as running."""
         key = queue_key(ticket)
         self.queues[key].pop(weight)
         self.queued_per_account[ticket.account] -= 1
@@ -257,11 +252,11 @@
         self.running_per_queue[key] += 1
 
     def park_account(self, ticket: fair_queue.Ticket) -> None:
-        """Set the ticket's account aside until one of its requests ends."""
+        """Exclude the ticket's account until one of its requests ends."""
         self.queues[queue_key(ticket)].park_account(ticket.account)
 
     def keep_accounts(self, names: set[str]) -> None:
-        """Forget what is known of accounts that no longer exist."""
+        """Drop the state of accounts that are not in ``names``."""
         for buckets in (self.rate_buckets, self.resume_buckets):
             for name in buckets.keys() - names:
                 del buckets[name]
@@ -271,14 +266,14 @@
         self.unpark_all_accounts()
 
     def unpark_all_accounts(self) -> None:
-        """Let every account compete again: limits have changed."""
+        """Let every account compete again after limits have changed."""
         for queue in self.queues.values():
             for account in list(queue.account_queues):
                 queue.unpark_account(account)
         self.recheck_needed = True
 
     def discard(self, ticket: fair_queue.Ticket) -> None:
-        """Forget a ticket that waits."""
+        """Remove a waiting ticket."""
         queue = self.queues[queue_key(ticket)]
         queue.discard(ticket.account, ticket.exchange)
         self.queued_per_account[ticket.account] -= 1
@@ -288,8 +283,8 @@
     ) -> None:
         """Count a request as no longer running.
 
-        ``completed`` tells that its time counts for the pace. Callers that
-        hang up at once would make the engines look faster than they are.
+        If ``completed``, its duration updates the estimates. Callers that hang
+        up at once would make the engines look faster than they are.
         """
         finished = self.running.pop(exchange, None)
         if finished is None:
@@ -307,7 +302,7 @@
     def observe_duration(
         self, ticket: fair_queue.Ticket, seconds: float
     ) -> None:
-        """Take in how long a request of an account has run."""
+        """Update the estimates with the run time of a request."""
         key = queue_key(ticket)
         account_key = (key, ticket.account)
         self.duration_estimates.setdefault(
--- a/src/greengagelb/coordination/sharing/arrivals.py
+++ b/src/greengagelb/coordination/sharing/arrivals.py
@@ -1,7 +1,6 @@
-"""What a request needs and whether it can be taken at all.
+"""Checks of arriving requests that need only the request and configuration.
 
-These are questions about the request and the configuration alone; what waits
-and runs at the moment is the business of the node.
+The node combines them with the state of queues and running requests.
 """
 
 import dataclasses
@@ -27,10 +26,10 @@
     configuration: configuration_state.Configuration,
     request: requests.GenerationRequest | requests.CallRequest,
 ) -> configuration_state.Service | None:
-    """Return the service of a request, at the priority asked for.
+    """Return the service of a request, with the priority asked for.
 
-    A caller may lower the priority that its service has. Were it able to
-    raise it, every account's work would soon be the most urgent.
+    A caller may only lower the priority of its service. If it could raise it,
+    all accounts would soon use the highest priority.
     """
     service = configuration.find_service(request.service)
     if service is None or request.priority <= service.priority:
@@ -43,9 +42,9 @@
     service: configuration_state.Service,
     now: float,
 ) -> fair_queue.Ticket:
-    """Return the ticket with which a request waits.
+    """Return the queue ticket of a request.
 
-    A caller who comes back to its stream goes before new long work.
+    A caller that resumes its stream goes before new long work.
     """
     priority = service.priority
     if isinstance(event, events.GenerationResumed):
@@ -66,7 +65,7 @@
     account: configuration_state.ClientAccount | None,
     service: configuration_state.Service | None,
 ) -> requests.Failure | None:
-    """Return why a request can't be taken, or None."""
+    """Return why a request is invalid, or None."""
     if account is None:
         return not_run_failure(
             'unknown-account', 'no such client account', None
@@ -84,7 +83,7 @@
 
 
 def estimate_cost(event: Arrival) -> float:
-    """Return what a request may use, in tokens."""
+    """Return the most that a request may use, in tokens."""
     match event:
         case events.CallSubmitted():
             return 1.0
@@ -98,10 +97,10 @@
 
 
 def needs_claim(event: Arrival, service: configuration_state.Service) -> bool:
-    """Return whether a request may be dispatched only by a claim's holder.
+    """Return whether only the holder of a claim may dispatch a request.
 
-    A caller that comes back with a cursor asks for what already runs. A
-    request without an idempotency key has an id that nobody sends again.
+    A caller that resumes with a cursor asks for work that already runs. A
+    request without an idempotency key has an id that is never sent again.
     """
     if isinstance(event, events.GenerationResumed):
         return False
@@ -113,10 +112,10 @@
     event: Arrival,
     service: configuration_state.Service | None,
 ) -> requests.Failure:
-    """Return a refusal that says "not run" only where that is known.
+    """Return a refusal that says "not run" only if that is certain.
 
-    A caller that comes back with a cursor holds tokens of its request. Told
-    "not run", it would throw them away and ask for the whole again.
+    A caller that resumes with a cursor holds tokens of its request. If it were
+    told "not run", it would discard them and submit the whole request again.
     """
     if isinstance(event, events.GenerationResumed):
         return dataclasses.replace(failure, ran=requests.Ran.YES)
@@ -126,15 +125,16 @@
 def not_run_failure(
     code: str, detail: str, retry_after: float | None
 ) -> requests.Failure:
-    """Return a failure for a request that was never handed on."""
+    """Return a failure for a request that was never dispatched."""
     return requests.Failure(code, requests.Ran.NO, detail, retry_after)
 
 
 def cache_prefix(event: Arrival) -> str:
-    """Return what requests have in common that share a cached prefix.
+    """Return the key shared by requests with the same cached prefix.
 
-    It is scoped by client account, so that no account can learn from its
-    own latency what another has asked.
+    The key contains the client account, so that no account can learn from its
+    own latency what another account has asked. It is empty for requests
+    without a cacheable prefix.
     """
     if isinstance(event, events.CallSubmitted):
         return ''
--- a/src/greengagelb/coordination/sharing/crash_guard.py
+++ b/src/greengagelb/coordination/sharing/crash_guard.py
@@ -1,8 +1,8 @@
-"""Has requests that crash engines run no more, by the product's own interface.
+"""Blocks requests of the product's own API that crash engines.
 
-A try that broke off makes its upstream suspect. The upstream is asked for its
-report; if nobody listens there, or it has started again since, the request
-has crashed it.
+When an attempt breaks off, its upstream is suspected of a crash and asked for
+its report. If the connection is refused, or the upstream reports another
+incarnation, the crash counts against the request.
 """
 
 import dataclasses
@@ -15,25 +15,25 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import crashes as crash_state
 
-# The codes of what is answered to a request that crashes engines: when it
-# comes, and after it has just had an engine.
+# Error codes for a blocked request: refused on arrival, and stopped after an
+# engine has begun to run it.
 BLOCKED_NOT_RUN_CODE = 'request-crashes-engines'
 BLOCKED_RAN_CODE = 'engine-deaths-exceeded'
 PROBE_TIMER = 'ask-suspect'
-# For how long others are told of a suspect after it was last news, in
-# seconds, and for how long of one with a single crash: each request that was
-# on the engine is one.
+# How long a suspect is reported in heartbeats after its last change. The time
+# is shorter for a single crash, because a crash makes every request on the
+# engine a suspect.
 REPORT_SECONDS = 30.0
 REPORT_SINGLE_CRASH_SECONDS = 5.0
-# The most suspects in a heartbeat.
 MAX_REPORTS_PER_HEARTBEAT = 24
 
 
 @dataclasses.dataclass(slots=True)
 class PendingProbe:
-    """An upstream with tries that broke off is asked whether it has ended.
+    """A pending check whether a suspected upstream has ended.
 
-    ``incarnation`` is as it was when these began.
+    ``incarnation`` is the one that the upstream had when the broken attempts
+    began.
     """
 
     upstream: configuration_state.Upstream
@@ -42,7 +42,7 @@
 
 
 class CrashGuard:
-    """What this instance knows of requests that crash engines."""
+    """The crash records and suspicions of this instance."""
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
@@ -51,25 +51,23 @@
         self.cached_change_count = 0
         self.cached_suspects: tuple[crash_state.Suspect, ...] = ()
 
-    # -- the verdict --------------------------------------------------------
-
     def blocked_until(
         self, request: fingerprints.OwnRequest, now: float
     ) -> float | None:
-        """Return until when a request must not run, or None if it may."""
+        """Return the time until which a request is blocked, or None."""
         if not self.records.histories:
             return None
         fingerprint = fingerprints.for_own_request(request)
         return self.records.blocked_until(fingerprint, now)
 
     def is_blocked(self, request: fingerprints.OwnRequest, now: float) -> bool:
-        """Return whether a request must not run now."""
+        """Return whether a request is blocked now."""
         return self.blocked_until(request, now) is not None
 
     def has_blocking_suspicions(
         self, request: fingerprints.OwnRequest, now: float
     ) -> bool:
-        """Return whether the crashes that are suspected would be enough."""
+        """Return whether suspected crashes would block a request."""
         if not self.suspicions.by_engine:
             return False
         fingerprint = fingerprints.for_own_request(request)
@@ -81,13 +79,11 @@
     def must_not_run(
         self, request: fingerprints.OwnRequest, now: float
     ) -> bool:
-        """Return whether a request crashes engines, or seems to."""
+        """Return whether a request is blocked, or would be by suspicions."""
         return self.is_blocked(request, now) or self.has_blocking_suspicions(
             request, now
         )
 
-    # -- what is seen here --------------------------------------------------
-
     def suspect_upstream(
         self,
         request: fingerprints.OwnRequest,
@@ -96,7 +92,7 @@
         began_at: float,
         now: float,
     ) -> list[actions.Action]:
-        """Suspect the upstream of a try that had begun; have it asked."""
+        """Suspect the upstream of a broken attempt and have it probed."""
         self.forget_expired(now)
         name = upstream.name
         suspicion = suspicions.Suspicion(
@@ -115,7 +111,7 @@
     def handle_report(
         self, event: events.UpstreamReported, now: float
     ) -> list[str]:
-        """Take in a report; return the requests with one crash more."""
+        """Process a report; return the fingerprints with one crash more."""
         name = event.engine.name
         probe = self.pending_probes.pop(name, None)
         if probe is None:
@@ -129,7 +125,11 @@
     def handle_unreachable(
         self, event: events.UpstreamUnreachable, now: float
     ) -> list[str]:
-        """Take in that an upstream gave no report; see ``reported``."""
+        """Process that an upstream gave no report.
+
+        Returns the fingerprints with one crash more. Only a refused connection
+        proves that the upstream has ended.
+        """
         if not event.refused or event.name not in self.pending_probes:
             return []
         del self.pending_probes[event.name]
@@ -138,7 +138,7 @@
     def schedule_probe(
         self, event: events.UpstreamUnreachable, now: float
     ) -> list[actions.Action]:
-        """Return the timer for the next question, if there is to be one."""
+        """Return the timer of the next probe, if one is to follow."""
         probe = self.pending_probes.get(event.name)
         if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
             return []
@@ -146,7 +146,7 @@
         return [actions.SetTimer(timer, now + suspicions.PROBE_RETRY_SECONDS)]
 
     def repeat_probe(self, name: str) -> list[actions.Action]:
-        """Ask an upstream again that did not answer."""
+        """Probe an upstream again that did not answer."""
         probe = self.pending_probes.get(name)
         if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
             return []
@@ -154,33 +154,31 @@
         return [actions.ProbeUpstream(probe.upstream)]
 
     def count_crash(self, name: str, now: float) -> list[str]:
-        """Count the crash of an upstream; return what it counts against."""
+        """Count the crash of an upstream; return the affected fingerprints."""
         runs = self.suspicions.pop_suspicions(name, now)
         return suspicions.count_crashes(runs, self.records, now)
 
     def record_survival(
         self, request: fingerprints.OwnRequest, now: float
     ) -> None:
-        """Note that an upstream ran a request to its end."""
+        """Record that an upstream ran a request to its end."""
         if self.records.histories:
             self.records.record_survival(
                 fingerprints.for_own_request(request), now, now
             )
 
     def forget_expired(self, now: float) -> None:
-        """Forget upstreams that never showed what became of them."""
+        """Drop suspicions and probes of upstreams that were never resolved."""
         self.suspicions.forget_expired(now)
         for name in (
             self.pending_probes.keys() - self.suspicions.by_engine.keys()
         ):
             del self.pending_probes[name]
 
-    # -- other instances ----------------------------------------------------
-
     def merge_reports(
         self, reports: tuple[crash_state.CrashReport, ...], now: float
     ) -> list[str]:
-        """Take in what others know; return what must not run from now on."""
+        """Merge reports of others; return the newly blocked fingerprints."""
         return [
             report.fingerprint
             for report in reports
@@ -188,7 +186,7 @@
         ]
 
     def sorted_suspects(self) -> tuple[crash_state.Suspect, ...]:
-        """Return the suspects that others are told of, the worst first."""
+        """Return the suspects to report, those with most crashes first."""
         if self.cached_change_count == self.records.change_count:
             return self.cached_suspects
         self.cached_change_count = self.records.change_count
@@ -208,7 +206,7 @@
 def heartbeat_reports(
     suspects: tuple[crash_state.Suspect, ...], now: float, *, include_all: bool
 ) -> tuple[crash_state.CrashReport, ...]:
-    """Return what a heartbeat tells of suspects, the worst first."""
+    """Return the crash reports for a heartbeat, most crashes first."""
     selected = [
         suspect
         for suspect in suspects
@@ -221,6 +219,6 @@
 
 
 def report_seconds(suspect: crash_state.Suspect) -> float:
-    """Return for how long a suspect is told of."""
+    """Return for how many seconds a suspect is reported."""
     is_single = len(suspect.crashes) == 1
     return REPORT_SINGLE_CRASH_SECONDS if is_single else REPORT_SECONDS
--- a/src/greengagelb/coordination/sharing/crash_records.py
+++ b/src/greengagelb/coordination/sharing/crash_records.py
@@ -1,16 +1,16 @@
-"""Which requests crash the engines that run them.
+"""Decides which requests crash the engines that run them.
 
-A crash ends all that its engine was doing, so each of those requests is a
-suspect. What tells the one that did it from the others:
+A crash ends everything that the engine was running, so each of those requests
+is a suspect. The one that caused the crash differs from the others:
 
-* it has just begun: the others are somewhere in the middle;
-* it does it again, on an engine that it was sent to after the last crash. A
-  data centre that goes dark ends many engines at one time;
+* it has just begun, while the others are at any point of their run;
+* it crashes another engine that it was sent to after the last crash. A
+  data centre that loses power ends many engines at one time;
 * no engine has run it to its end since;
 * no other request explains its crashes better.
 
-Instances tell each other what they know, in any order and more than once:
-what is known is the union of it, so all come to the same verdict.
+Instances exchange reports in any order and repeatedly. Merging them is a
+union, so all instances come to the same verdict.
 """
 
 from collections.abc import Iterable
@@ -18,48 +18,47 @@
 
 from greengagelb.state import crashes
 
-# So many engines that crashed just after they had begun to run a request, or
-# so many at any later time, and it is run no more.
+# A request is blocked after so many crashes early in its run, or after
+# CRASHES_TO_BLOCK crashes at any time of its run.
 EARLY_CRASHES_TO_BLOCK = 3
 CRASHES_TO_BLOCK = 6
-# A request has just begun for so many seconds.
+# A crash is early if the request had run for at most so many seconds.
 EARLY_CRASH_SECONDS = 0.5
-# A run that seems to have begun so long before the crash before it, in
-# seconds, followed it: times that others tell of are not exact.
+# A run that began up to this long before the end of the previous one still
+# counts as following it, because reported times are not exact.
 TIME_TOLERANCE_SECONDS = 0.001
-# For how long a crash counts, in seconds.
+# How long a crash counts.
 CRASH_TTL_SECONDS = 600.0
-# Bounds on memory, by about 150 bytes a crash.
+# Memory bounds; a crash takes about 150 bytes.
 MAX_CRASHES_PER_REQUEST = 8
 MAX_FINGERPRINTS = 1024
-# Others are kept up to date on at most so many requests, those with the most
-# crashes: with one crash, each that was on its engine is a suspect.
+# Other instances are kept current on at most so many requests, those with the
+# most crashes. Requests with a single crash are left out, because one crash
+# makes every request on the engine a suspect.
 MAX_SHARED_REQUESTS = 64
 MIN_SHARED_CRASHES = 2
 
 
 class CrashRecords:
-    """All suspects known here.
+    """The crash histories of all suspects known to this instance.
 
-    ``changes`` counts what was news here.
+    ``change_count`` counts the changes.
 
-    Invariants: no history has a crash from before ``survived_at`` or more
-    than ``MOST_REMEMBERED``; there are at most ``MOST_FINGERPRINTS``.
+    Invariants: no history has a crash from before its ``survived_at`` or more
+    than ``MAX_CRASHES_PER_REQUEST``; there are at most ``MAX_FINGERPRINTS``.
     """
 
     def __init__(self) -> None:
         self.histories: dict[str, crashes.CrashHistory] = {}
         self.change_count = 0
 
-    # -- what becomes known -------------------------------------------------
-
     def add_crash(
         self, fingerprint: str, crash: crashes.Crash, now: float
     ) -> bool:
-        """Take in a crash; return whether it is news.
+        """Add a crash; return whether it was unknown.
 
-        The time of a crash that others tell of comes out later by as long as
-        the news took, so of several times the earliest counts.
+        The time of a reported crash is too late by the delay of the report, so
+        the earliest of several reported times is kept.
         """
         self.forget_expired(now)
         if crash.ended_at <= now - CRASH_TTL_SECONDS:
@@ -88,10 +87,10 @@
     def record_survival(
         self, fingerprint: str, survived_at: float, now: float
     ) -> bool:
-        """Take in that an engine ran a request to its end.
+        """Record that an engine ran a request to its end.
 
-        Returns whether that changes what is known. Requests without a crash
-        are by far the most, and nothing is kept of them.
+        Returns whether that cleared crashes. Nothing is stored for requests
+        without a crash, which are by far the most.
         """
         history = self.histories.get(fingerprint)
         if history is None or survived_at <= history.survived_at:
@@ -108,9 +107,9 @@
         return bool(cleared_crashes)
 
     def merge_report(self, report: crashes.CrashReport, now: float) -> bool:
-        """Take in what another instance knows of a request.
+        """Merge the report of another instance.
 
-        Returns whether the request must not run from now on.
+        Returns whether the request has become blocked.
         """
         blocked_before = self.is_blocked(report.fingerprint, now)
         if report.survived_age is not None:
@@ -123,10 +122,8 @@
             self.add_crash(report.fingerprint, crash, now)
         return not blocked_before and self.is_blocked(report.fingerprint, now)
 
-    # -- bounds on memory ---------------------------------------------------
-
     def forget_expired(self, now: float) -> None:
-        """Drop crashes, and then suspects, of long ago."""
+        """Drop expired crashes, and suspects without crashes."""
         oldest_kept_at = now - CRASH_TTL_SECONDS
         for fingerprint, history in list(self.histories.items()):
             for crash in list(history.crashes.values()):
@@ -136,10 +133,10 @@
                 del self.histories[fingerprint]
 
     def evict_least_crashed(self) -> None:
-        """Drop the one with the fewest crashes, the oldest of these first.
+        """Evict the suspect with the fewest crashes, the oldest one of these.
 
-        An account that has many different requests crash engines can't have
-        a request forgotten that was worse.
+        An account that crashes engines with many different requests must not
+        evict a request that has crashed more of them.
         """
         if len(self.histories) <= MAX_FINGERPRINTS:
             return
@@ -152,10 +149,8 @@
         )
         del self.histories[evicted]
 
-    # -- the verdict --------------------------------------------------------
-
     def blocked_until(self, fingerprint: str, now: float) -> float | None:
-        """Return until when a request must not run, or None if it may."""
+        """Return the time until which a request is blocked, or None."""
         history = self.histories.get(fingerprint)
         if history is None or len(history.crashes) < EARLY_CRASHES_TO_BLOCK:
             return None
@@ -170,11 +165,11 @@
         return block_expiry(unexplained, now)
 
     def is_blocked(self, fingerprint: str, now: float) -> bool:
-        """Return whether a request must not run now."""
+        """Return whether a request is blocked now."""
         return self.blocked_until(fingerprint, now) is not None
 
     def blocked_fingerprints(self, now: float) -> list[str]:
-        """Return the requests that must not run, the worst first."""
+        """Return the blocked requests, those with most crashes first."""
         return [
             fingerprint
             for fingerprint in self.worst_fingerprints()
@@ -187,7 +182,7 @@
         suspected: dict[str, crashes.Crash],
         now: float,
     ) -> bool:
-        """Return whether a request must not run if it did these crashes too.
+        """Return whether a request is blocked if the suspected crashes count.
 
         ``suspected`` holds them by life.
         """
@@ -202,8 +197,8 @@
     ) -> bool:
         """Return whether another request is the likelier cause of a crash.
 
-        That is one which has crashed as many engines, and had run on this one
-        for a shorter time.
+        That is one with enough crashes for a block that had run for a shorter
+        time on this engine.
         """
         for other_fingerprint, history in self.histories.items():
             other_crash = history.crashes.get(crash.life)
@@ -215,14 +210,8 @@
                 return True
         return False
 
-    # -- what others are told -----------------------------------------------
-
     def worst_fingerprints(self) -> list[str]:
-        """Return the requests that others are kept up to date on.
-
-        Those that were cleared are among them, or the others would go on to
-        refuse them.
-        """
+        """Return the requests that others are kept current on, worst first."""
         selected = [
             fingerprint
             for fingerprint, history in self.histories.items()
@@ -234,7 +223,11 @@
         return selected[:MAX_SHARED_REQUESTS]
 
     def cleared_fingerprints(self) -> list[str]:
-        """Return requests that were suspects until an engine survived them."""
+        """Return the requests whose crashes were cleared, latest first.
+
+        Other instances are told of them as well, or they would go on to refuse
+        them.
+        """
         selected = [
             fingerprint
             for fingerprint, history in self.histories.items()
@@ -246,7 +239,7 @@
         return selected[:MAX_SHARED_REQUESTS]
 
     def digest(self) -> int:
-        """Return a number that differs where the worst requests differ."""
+        """Return a checksum of the crashes of the worst requests."""
         lines = sorted(
             ' '.join(
                 (fingerprint, *sorted(self.histories[fingerprint].crashes))
@@ -256,7 +249,7 @@
         return zlib.crc32('\n'.join(lines).encode()) if lines else 0
 
     def get_suspect(self, fingerprint: str) -> crashes.Suspect:
-        """Return what is known of a request, as it is now."""
+        """Return an immutable snapshot of the history of a request."""
         history = self.histories[fingerprint]
         return crashes.Suspect(
             fingerprint,
@@ -268,19 +261,19 @@
     def build_report(
         self, fingerprint: str, now: float
     ) -> crashes.CrashReport:
-        """Return what is known of a request, as others are told."""
+        """Return the report on a request for other instances."""
         return crashes.report_on(self.get_suspect(fingerprint), now)
 
 
 def end_time(crash: crashes.Crash) -> float:
-    """Return when a crash was, to sort by."""
+    """Return when a crash happened, as a sort key."""
     return crash.ended_at
 
 
 def block_expiry(
     known_crashes: Iterable[crashes.Crash], now: float
 ) -> float | None:
-    """Return until when crashes are enough for a block, or None."""
+    """Return when the block by some crashes ends; None without a block."""
     recent = [c for c in known_crashes if c.ended_at > now - CRASH_TTL_SECONDS]
     early = [c for c in recent if c.seconds <= EARLY_CRASH_SECONDS]
     expiries = [
@@ -297,10 +290,10 @@
 def longest_chain(
     known_crashes: Iterable[crashes.Crash],
 ) -> list[crashes.Crash]:
-    """Return the most crashes of which each run began after the one before.
+    """Return the longest sequence of crashes with runs one after another.
 
-    Engines that a request was on at the same time may have ended for one
-    cause that lies elsewhere.
+    Engines that ran a request at the same time may have ended for one external
+    cause, so overlapping runs count once.
     """
     chain: list[crashes.Crash] = []
     for crash in sorted(known_crashes, key=end_time):
--- a/src/greengagelb/coordination/sharing/fair_queue.py
+++ b/src/greengagelb/coordination/sharing/fair_queue.py
@@ -1,10 +1,10 @@
-"""A queue that serves client accounts in turn, by the cost of their work.
+"""A fair queue over client accounts, weighted by the cost of their requests.
 
-One queue for all would let an account that floods make every other account
-wait behind it. Here each account has a line of its own, and the account that
-has had the least service by its weight is next (start-time fair queueing).
-An account that may not run more at the moment is set aside, so that it holds
-up nobody else.
+With a single FIFO queue, one account that floods it would make every other
+account wait. Here each account has its own FIFO queue, and the account that
+has received the least service relative to its weight is next (start-time fair
+queueing). An account that may not run more at the moment is parked, so that it
+blocks no other account.
 """
 
 import collections
@@ -23,9 +23,9 @@
 class Ticket:
     """A request that waits for a place on an upstream.
 
-    ``cost`` is in tokens: prompt and the most that may be generated.
-    ``deadline`` is the monotonic time at which its caller stops waiting, and
-    ``start_by`` the one by which the service wants it started.
+    ``cost`` is in tokens: the prompt and the most that may be generated.
+    ``deadline`` is the monotonic time at which the caller stops waiting, and
+    ``start_by`` the one by which the service wants the request started.
     """
 
     exchange: int
@@ -39,10 +39,10 @@
 
 @dataclasses.dataclass(slots=True)
 class AccountQueue:
-    """An account's waiting tickets, oldest first, and its service so far.
+    """The waiting tickets of an account, oldest first, and its past service.
 
-    ``finish`` is in virtual time. ``serial`` names the line's entry in the
-    heap, and is ``NOT_READY`` while it has none.
+    ``virtual_finish`` is in virtual time. ``heap_serial`` identifies the valid
+    heap entry of the account; it is ``NO_HEAP_ENTRY`` if there is none.
     """
 
     account: str
@@ -62,9 +62,9 @@
 class FairQueue:
     """Start-time fair queueing over accounts; each step is O(log accounts).
 
-    Invariants: virtual time never falls; a line has a valid heap entry
+    Invariants: virtual time never decreases; an account has a valid heap entry
     exactly while it has tickets and is not parked; an idle or parked account
-    saves up no service.
+    accumulates no credit.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         self.pops_since_cleanup = 0
 
     def push(self, ticket: Ticket) -> None:
-        """Append a ticket to its account's line."""
+        """Append a ticket to the queue of its account."""
         account_queue = self.account_queues.setdefault(
             ticket.account, AccountQueue(ticket.account)
         )
@@ -94,7 +94,7 @@
         self.schedule_account(account_queue)
 
     def peek(self) -> Ticket | None:
-        """Return the ticket that is next, without taking it."""
+        """Return the next ticket without removing it."""
         while self.heap:
             _, heap_serial, account = self.heap[0]
             account_queue = self.account_queues.get(account)
@@ -107,7 +107,10 @@
         return None
 
     def pop(self, weight: int) -> Ticket:
-        """Take the next ticket and charge its account by its weight."""
+        """Remove the next ticket and charge its account by ``weight``.
+
+        Raises InvariantViolated if no ticket is ready.
+        """
         ticket = self.peek()
         if ticket is None:
             raise errors.InvariantViolated('pop from an empty fair queue')
@@ -124,7 +127,7 @@
         return ticket
 
     def discard(self, account: str, exchange: int) -> None:
-        """Drop the ticket of an exchange that nobody waits for."""
+        """Remove the ticket of an exchange, if it waits."""
         account_queue = self.account_queues.get(account)
         if account_queue is None or exchange not in account_queue.waiting:
             return
@@ -135,7 +138,7 @@
     def remove_ticket(
         self, account_queue: AccountQueue, exchange: int
     ) -> None:
-        """Take a ticket out of its line and out of the sums."""
+        """Remove a ticket from its account queue and from the totals."""
         ticket = account_queue.waiting.pop(exchange)
         account_queue.waiting_cost -= ticket.cost
         self.size -= 1
@@ -147,17 +150,17 @@
             self.waiting_cost = 0.0
 
     def park_account(self, account: str) -> None:
-        """Set an account aside that may not run more at the moment.
+        """Exclude an account that may not run more at the moment.
 
-        If its tickets stayed at the head, every other account would wait for
-        it with engines free.
+        If its ticket stayed at the head, every other account would wait for it
+        while engines are free.
         """
         account_queue = self.account_queues[account]
         account_queue.parked = True
         account_queue.heap_serial = NO_HEAP_ENTRY
 
     def unpark_account(self, account: str) -> None:
-        """Let an account compete again, without credit for the time."""
+        """Let an account compete again, without credit for the parked time."""
         account_queue = self.account_queues.get(account)
         if account_queue is None or not account_queue.parked:
             return
@@ -168,7 +171,7 @@
         self.schedule_account(account_queue)
 
     def schedule_account(self, account_queue: AccountQueue) -> None:
-        """Enter a line into the heap, if it may compete and is not there."""
+        """Add an account to the heap if it may compete and has no entry."""
         if (
             account_queue.parked
             or account_queue.heap_serial != NO_HEAP_ENTRY
@@ -184,7 +187,11 @@
         heapq.heappush(self.heap, entry)
 
     def drop_idle_accounts(self) -> None:
-        """Drop lines without tickets and debt, at a constant mean cost."""
+        """Drop accounts without tickets whose service is paid off.
+
+        It scans all accounts once per that many pops, so the amortized cost is
+        constant.
+        """
         self.pops_since_cleanup += 1
         if self.pops_since_cleanup < len(self.account_queues):
             return
@@ -197,10 +204,10 @@
         }
 
     def cost_before(self, account: str) -> float:
-        """Return the cost that is likely to start before a new ticket.
+        """Return the cost that is likely to be served before a new ticket.
 
-        Fair turns let about the account's own waiting cost pass for each
-        account that competes, and never more than all that waits.
+        Fair queueing serves about as much of each competing account as the
+        account's own waiting cost, and never more than the total.
         """
         account_queue = self.account_queues.get(account)
         own_cost = (
@@ -214,17 +221,17 @@
             yield from account_queue.waiting.values()
 
     def check_invariants(self) -> None:
-        """Raise InvariantViolated if the heap and the lines disagree."""
+        """Raise InvariantViolated if the heap and the queues disagree."""
         heap_serials = {heap_serial for _, heap_serial, _ in self.heap}
         for account_queue in self.account_queues.values():
             is_ready = bool(account_queue.waiting) and not account_queue.parked
             if is_ready != (account_queue.heap_serial in heap_serials):
                 raise errors.InvariantViolated(
-                    f'line of {account_queue.account} '
-                    'is not where it should be'
+                    f'heap entry of account {account_queue.account} '
+                    'does not match its queue'
                 )
         if self.size != sum(1 for _ in self.tickets()):
-            raise errors.InvariantViolated('size differs from the tickets')
+            raise errors.InvariantViolated('size is not the number of tickets')
 
     def __len__(self) -> int:
         return self.size
--- a/src/greengagelb/coordination/sharing/fingerprints.py
+++ b/src/greengagelb/coordination/sharing/fingerprints.py
@@ -1,7 +1,7 @@
-"""Names requests by what they ask for.
+"""Fingerprints that identify requests by their content.
 
-A request that is sent again gets another id. Its fingerprint stays the same,
-at whatever instance it comes in.
+A request that is sent again gets another id. Its fingerprint stays the same at
+every instance.
 """
 
 from collections.abc import Iterable
@@ -16,10 +16,10 @@
 
 
 def digest_parts(parts: Iterable[bytes]) -> str:
-    """Return a digest that no other sequence of parts has.
+    """Return a digest of a sequence of parts.
 
-    Each part is hashed with its length, so that two sequences that read the
-    same when joined differ.
+    Each part is hashed with its length, so that two sequences with the same
+    concatenation differ.
     """
     hasher = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
@@ -33,7 +33,7 @@
 ) -> str:
     """Return the fingerprint of a relayed request of a client account.
 
-    A request without a body says in its query what it asks for.
+    A request without a body is identified by its query instead.
     """
     path, _, query = request.target.partition(b'?')
     content = request.body or query
@@ -42,7 +42,7 @@
 
 
 def content_parts(request: OwnRequest) -> list[bytes]:
-    """Return what a request by the product's own interface asks for."""
+    """Return the content of a request of the product's own API."""
     service = request.service.encode()
     match request:
         case requests.CallRequest(operation=operation, body=body):
@@ -53,6 +53,6 @@
 
 
 def for_own_request(request: OwnRequest) -> str:
-    """Return the fingerprint of a request by the product's own interface."""
+    """Return the fingerprint of a request of the product's own API."""
     account = request.request.account.encode()
     return digest_parts([account, *content_parts(request)])
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -1,9 +1,10 @@
-"""Which instance issues the permits of an engine's life, as seen from here.
+"""Selects the instance that issues the permits of an engine's life.
 
-By rendezvous hashing of those that are heard, so that all who hear the same
-agree without a message. One that does not answer is passed over until it is
-heard again, and asked for a sign of life meanwhile. The others are told if it
-gives none, as most of them ask it seldom.
+The issuer is chosen by rendezvous hashing over the instances that are heard,
+so that all instances with the same view agree without a message. An issuer
+that does not answer is suspected and probed; if the probes fail it is skipped
+until it is heard again. A failed issuer is reported to all other instances,
+because most of them contact it rarely.
 """
 
 from collections.abc import Callable
@@ -13,28 +14,28 @@
 from greengagelb.coordination.fleet import rendezvous
 from greengagelb.state import limits
 
-# An issuer that has answered none of so many questions for so many seconds is
-# asked for a sign of life: at once, again after the third figure, twice as
-# late each time, and at most after the fourth one.
+# An issuer is suspected if it has answered none of SUSPECT_AFTER_QUESTIONS
+# questions for SUSPECT_AFTER_SECONDS. It is probed at once and then after an
+# interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
 SUSPECT_AFTER_QUESTIONS = 4
 SUSPECT_AFTER_SECONDS = 0.05
 FIRST_PROBE_INTERVAL_SECONDS = 0.05
 MAX_PROBE_INTERVAL_SECONDS = 2.0
-# If so many of these bring nothing it is passed over until it is heard again,
-# or for so many seconds.
+# After so many unanswered probes an issuer is skipped until it is heard again,
+# for at most SUSPICION_TTL_SECONDS.
 SKIP_AFTER_PROBES = 2
 SUSPICION_TTL_SECONDS = 20.0
-# The most that are looked at because others say so.
+# Reports of other instances add at most so many suspected issuers.
 MAX_SUSPECTED = 512
-# So many instances are tried before this one issues permits itself.
+# This instance issues permits itself if so many others are skipped.
 MAX_RANKED = 8
-# Which instances there are is looked at again after so many seconds.
+# How long a ranking is used before the members are read again.
 RANKING_TTL_SECONDS = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingMessage:
-    """A message to another instance, or to all where ``receiver`` is empty."""
+    """A message to another instance, or to all if ``receiver`` is empty."""
 
     receiver: str
     message: limits.Message
@@ -42,14 +43,14 @@
 
 @dataclasses.dataclass(slots=True)
 class UnansweredQuestions:
-    """Questions to an issuer that has said nothing since."""
+    """Questions to an issuer since which it has sent nothing."""
 
     first_asked_at: float
     count: int = 0
 
     @property
     def suspect_at(self) -> float:
-        """Return when the issuer counts as silent."""
+        """Return when the issuer becomes suspected."""
         too_few = self.count < SUSPECT_AFTER_QUESTIONS
         return (
             float('inf')
@@ -60,12 +61,12 @@
 
 @dataclasses.dataclass(slots=True)
 class SuspectedIssuer:
-    """An issuer that is asked for a sign of life at ``ask_at``.
+    """An issuer that is probed next at ``probe_at``.
 
-    ``asked_for`` is how often it was; it is passed over once it is ``sure``
-    that it gives none. ``known_to_all`` tells that the others need not be
-    told: one of them has said so, or all find out by themselves. All this is
-    forgotten at ``until``.
+    ``probe_count`` probes were sent; once it ``has_failed`` to answer them it
+    is skipped. ``known_to_all`` is set if it need not be reported: another
+    instance has reported it, or all find out by themselves. The suspicion is
+    dropped at ``forget_at``.
     """
 
     forget_at: float
@@ -84,10 +85,10 @@
 
 
 class IssuerRanking:
-    """The instances that may issue permits, and those that are silent.
+    """The instances that may issue permits, and the suspected ones.
 
-    ``members`` returns which others are heard and may issue permits of a life,
-    and ``has_part`` whether this instance may.
+    ``members`` returns the other instances that are heard and may issue
+    permits of a life, and ``has_part`` whether this instance may.
     """
 
     def __init__(self, own_incarnation: str) -> None:
@@ -99,7 +100,7 @@
         self.suspected: dict[str, SuspectedIssuer] = {}
 
     def issuer_of(self, life: str, now: float) -> str:
-        """Return who issues a life's permits, as far as is known here."""
+        """Return the issuer of a life's permits, as seen by this instance."""
         ranking = self.rankings.get(life)
         if ranking is None or now >= ranking.expires_at:
             candidates = set(self.members(life))
@@ -115,7 +116,7 @@
         return self.own_incarnation
 
     def is_skipped(self, name: str, now: float) -> bool:
-        """Return whether an instance gives no sign of life."""
+        """Return whether an instance has failed to answer its probes."""
         suspect = self.suspected.get(name)
         return (
             suspect is not None
@@ -131,17 +132,17 @@
         questions.count += 1
 
     def mark_alive(self, sender: str) -> None:
-        """Note that an instance says something."""
+        """Clear the suspicion of an instance that sent something."""
         self.unanswered.pop(sender, None)
         self.suspected.pop(sender, None)
 
     def remove_instance(self, incarnation: str) -> None:
-        """Do without an instance that has stopped."""
+        """Remove an instance that has stopped."""
         self.rankings.clear()
         self.mark_alive(incarnation)
 
     def suspect_unanswered(self, now: float) -> None:
-        """Look at the issuers that have answered nothing."""
+        """Suspect the issuers that have left questions unanswered."""
         for issuer, questions in list(self.unanswered.items()):
             if now >= questions.suspect_at:
                 del self.unanswered[issuer]
@@ -150,7 +151,7 @@
     def suspect_issuer(
         self, issuer: str, now: float, *, known_to_all: bool = False
     ) -> None:
-        """Ask an issuer for a sign of life from now on."""
+        """Start to probe an issuer."""
         if issuer != self.own_incarnation and issuer not in self.suspected:
             forget_at = now + SUSPICION_TTL_SECONDS
             self.suspected[issuer] = SuspectedIssuer(
@@ -158,9 +159,9 @@
             )
 
     def suspect_next_issuer(self, ranking: Ranking, now: float) -> None:
-        """Look at the first one behind those that are passed over, too.
+        """Also suspect the first issuer after those that are skipped.
 
-        It may be silent for the same reason.
+        It may be unreachable for the same reason.
         """
         for name in ranking.names:
             if not self.is_skipped(name, now):
@@ -169,12 +170,12 @@
                 return
 
     def suspect_reported(self, issuer: str, now: float) -> None:
-        """Look at an issuer that another instance has found silent."""
+        """Suspect an issuer that another instance reports as silent."""
         if len(self.suspected) < MAX_SUSPECTED:
             self.suspect_issuer(issuer, now, known_to_all=True)
 
     def due_messages(self, now: float) -> list[OutgoingMessage]:
-        """Return what is due to be told about silent issuers."""
+        """Return the probes and reports that are due."""
         messages: list[OutgoingMessage] = []
         for issuer, suspect in list(self.suspected.items()):
             if now >= suspect.forget_at:
@@ -201,7 +202,7 @@
         return messages
 
     def next_due_at(self) -> float:
-        """Return when the next issuer is to be looked at, or to be asked."""
+        """Return when the next issuer is to be suspected or probed."""
         times = [entry.suspect_at for entry in self.unanswered.values()]
         times += [entry.probe_at for entry in self.suspected.values()]
         return min(times, default=float('inf'))
--- a/src/greengagelb/coordination/sharing/leases.py
+++ b/src/greengagelb/coordination/sharing/leases.py
@@ -1,27 +1,27 @@
 """Parts of a limit, which instances lend to one of them for a time.
 
 Each instance has an equal part of every limit and lends it to one borrower at
-a time. So the parts add up to no more than the limit, whoever hears whom. A
-lease is counted from when the borrower asked for it, by its own clock; to the
-lender it lasts at least as long, however late a datagram is.
+a time. So the parts add up to no more than the limit, whichever instances hear
+each other. The borrower counts a lease from when it asked for it, by its own
+clock; the lender counts it from its later answer. However late a datagram
+arrives, the borrower's use ends first.
 """
 
 import dataclasses
 
-# How long a part is lent, in seconds.
 LEASE_SECONDS = 3.0
-# An instance that has just started has a part once the others count it. They
-# hear of it when it starts, or with its next heartbeat.
+# A new instance has a part only once the others count it. They learn of it
+# when it starts, or with its next heartbeat.
 JOIN_SECONDS = 3.0
-# The same in heartbeats, where these come more seldom.
+# The same delay in heartbeats, for fleets with rarer heartbeats.
 HEARTBEATS_TO_JOIN = 1.5
-# A part that was nobody's for longer brings no more, in seconds.
+# Time during which a part was not lent is credited up to this bound.
 MAX_UNUSED_SECONDS = 3_600.0
 
 
 @dataclasses.dataclass(slots=True)
 class Loan:
-    """To whom a part is lent; it was nobody's since ``free_since`` before."""
+    """The borrower of a part, and until when it is lent."""
 
     borrower: str
     until: float
@@ -30,7 +30,8 @@
 class OwnParts:
     """This instance's part of every limit.
 
-    ``rank`` is its place among the instances, from 0.
+    ``rank`` is its position among the instances, from 0.
+
     Invariant: a part is lent to at most one borrower at a time.
     """
 
@@ -45,10 +46,10 @@
     def resize(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Share limits with that many instances, this one included.
+        """Divide limits among so many instances, including this one.
 
-        An instance that has gone may have lent its part: what it leaves is
-        the others' once that is over.
+        An instance that has stopped may have lent its part, so the others take
+        over its part only after such a lease has ended.
         """
         if not self.instance_count:
             wait = max(JOIN_SECONDS, HEARTBEATS_TO_JOIN * heartbeat_seconds)
@@ -61,7 +62,7 @@
         self.instance_count = instance_count
 
     def counted_instances(self, now: float) -> int:
-        """Return how many instances may have parts."""
+        """Return how many instances may hold parts."""
         previous = (
             self.previous_instance_count
             if now < self.previous_count_until
@@ -71,11 +72,11 @@
 
     @property
     def phase(self) -> float:
-        """Return this instance's turn among all, from 0 to 1."""
+        """Return this instance's position among all, from 0 to 1."""
         return self.rank / max(1, self.instance_count)
 
     def share(self, now: float) -> float:
-        """Return this instance's part of a limit, 0 to 1."""
+        """Return this instance's part of a limit, from 0 to 1."""
         if now < self.joins_at:
             return 0.0
         return 1.0 / self.counted_instances(now)
@@ -83,10 +84,11 @@
     def lend(
         self, life: str, borrower: str, free_since: float, now: float
     ) -> float | None:
-        """Lend a part, or go on lending it.
+        """Lend a part, or extend its lease.
 
-        Returns for how many seconds it was nobody's, or None if it is lent to
-        somebody else. It was never lent before ``free_since``.
+        Returns for how many seconds the part was not lent before, or None if
+        it is lent to another borrower. It was never lent before
+        ``free_since``.
         """
         loan = self.loans.get(life)
         until = now + LEASE_SECONDS
@@ -102,33 +104,33 @@
         return 0.0
 
     def take_back(self, life: str, borrower: str, now: float) -> None:
-        """Have a part back before its time."""
+        """End the lease of a part early."""
         loan = self.loans.get(life)
         if loan is not None and loan.borrower == borrower:
             loan.until = min(loan.until, now)
 
     def take_back_all(self, borrower: str, now: float) -> None:
-        """Have the parts back that an instance had which has stopped."""
+        """End the leases of an instance that has stopped."""
         for life in self.loans:
             self.take_back(life, borrower, now)
 
     def forget_life(self, life: str) -> None:
-        """Forget a life without a limit."""
+        """Drop a life that has no limit any more."""
         self.loans.pop(life, None)
 
 
 @dataclasses.dataclass(slots=True)
 class BorrowedPart:
-    """What a lender's part adds to a borrower, until a monotonic time."""
+    """A lender's share of the limit, until a monotonic time."""
 
     share: float
     until: float
 
 
 class BorrowedParts:
-    """The parts of one limit that this instance has.
+    """The parts of one limit that this instance has borrowed.
 
-    ``counted_at`` is up to when what they bring was counted.
+    ``accrued_until`` is the time up to which their shares were accrued.
     """
 
     def __init__(self, now: float) -> None:
@@ -136,26 +138,26 @@
         self.accrued_until = now
 
     def add_part(self, lender: str, share: float, until: float) -> None:
-        """Have a lender's part until a time, in place of what it lent."""
+        """Add a lender's part, or replace it if the new lease ends later."""
         part = self.parts.get(lender)
         if part is None or until > part.until:
             self.parts[lender] = BorrowedPart(share, until)
 
     def end_part(self, lender: str, now: float) -> None:
-        """Have a lender's part no more."""
+        """End a lender's part now."""
         part = self.parts.get(lender)
         if part is not None:
             part.until = min(part.until, now)
 
     def total_share(self, now: float) -> float:
-        """Return the part of the limit that this instance has now, 0 to 1."""
+        """Return the borrowed share of the limit, from 0 to 1."""
         shares = (p.share for p in self.parts.values() if now < p.until)
         return min(1.0, sum(shares))
 
     def take_accrued_seconds(self, now: float) -> float:
-        """Return the seconds of the whole limit that came in since last.
+        """Return the seconds of the whole limit accrued since the last call.
 
-        Parts that have ended are forgotten.
+        Parts that have ended are dropped.
         """
         since = self.accrued_until
         self.accrued_until = max(since, now)
@@ -171,7 +173,7 @@
     def lenders_ending_before(
         self, lenders: set[str], before: float
     ) -> set[str]:
-        """Return who of some instances lends nothing beyond a time."""
+        """Return the lenders whose parts end before a time or are missing."""
         return {
             lender
             for lender in lenders
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -1,12 +1,13 @@
-"""Keeps all instances together within the limits that engines name.
+"""Keeps all instances together within the limits that engines report.
 
-For each life of an engine with a limit one instance issues permits. Instances
-that hear others may choose another issuer; then each issuer has only the
-parts that were lent to it (see :mod:`.leases`), so the sum stays within the
-limit. Nothing here is kept anywhere else, and nobody has to agree.
+For each life of an engine with a limit, one instance issues permits. Instances
+that hear different members may choose different issuers; then each issuer has
+only the parts that were lent to it (see :mod:`.leases`), so the sum stays
+within the limit. The state is in memory only and needs no consensus.
 
-A request waits for its permit where it came in. Datagrams may be lost: the
-question is asked again, under the same number, until it is answered.
+A request waits for its permit at the instance where it arrived. Datagrams may
+be lost: a permit request is sent again with the same number until it is
+answered.
 """
 
 import dataclasses
@@ -18,23 +19,22 @@
 from greengagelb.coordination.sharing import permits
 from greengagelb.state import limits
 
-# A question without an answer is asked again after the first figure, twice as
-# late each time, and at most after the second one. In seconds.
+# An unanswered permit request is sent again after this delay, which doubles
+# each time up to the maximum.
 FIRST_RESEND_SECONDS = 0.015
 MAX_RESEND_SECONDS = 0.25
-# A limit is told again after so many seconds, as datagrams are lost.
+# A limit is broadcast again after these delays, as datagrams may be lost.
 REBROADCAST_DELAYS_SECONDS = (0.4, 1.2)
-# How often what others know is asked for, in seconds.
+# The least time between two requests for the limits of others.
 NEWS_REQUEST_INTERVAL_SECONDS = 0.5
-# ``due`` is not called again before so many seconds.
+# The least time between two calls of ``run_due``.
 MIN_STEP_SECONDS = 0.001
-# How long an issuer's answer may take, in seconds.
+# How long an issuer's answer may take to arrive.
 ANSWER_DELAY_SECONDS = 0.02
-# Where a permit was denied, none is asked for again before so many seconds.
+# After a denial no permit is requested again for at least this long.
 MIN_BLOCK_SECONDS = 0.05
-# The most of these that are remembered.
 MAX_ACCOUNT_BLOCKS = 4_096
-# The wait that is told where no issuer answers, in seconds.
+# The wait that is reported if no issuer answers.
 NO_ANSWER_WAIT_SECONDS = 0.25
 
 
@@ -42,8 +42,8 @@
 class PermitRequest:
     """A request of this instance that waits for a permit.
 
-    ``again_at`` is when it is asked for once more; ``asked_for`` how often it
-    was. ``expected_at`` is when the issuer expects to grant it.
+    It was sent ``send_count`` times and is sent again at ``resend_at``.
+    ``expected_grant_at`` is when the issuer expects to grant it.
     """
 
     number: int
@@ -59,9 +59,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Granted:
-    """One request may be sent to a life now, by a permit of an issuer.
+    """A permit to send one request to a life now.
 
-    ``issuer`` is empty where the life has no limit any more.
+    ``issuer`` is empty if the life has no limit any more.
     """
 
     number: int
@@ -70,10 +70,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Denied:
-    """A request may not be sent to a life within the time that it has.
+    """The refusal of a permit within the time of the request.
 
-    ``issuer`` had the part ``share`` of the limit; none answered where it is
-    empty.
+    ``wait`` is in seconds. ``issuer`` had the part ``share`` of the limit; it
+    is empty if none answered.
     """
 
     number: int
@@ -84,18 +84,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountBlock:
-    """Until when a life is not asked for an account, and what it was told."""
+    """A denied account, for which no permit is requested before ``until``.
+
+    ``next_permit_at`` is when the issuer expected a permit.
+    """
 
     until: float
     next_permit_at: float
 
 
 class LimitKeeper:
-    """One instance's part in keeping the limits.
+    """This instance's part in keeping the limits.
 
-    ``outgoing`` and ``outcomes`` are taken and emptied by whoever calls, and
-    ``stirred`` tells that ``next_at`` may have changed.
-    Invariant: each number in ``asks`` has had no outcome yet, and gets one.
+    The caller takes and empties ``outgoing`` and ``outcomes``.
+    ``schedule_changed`` is set when the result of ``next_due_at`` may have
+    changed.
+
+    Invariant: each number in ``requests`` has had no outcome yet, and gets
+    one.
     """
 
     def __init__(self, own_incarnation: str) -> None:
@@ -118,8 +124,6 @@
         self.outgoing: list[issuer_ranking.OutgoingMessage] = []
         self.outcomes: list[Granted | Denied] = []
 
-    # -- limits -------------------------------------------------------------
-
     def is_limited(self, life: str) -> bool:
         """Return whether a request to a life needs a permit."""
         return self.table.rate_of(life) is not None
@@ -127,7 +131,7 @@
     def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
     ) -> limits.LimitNews | None:
-        """Take in what an answer says; tell the others if that is news."""
+        """Apply the limit in an answer; broadcast it if it is new."""
         news = self.table.update_from_answer(life, rate, asked_at, now)
         if news is not None:
             self.send('', news)
@@ -138,7 +142,7 @@
         return news
 
     def figures(self) -> limits.Figures:
-        """Return what a scrape shows of limits."""
+        """Return the metrics of limits."""
         rates = self.table.limits_in_force().values()
         return limits.Figures(
             len(rates),
@@ -151,21 +155,21 @@
     def request_news_if_different(
         self, incarnation: str, digest: int, now: float
     ) -> None:
-        """Ask an instance that knows other limits for what it knows."""
+        """Request the limits of an instance with another digest."""
         if digest == self.table.digest() or now < self.next_news_request_at:
             return
         self.next_news_request_at = now + NEWS_REQUEST_INTERVAL_SECONDS
         self.send(incarnation, limits.NewsWanted())
 
     def merge_news(self, news: limits.LimitNews, now: float) -> bool:
-        """Take in what another instance knows; return whether it is news."""
+        """Merge the limit of another instance; return whether it is new."""
         is_news = self.table.merge_news(news, now)
         if is_news:
             self.apply_limit_change(news.life, now)
         return is_news
 
     def apply_limit_change(self, life: str, now: float) -> None:
-        """Go by a limit that has changed."""
+        """Apply a changed limit; grant what needs no permit any more."""
         self.schedule_changed = True
         for key in [key for key in self.account_blocks if key[0] == life]:
             del self.account_blocks[key]
@@ -177,21 +181,19 @@
             self.outcomes.append(Granted(request.number))
 
     def forget_life(self, life: str) -> None:
-        """Forget a life that is over."""
+        """Drop a life that has ended."""
         self.schedule_changed = True
         self.table.forget_life(life)
         self.issuers.forget_life(life)
         for request in [a for a in self.requests.values() if a.life == life]:
             self.deny_request(request, 0.0)
 
-    # -- permits for requests of this instance ------------------------------
-
     def next_permit_at(
         self, life: str, account: str, now: float
     ) -> float | None:
-        """Return when an account may come back to a life that is closed.
+        """Return when a blocked account may get a permit of a life again.
 
-        None if it may be asked for now.
+        None if a permit may be requested now.
         """
         limit = self.table.known_limits.get(life)
         if limit is None or limit.rate is None:
@@ -204,7 +206,7 @@
         return block.next_permit_at
 
     def expected_wait_seconds(self, life: str, now: float) -> float:
-        """Return how long the last request for a life has to wait yet."""
+        """Return the longest expected wait among the requests for a life."""
         waits = [
             request.expected_grant_at - now
             for request in self.requests.values()
@@ -221,7 +223,7 @@
         *,
         urgent: bool = False,
     ) -> int:
-        """Ask for a permit; its outcome bears the number returned."""
+        """Request a permit; return the number that its outcome will have."""
         number = next(self.numbers)
         request = PermitRequest(number, life, account, urgent, deadline)
         self.requests[number] = request
@@ -229,7 +231,7 @@
         return number
 
     def send_request(self, request: PermitRequest, now: float) -> None:
-        """Ask whoever issues permits now."""
+        """Send a permit request to the current issuer."""
         self.schedule_changed = True
         issuer = self.ranking.issuer_of(request.life, now)
         if issuer != request.issuer:
@@ -255,14 +257,14 @@
         self.send_or_handle(issuer, wanted, now)
 
     def return_permit(self, life: str, granted: Granted, now: float) -> None:
-        """Return a permit that is not used."""
+        """Return an unused permit."""
         self.schedule_changed = True
         if granted.issuer:
             returned = limits.PermitReturned(life, granted.number)
             self.send_or_handle(granted.issuer, returned, now)
 
     def count_unpermitted(self, life: str, count: int, now: float) -> None:
-        """Count what was sent to a life without a permit."""
+        """Report requests that were sent to a life without a permit."""
         issuer = self.ranking.issuer_of(life, now)
         self.send_or_handle(issuer, limits.Spent(life, count), now)
 
@@ -273,7 +275,7 @@
         issuer: str = '',
         share: float = 0.0,
     ) -> None:
-        """Give a request its outcome, and ask no more for its account."""
+        """Give a request a denial as its outcome."""
         del self.requests[request.number]
         self.denied_count += 1
         self.outcomes.append(Denied(request.number, wait, issuer, share))
@@ -281,7 +283,7 @@
     def block_account(
         self, request: PermitRequest, wait: float, now: float
     ) -> None:
-        """Ask no more for an account until its wait can be borne."""
+        """Request no permits for an account until its wait is acceptable."""
         remaining_seconds = max(0.0, request.deadline - now)
         seconds = max(MIN_BLOCK_SECONDS, wait - remaining_seconds)
         if len(self.account_blocks) >= MAX_ACCOUNT_BLOCKS:
@@ -289,16 +291,14 @@
         key = (request.life, request.account)
         self.account_blocks[key] = AccountBlock(now + seconds, now + wait)
 
-    # -- other instances ----------------------------------------------------
-
     def resize(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Share limits with that many instances, this one included."""
+        """Divide limits among the given number of instances."""
         self.parts.resize(instance_count, heartbeat_seconds, now)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
-        """Do without an instance that has stopped."""
+        """Remove an instance that has stopped."""
         self.schedule_changed = True
         self.ranking.remove_instance(incarnation)
         self.issuers.remove_instance(incarnation, now)
@@ -309,7 +309,7 @@
     def handle_message(
         self, sender: str, message: limits.Message, now: float
     ) -> None:
-        """Take in a message of another instance, or of this one."""
+        """Process a message of another instance, or of this one."""
         self.schedule_changed = True
         self.ranking.mark_alive(sender)
         match message:
@@ -342,7 +342,7 @@
     def handle_permit_wanted(
         self, sender: str, wanted: limits.PermitWanted, now: float
     ) -> None:
-        """Take in a question for a permit, and what its sender knows."""
+        """Process a permit request and its sender's view of the limit."""
         life = wanted.life
         news = limits.LimitNews(life, wanted.rate, wanted.version)
         self.merge_news(news, now)
@@ -355,18 +355,19 @@
     def handle_permit_answer(
         self, sender: str, answer: limits.PermitAnswer, now: float
     ) -> None:
-        """Take in what an issuer says."""
+        """Process an issuer's answer to a permit request."""
         request = self.requests.get(answer.number)
         is_granted = answer.verdict is limits.Verdict.GRANTED
         if request is None or request.life != answer.life:
-            # Asked twice, a permit is granted twice; the first counts.
+            # A request that was sent twice may be granted twice; the second
+            # permit is returned.
             if is_granted and answer.number not in self.recent_grants:
                 returned = limits.PermitReturned(answer.life, answer.number)
                 self.send_or_handle(sender, returned, now)
             return
         match answer.verdict:
             case limits.Verdict.GRANTED if now > give_up_at(request):
-                # This process may have stood still since it was granted.
+                # This process may have been suspended since the grant.
                 self.give_up_request(request, now)
             case limits.Verdict.GRANTED:
                 del self.requests[request.number]
@@ -382,7 +383,7 @@
                 self.deny_request(request, answer.wait, sender, answer.share)
 
     def remember_grant(self, number: int, now: float) -> None:
-        """Know a permit again that is granted once more."""
+        """Remember a granted number, to recognize a repeated grant."""
         self.recent_grants[number] = now
         for recent_number, granted_at in list(self.recent_grants.items()):
             if now < granted_at + permits.GRANT_MEMORY_SECONDS:
@@ -390,22 +391,20 @@
             del self.recent_grants[recent_number]
 
     def send(self, receiver: str, message: limits.Message) -> None:
-        """Send a message to an instance, or to all."""
+        """Queue a message to an instance, or to all if empty."""
         self.outgoing.append(issuer_ranking.OutgoingMessage(receiver, message))
 
     def send_or_handle(
         self, receiver: str, message: limits.Message, now: float
     ) -> None:
-        """Send a message to an instance, which may be this one."""
+        """Send a message, or handle it if this instance is the receiver."""
         if receiver == self.own_incarnation:
             self.handle_message(receiver, message, now)
         else:
             self.send(receiver, message)
 
-    # -- time ---------------------------------------------------------------
-
     def run_due(self, now: float) -> None:
-        """Do what it is time for."""
+        """Run everything that is due."""
         self.schedule_changed = True
         self.ranking.suspect_unanswered(now)
         self.outgoing += self.ranking.due_messages(now)
@@ -421,20 +420,20 @@
                 self.rebroadcast_limit(life)
 
     def rebroadcast_limit(self, life: str) -> None:
-        """Tell all others of a limit once more."""
+        """Broadcast a limit again."""
         limit = self.table.known_limits.get(life)
         if limit is not None:
             self.send('', limits.LimitNews(life, limit.rate, limit.version))
 
     def give_up_request(self, request: PermitRequest, now: float) -> None:
-        """Wait no longer for an answer."""
+        """Deny a request that was not answered in time."""
         self.block_account(request, NO_ANSWER_WAIT_SECONDS, now)
         self.deny_request(request, NO_ANSWER_WAIT_SECONDS)
         returned = limits.PermitReturned(request.life, request.number)
         self.send_or_handle(request.issuer, returned, now)
 
     def next_due_at(self, now: float) -> float:
-        """Return when ``due`` has something to do."""
+        """Return when ``run_due`` has something to do."""
         times = [self.ranking.next_due_at(), self.issuers.next_due_at(now)]
         times += [
             min(a.resend_at, give_up_at(a)) for a in self.requests.values()
@@ -444,9 +443,10 @@
 
 
 def give_up_at(request: PermitRequest) -> float:
-    """Return when a request waits for no answer any more.
+    """Return when a request stops waiting for an answer.
 
-    An issuer that has given it a place answers at its deadline.
+    An issuer that has queued it answers at its deadline, so that answer is
+    given time to arrive.
     """
     is_queued = request.expected_grant_at > float('-inf')
     return request.deadline + (ANSWER_DELAY_SECONDS if is_queued else 0.0)
--- a/src/greengagelb/coordination/sharing/limit_table.py
+++ b/src/greengagelb/coordination/sharing/limit_table.py
@@ -1,10 +1,10 @@
-"""Which limits engines have named, as far as this instance knows.
+"""The limits that engines have reported, as known to this instance.
 
-Each value that an engine's limit takes has a version, counted by whoever is
-the first to see it. The highest version wins, and of two values of the same
-version the lower one, so that all come to the same value in whatever order
-they hear. An answer can change a value only if its request was sent after the
-value had become known: else it may have been made before.
+Each value of an engine's limit has a version, assigned by the instance that
+sees it first. The highest version wins, and the lower of two values with the
+same version, so that all instances agree whatever the order of messages. An
+answer changes a value only if its request was sent after the value became
+known: otherwise the engine may have reported it before the change.
 """
 
 import math
@@ -12,25 +12,25 @@
 
 from greengagelb.state import limits
 
-# The most lives of engines that are kept; those without a limit go first.
+# Lives without a limit are evicted first.
 MAX_LIVES = 4_096
-# A limit that has been lifted is remembered for so long, in seconds, to
-# answer those that have not heard of it.
+# A lifted limit is kept for this long to inform instances that have not heard
+# of it.
 LIFTED_MEMORY_SECONDS = 60.0
-# An engine that takes nothing gets nothing for so many seconds, and then so
-# many requests a second to see whether that is over.
+# An engine with a limit of zero gets no requests for ZERO_LIMIT_SECONDS, and
+# then TRIAL_REQUESTS_PER_SECOND to detect when the limit is lifted.
 ZERO_LIMIT_SECONDS = 30.0
 TRIAL_REQUESTS_PER_SECOND = 0.1
-# An engine may name another limit with each answer. No more than one value in
-# so many seconds is taken up, as each is told to all instances.
+# An engine may report another limit with each answer. Changes are accepted at
+# most once per interval, because each is sent to all instances.
 MIN_CHANGE_INTERVAL_SECONDS = 0.1
 
 
 class LimitTable:
-    """The limits of engines' lives.
+    """The limits of the lives of engines.
 
-    Invariant: the version of a life never falls while it is kept.
-    ``changes`` counts what has changed.
+    Invariant: the version of a life never decreases while it is kept.
+    ``change_count`` counts the changes.
     """
 
     def __init__(self) -> None:
@@ -40,26 +40,24 @@
         self.cached_digest = 0
 
     def rate_of(self, life: str) -> float | None:
-        """Return the limit in force of a life, or None without one."""
+        """Return the limit of a life in requests a second, or None."""
         limit = self.known_limits.get(life)
         return limit.rate if limit else None
 
     def limits_in_force(self) -> dict[str, float]:
-        """Return all limits that are in force, by life."""
+        """Return all limits in force, by life."""
         return {
             life: limit.rate
             for life, limit in self.known_limits.items()
             if limit.rate is not None
         }
 
-    # -- news ---------------------------------------------------------------
-
     def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
     ) -> limits.LimitNews | None:
-        """Take in what an answer says to a request sent at ``asked_at``.
+        """Apply the limit in an answer to a request sent at ``asked_at``.
 
-        Returns what the others have to know.
+        Returns the news for the other instances, or None.
         """
         limit = self.known_limits.get(life)
         if limit is None:
@@ -75,7 +73,7 @@
         return self.store_limit(life, rate, limit.version + 1, now)
 
     def merge_news(self, news: limits.LimitNews, now: float) -> bool:
-        """Take in what another instance knows; return whether it is news."""
+        """Merge the value of another instance; return whether it is new."""
         limit = self.known_limits.get(news.life)
         if limit is not None and precedence(news) <= precedence(limit):
             return False
@@ -85,19 +83,19 @@
     def store_limit(
         self, life: str, rate: float | None, version: int, now: float
     ) -> limits.LimitNews:
-        """Keep a value."""
+        """Store a value and return it as news."""
         self.known_limits[life] = limits.KnownLimit(rate, version, now, now)
         self.change_count += 1
         self.evict_old_lives(now)
         return limits.LimitNews(life, rate, version)
 
     def forget_life(self, life: str) -> None:
-        """Forget a life that is over."""
+        """Drop a life that has ended."""
         if self.known_limits.pop(life, None) is not None:
             self.change_count += 1
 
     def evict_old_lives(self, now: float) -> None:
-        """Forget limits that were lifted long ago, and the oldest of many."""
+        """Drop limits lifted long ago, and the least valuable if full."""
         for life, limit in list(self.known_limits.items()):
             lifted_before = now - LIFTED_MEMORY_SECONDS
             if limit.rate is None and limit.known_at < lifted_before:
@@ -106,14 +104,12 @@
             self.forget_life(min(self.known_limits, key=self.retention_key))
 
     def retention_key(self, life: str) -> tuple[bool, float]:
-        """Return how much a life is worth keeping; the lowest goes first."""
+        """Return the sort key for eviction; the lowest is evicted first."""
         limit = self.known_limits[life]
         return (limit.rate is not None, limit.confirmed_at)
 
-    # -- other instances ----------------------------------------------------
-
     def digest(self) -> int:
-        """Return a number that differs where other limits are known."""
+        """Return a checksum of the limits in force."""
         if self.digest_change_count != self.change_count:
             self.digest_change_count = self.change_count
             lines = sorted(
@@ -125,7 +121,7 @@
         return self.cached_digest
 
     def list_news(self) -> list[limits.LimitNews]:
-        """Return what an instance is told that knows something else."""
+        """Return all known values, for an instance that differs."""
         return [
             limits.LimitNews(life, limit.rate, limit.version)
             for life, limit in self.known_limits.items()
@@ -135,13 +131,13 @@
 def precedence(
     value: limits.LimitNews | limits.KnownLimit,
 ) -> tuple[int, float]:
-    """Return the order in which values replace each other."""
+    """Return the sort key by which values replace each other."""
     rate = math.inf if value.rate is None else value.rate
     return (value.version, -rate)
 
 
 def describe_limit(news: limits.LimitNews) -> str:
-    """Return a limit as the time line tells it."""
+    """Return the text of a limit for the timeline."""
     if news.rate is None:
         return f'lifted, version {news.version}'
     return f'{news.rate:g} a second, version {news.version}'
@@ -150,8 +146,8 @@
 def send_rate(known: limits.KnownLimit, now: float) -> float:
     """Return the requests a second that are sent to a life with a limit.
 
-    Only an answer tells that a limit of zero is over. So after a while some
-    requests are sent to an engine that takes none.
+    Only an answer shows that a limit of zero has been lifted, so some trial
+    requests are sent to such an engine after a while.
     """
     rate = known.rate or 0.0
     zero_seconds = now - known.known_at
--- a/src/greengagelb/coordination/sharing/permit_issuers.py
+++ b/src/greengagelb/coordination/sharing/permit_issuers.py
@@ -1,7 +1,7 @@
-"""The permits that this instance issues for all others.
+"""The permits that this instance issues to all instances.
 
-It borrows the parts of all that it hears while permits are asked for, and
-answers each question for one.
+While permits are requested, it borrows the parts of all instances that it
+hears, and answers each request.
 """
 
 from collections.abc import Callable
@@ -13,26 +13,27 @@
 from greengagelb.coordination.sharing import permits
 from greengagelb.state import limits
 
-# An issuer asks for parts again so long before they end, and no more often
-# than every so many seconds, while permits are asked for.
+# While permits are requested, parts are renewed this long before they expire,
+# at most once per RENEW_INTERVAL_SECONDS.
 RENEW_MARGIN_SECONDS = 1.5
 RENEW_INTERVAL_SECONDS = 0.25
-# How long after the last question an issuer still has parts lent, and how
-# long after that it is forgotten, in seconds.
+# After the last permit request an issuer renews its parts for
+# RENEW_IDLE_SECONDS and is dropped after FORGET_IDLE_SECONDS.
 RENEW_IDLE_SECONDS = 5.0
 FORGET_IDLE_SECONDS = 30.0
-# A former issuer that was asked for nothing for so long returns its parts.
+# If another instance has become the issuer, the parts are returned once no
+# permit was requested for this long.
 HAND_OVER_IDLE_SECONDS = 0.3
-# How long the first parts take that an issuer asks for, in seconds.
+# How long an issuer waits for the leases that it requests first.
 FIRST_LEASES_SECONDS = 0.02
 
 
 @dataclasses.dataclass(slots=True)
 class IssuedLife:
-    """A life whose permits this instance issues.
+    """A life whose permits this instance issues since ``began_at``.
 
-    ``began_at`` is since when. Nothing is answered before ``ready_at``, and
-    ``renewed_at`` is when parts were last asked for.
+    No request is answered before ``ready_at``; ``renewed_at`` is when parts
+    were last requested.
     """
 
     issuer: permits.PermitIssuer
@@ -44,7 +45,7 @@
 class PermitIssuers:
     """All lives whose permits this instance issues, and its own parts.
 
-    ``tell`` sends a message, to this instance as well.
+    ``send`` delivers a message to an instance, including this one.
     """
 
     def __init__(
@@ -61,10 +62,8 @@
         self.parts = leases.OwnParts()
         self.lives: dict[str, IssuedLife] = {}
 
-    # -- limits -------------------------------------------------------------
-
     def apply_limit_change(self, life: str, now: float) -> None:
-        """Go by a limit that has changed."""
+        """Apply a changed limit."""
         limit = self.table.known_limits.get(life)
         issued = self.lives.get(life)
         if issued is None:
@@ -75,23 +74,21 @@
             issued.issuer.change_rate(limit_table.send_rate(limit, now), now)
 
     def forget_life(self, life: str) -> None:
-        """Forget a life that is over."""
+        """Drop a life that has ended."""
         self.lives.pop(life, None)
         self.parts.forget_life(life)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
-        """Do without an instance that has stopped."""
+        """Remove an instance that has stopped."""
         self.parts.take_back_all(incarnation, now)
         for issued in self.lives.values():
             issued.issuer.accrue(now)
             issued.issuer.borrowed.end_part(incarnation, now)
 
-    # -- parts --------------------------------------------------------------
-
     def handle_lease_wanted(
         self, sender: str, wanted: limits.LeaseWanted, now: float
     ) -> None:
-        """Lend a part to who issues permits, if nobody else has it."""
+        """Lend a part to an issuer, unless it is lent to another."""
         life = wanted.life
         limit = self.table.known_limits.get(life)
         share = self.parts.share(now)
@@ -107,14 +104,14 @@
     def handle_lease(
         self, sender: str, lease: limits.Leased, now: float
     ) -> None:
-        """Have a part, unless it was asked for before it was returned."""
+        """Add a leased part, unless it was requested before a hand-over."""
         issued = self.lives.get(lease.life)
         if issued is not None and issued.began_at <= lease.stamp <= now:
             until = lease.stamp + leases.LEASE_SECONDS
             issued.issuer.add_lease(sender, lease, until, now)
 
     def renew_parts(self, life: str, issued: IssuedLife, now: float) -> None:
-        """Borrow the parts of all instances that are heard."""
+        """Request the parts of all instances that are heard."""
         if now < issued.renewed_at + RENEW_INTERVAL_SECONDS:
             return
         issued.renewed_at = now
@@ -130,12 +127,10 @@
         for lender in lenders_to_ask:
             self.send(lender, wanted, now)
 
-    # -- permits ------------------------------------------------------------
-
     def handle_permit_wanted(
         self, sender: str, wanted: limits.PermitWanted, now: float
     ) -> None:
-        """Have a request wait for a permit of this instance."""
+        """Process a permit request, of this or another instance."""
         life = wanted.life
         limit = self.table.known_limits[life]
         holder = (sender, wanted.number)
@@ -157,7 +152,7 @@
     def send_due_answers(
         self, life: str, issued: IssuedLife, now: float
     ) -> None:
-        """Answer the requests that can be answered by now."""
+        """Answer the requests that can be answered now."""
         if now < issued.ready_at:
             return
         for answer in issued.issuer.take_answers(now):
@@ -166,7 +161,7 @@
     def send_answer(
         self, life: str, answer: permits.Answer, now: float
     ) -> None:
-        """Tell an instance what comes of its request."""
+        """Send an answer to the instance that asked."""
         receiver, number = answer.holder
         issued = self.lives.get(life)
         share = issued.issuer.borrowed.total_share(now) if issued else 1.0
@@ -178,22 +173,20 @@
     def handle_permit_returned(
         self, sender: str, returned: limits.PermitReturned, now: float
     ) -> None:
-        """Have a permit for somebody else."""
+        """Make a returned permit available to other requests."""
         issued = self.lives.get(returned.life)
         if issued is not None:
             issued.issuer.return_permit((sender, returned.number), now)
             self.send_due_answers(returned.life, issued, now)
 
     def handle_spent(self, spent: limits.Spent, now: float) -> None:
-        """Count what was sent to a life without a permit."""
+        """Count requests that were sent to a life without a permit."""
         issued = self.lives.get(spent.life)
         if issued is not None:
             issued.issuer.count_unpermitted(spent.count, now)
 
-    # -- time ---------------------------------------------------------------
-
     def run_due(self, now: float) -> None:
-        """Renew parts, serve who waits, and leave what others issue now."""
+        """Renew parts, answer requests, and hand over or drop idle lives."""
         for life, issued in list(self.lives.items()):
             idle_seconds = now - issued.issuer.last_asked_at
             if idle_seconds >= FORGET_IDLE_SECONDS:
@@ -208,13 +201,13 @@
                 self.send_due_answers(life, issued, now)
 
     def hand_over(self, life: str, issued: IssuedLife, now: float) -> None:
-        """Leave the permits of a life to another instance at once."""
+        """Return all parts of a life, which another instance issues now."""
         del self.lives[life]
         for lender in issued.issuer.borrowed.parts:
             self.send(lender, limits.LeaseReturned(life), now)
 
     def next_due_at(self, now: float) -> float:
-        """Return when ``due`` has something to do."""
+        """Return when ``run_due`` has something to do."""
         times = [float('inf')]
         for issued in self.lives.values():
             issuer = issued.issuer
--- a/src/greengagelb/coordination/sharing/permits.py
+++ b/src/greengagelb/coordination/sharing/permits.py
@@ -1,8 +1,8 @@
 """Issues permits for the requests that one engine's limit allows.
 
-What instances have lent comes in as a flow; each permit takes one request out
-of it. Requests that wait are served in turn by client account, urgent ones
-first. One that would have to wait for too long is denied at once.
+Permits accrue at the rate of the leased parts, and each permit allows one
+request. Waiting requests are served by fair queueing over client accounts,
+urgent ones first. A request that would wait for too long is denied at once.
 """
 
 import collections
@@ -15,21 +15,21 @@
 from greengagelb.state import configuration
 from greengagelb.state import limits
 
-# What may be saved up while nobody asks, in seconds of the limit. A whole
-# request can be saved up in any case.
+# How much may be saved while nobody asks, in seconds of the limit. One whole
+# permit can be saved in any case.
 MAX_SAVED_SECONDS = 1.0
-# With a part below this one, a request that was saved up lapses like the
-# others: many instances that are cut off from each other would else each keep
-# one, and use them in the same moment.
+# With a smaller share than this, a saved permit expires in whole. Otherwise
+# many instances that are isolated from each other would each keep one and use
+# them at the same moment.
 MAIN_SHARE = 0.5
-# From here on a permit has come in; sums of small parts are not exact.
+# Slightly below one permit, because sums of small shares are not exact.
 PERMIT_THRESHOLD = 1.0 - 1e-6
-# A permit that was granted is remembered so long, in seconds, to be granted
-# again if its datagram was lost.
+# How long a granted permit is remembered, to grant it again if its datagram
+# was lost.
 GRANT_MEMORY_SECONDS = 5.0
-# The wait that is told where no part of the limit can be had, in seconds.
+# The wait that is reported if no part of the limit is available.
 NO_SHARE_WAIT_SECONDS = leases.LEASE_SECONDS
-# The longest wait that is told, in seconds.
+# The longest wait that is reported.
 MAX_WAIT_SECONDS = 3_600.0
 
 Holder = tuple[str, int]
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What an instance is answered."""
+    """The answer to a request for a permit, with a wait in seconds."""
 
     holder: Holder
     verdict: limits.Verdict
@@ -58,11 +58,12 @@
 class PermitIssuer:
     """The permits of one life of an engine.
 
-    ``phase``, from 0 to 1, is this instance's turn among those that have parts
-    and issue permits by themselves: without turns all would issue their first
-    ones in the same moment.
-    Invariant: over any time no more permits are granted than what came in,
-    what was saved up at its start, and what was returned.
+    ``phase``, from 0 to 1, is this instance's position among those that have
+    parts and issue permits by themselves. It delays the first permit:
+    otherwise all would issue it at the same moment.
+
+    Invariant: over any period no more permits are granted than accrued, were
+    saved at its start, and were returned.
     """
 
     def __init__(self, rate: float, now: float, phase: float = 0.0) -> None:
@@ -83,14 +84,12 @@
         )
         self.last_asked_at = now
 
-    # -- the flow -----------------------------------------------------------
-
     def permits_per_second(self, now: float) -> float:
-        """Return the requests a second that come in."""
+        """Return the rate at which permits accrue."""
         return self.rate * self.borrowed.total_share(now)
 
     def accrue(self, now: float) -> None:
-        """Add what has come in; drop what was saved up for too long."""
+        """Add the accrued permits and drop those above the bound."""
         self.available_permits += (
             self.rate * self.borrowed.take_accrued_seconds(now)
         )
@@ -107,14 +106,14 @@
         )
 
     def change_rate(self, rate: float, now: float) -> None:
-        """Go by another limit from now on."""
+        """Apply another limit from now on."""
         self.accrue(now)
         self.rate = rate
 
     def add_lease(
         self, lender: str, lease: limits.Leased, until: float, now: float
     ) -> None:
-        """Take in a lease; what its part brought before was nobody's."""
+        """Add a lease, with credit for the time its part was not lent."""
         self.accrue(now)
         is_new = lender not in self.borrowed.parts
         self.borrowed.add_part(lender, lease.share, until)
@@ -125,16 +124,14 @@
             self.available_permits += self.rate * lease.share * seconds
 
     def count_unpermitted(self, count: float, now: float) -> None:
-        """Take out what was sent without a permit."""
+        """Subtract requests that were sent without a permit."""
         self.accrue(now)
         self.available_permits -= count
 
-    # -- requests -----------------------------------------------------------
-
     def request_permit(
         self, wanted: limits.PermitWanted, holder: Holder, now: float
     ) -> Answer | None:
-        """Have a request wait; answer at once one that has asked before."""
+        """Add a request; answer at once if it was already made."""
         self.last_asked_at = now
         if holder in self.grant_times:
             return Answer(holder, limits.Verdict.GRANTED, 0.0)
@@ -158,7 +155,7 @@
         return None
 
     def take_answers(self, now: float) -> list[Answer]:
-        """Return whom to answer what by now."""
+        """Return the answers that are due."""
         self.accrue(now)
         share = self.borrowed.total_share(now)
         if share and self.phase:
@@ -190,7 +187,7 @@
         return answers
 
     def queue_or_deny(self, request: WaitingRequest, now: float) -> Answer:
-        """Give a request its place, or deny it if that is too far back."""
+        """Queue a request, or deny it if its wait would be too long."""
         wait = self.expected_wait_seconds(request, now)
         if wait > request.wait:
             self.remove_request(request)
@@ -201,7 +198,7 @@
     def expected_wait_seconds(
         self, request: WaitingRequest, now: float
     ) -> float:
-        """Return the seconds until a new request gets its permit."""
+        """Return the estimated seconds until a new request is granted."""
         rate_per_second = self.permits_per_second(now)
         if rate_per_second <= 0.0:
             return NO_SHARE_WAIT_SECONDS
@@ -214,14 +211,14 @@
         return min(wait, MAX_WAIT_SECONDS)
 
     def grant_permit(self, request: WaitingRequest, now: float) -> Answer:
-        """Take a permit out of what has come in."""
+        """Grant a permit to a request."""
         self.available_permits -= 1.0
         self.forget_request(request)
         self.grant_times[request.holder] = now
         return Answer(request.holder, limits.Verdict.GRANTED, 0.0)
 
     def return_permit(self, holder: Holder, now: float) -> None:
-        """Take back a permit, or a request that nobody waits for."""
+        """Take back a permit, or cancel a waiting request."""
         self.accrue(now)
         if self.grant_times.pop(holder, None) is not None:
             self.available_permits += 1.0
@@ -230,18 +227,18 @@
             self.remove_request(self.waiting_requests[serial])
 
     def remove_request(self, request: WaitingRequest) -> None:
-        """Let a request wait no longer."""
+        """Remove a request from its queue."""
         ticket = request.ticket
         self.queues[request.urgent].discard(ticket.account, ticket.exchange)
         self.forget_request(request)
 
     def forget_request(self, request: WaitingRequest) -> None:
-        """Forget a request that is in no queue any more."""
+        """Drop a request that is in no queue any more."""
         del self.waiting_requests[request.ticket.exchange]
         del self.serials_by_holder[request.holder]
 
     def forget_old_grants(self, now: float) -> None:
-        """Forget permits that nobody asks for again."""
+        """Drop grants that are past their repeat time."""
         while self.grant_times:
             holder, granted_at = next(iter(self.grant_times.items()))
             if now < granted_at + GRANT_MEMORY_SECONDS:
@@ -249,7 +246,7 @@
             del self.grant_times[holder]
 
     def next_due_at(self, now: float) -> float:
-        """Return when there is something to answer."""
+        """Return when an answer may be due."""
         if not self.waiting_requests:
             return float('inf')
         due_at = min(
--- a/src/greengagelb/coordination/sharing/rates.py
+++ b/src/greengagelb/coordination/sharing/rates.py
@@ -1,4 +1,4 @@
-"""Rates over time: token buckets, and the pace at which work is done.
+"""Token buckets and estimates of durations.
 
 Times are monotonic seconds and come from the caller; nothing reads a clock.
 """
@@ -14,15 +14,15 @@
 class CostBucket:
     """A token bucket that lets one request take it into debt.
 
-    A request that costs more than a whole burst would otherwise never be
-    let through. The overshoot is at most one request's cost.
+    A request that costs more than a whole burst could otherwise never pass.
+    The overshoot is at most the cost of one request.
     """
 
     level: float
     updated_at: float
 
     def refill(self, rate: float, burst: float, now: float) -> None:
-        """Add what has come in since the last time."""
+        """Add what has accrued since the last refill."""
         elapsed_seconds = max(0.0, now - self.updated_at)
         self.level = min(burst, self.level + elapsed_seconds * rate)
         self.updated_at = now
@@ -30,7 +30,7 @@
     def take(
         self, cost: float, rate: float, burst: float, now: float
     ) -> float | None:
-        """Take a cost; else return the seconds until it may be asked again.
+        """Take ``cost``, or return the seconds until an attempt may pass.
 
         ``rate`` is per second and above zero.
         """
@@ -43,10 +43,11 @@
 
 @dataclasses.dataclass(slots=True)
 class DurationEstimate:
-    """Seconds that a unit of cost takes, from requests that were completed.
+    """Estimates durations from the cost of completed requests.
 
-    A ratio of sums, so that a small request counts little: one account's
-    tiny requests can't make all others look hopeless.
+    The estimate is a ratio of sums, so that small requests count little: tiny
+    requests of one account cannot distort the estimates of the others. The
+    sums decay with each observation.
     """
 
     seconds_sum: float = 0.0
@@ -54,7 +55,7 @@
     deviation_sum: float = 0.0
 
     def observe(self, seconds: float, cost: float) -> None:
-        """Take in a completed request."""
+        """Add the duration of a completed request."""
         error_seconds = (
             abs(seconds - self.mean_seconds(cost)) if self.cost_sum else 0.0
         )
@@ -65,16 +66,16 @@
         self.cost_sum = self.cost_sum * OBSERVATION_DECAY + cost
 
     def mean_seconds(self, cost: float) -> float:
-        """Return the mean time of work of a cost; zero if unknown."""
+        """Return the mean duration for a cost, or 0 if unknown."""
         if not self.cost_sum:
             return 0.0
         return cost * self.seconds_sum / self.cost_sum
 
     def conservative_seconds(self, cost: float) -> float:
-        """Return a time that work of a cost rarely exceeds.
+        """Return a duration that is rarely exceeded, or 0 if unknown.
 
-        By the mean alone, half of the requests that are started close to
-        their deadline would miss it, and what they used would be lost.
+        With the mean alone, half of the requests started close to their
+        deadline would miss it, and the capacity they used would be wasted.
         """
         if not self.cost_sum:
             return 0.0
--- a/src/greengagelb/coordination/sharing/replay_budgets.py
+++ b/src/greengagelb/coordination/sharing/replay_budgets.py
@@ -1,4 +1,4 @@
-"""What an account's failing requests may cost the others."""
+"""Bounds what failing requests of one account cost the other accounts."""
 
 import collections
 
@@ -10,18 +10,18 @@
 
 
 class ReplayBudgets:
-    """Bounds each account's replays per minute at this instance.
+    """Bounds the replays per minute of each account at this instance.
 
-    A replay makes another engine read the prompt and all tokens so far. An
-    account whose requests kill engines would take that time from all others.
-    Returns of callers are bounded where requests are admitted.
+    A replay makes another engine process the prompt and all tokens generated
+    so far. Without a bound, an account whose requests kill engines would take
+    that capacity from all others. Resumes by callers are bounded in admission.
     """
 
     def __init__(self) -> None:
         self.buckets: dict[str, rates.CostBucket] = {}
 
     def take_replay(self, account: str, per_minute: int, now: float) -> float:
-        """Take one replay; return 0, or the seconds until one is left."""
+        """Take one replay; return 0, or the seconds until one is available."""
         burst = float(per_minute)
         rate = max(burst, 1.0) / WINDOW_SECONDS
         bucket = self.buckets.setdefault(account, rates.CostBucket(burst, now))
@@ -29,10 +29,10 @@
 
 
 class ExhaustedRequests:
-    """Requests that had too many engines die under them.
+    """Requests that exceeded the allowed number of engine deaths.
 
-    A caller that comes back with an older cursor brings an older count of
-    deaths, and could go on killing engines.
+    A caller that resumes with an older cursor brings an older count of deaths,
+    and could otherwise go on killing engines.
     """
 
     def __init__(self) -> None:
@@ -41,7 +41,7 @@
         )
 
     def add(self, request: identity.RequestId) -> None:
-        """Remember a request, at the cost of the oldest one."""
+        """Remember a request; drop the oldest one if the set is full."""
         self.requests[request] = None
         if len(self.requests) > MAX_REMEMBERED_REQUESTS:
             self.requests.popitem(last=False)
--- a/src/greengagelb/coordination/sharing/retry_budget.py
+++ b/src/greengagelb/coordination/sharing/retry_budget.py
@@ -1,8 +1,8 @@
-"""Bounds retries: how many an account gets, and when callers come back.
+"""Retry budgets of accounts, and backoff advice for callers.
 
-Retries multiply load just when there is too little capacity. An account may
-add a tenth to its own calls by retries and no more, so one account's failing
-calls can't crowd out another account's first tries.
+Retries multiply load just when capacity is short. An account may add a tenth
+to its own calls by retries, so that its failing calls cannot displace first
+attempts of other accounts.
 """
 
 import random
@@ -16,16 +16,17 @@
 
 
 class RetryBudget:
-    """Retries that each account may still make at this instance.
+    """The retries left to each account at this instance.
 
-    Invariant: ``saved`` of an account stays between 0 and ``MOST_SAVED``.
+    Invariant: ``saved_retries`` of an account stays between 0 and
+    ``MAX_SAVED_RETRIES``.
     """
 
     def __init__(self) -> None:
         self.saved_retries: dict[str, float] = {}
 
     def count_first_attempt(self, account: str) -> None:
-        """Count a first try."""
+        """Earn a fraction of a retry for a first attempt."""
         saved_retries = (
             self.saved_retries.get(account, MAX_SAVED_RETRIES)
             + RETRIES_EARNED_PER_CALL
@@ -33,7 +34,7 @@
         self.saved_retries[account] = min(MAX_SAVED_RETRIES, saved_retries)
 
     def take_retry(self, account: str) -> bool:
-        """Take one retry out of the budget, if there is one."""
+        """Take one retry from the budget; return whether there was one."""
         saved_retries = self.saved_retries.get(account, MAX_SAVED_RETRIES)
         if saved_retries < 1.0:
             return False
@@ -42,11 +43,11 @@
 
 
 class RetryAdvice:
-    """Says when a caller that was turned away should come back.
+    """Computes when refused callers should come back.
 
-    The wait doubles with each failure in a row, so that callers ask less
-    often the longer an outage lasts; it is spread at random, so that those
-    who were turned away together do not come back together.
+    The delay doubles with each consecutive failure, so that callers ask less
+    often the longer an outage lasts. It is jittered, so that callers refused
+    together do not return together.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -54,15 +55,15 @@
         self.consecutive_failures = 0
 
     def record_success(self) -> None:
-        """Start from the shortest wait again."""
+        """Reset the delay to its minimum."""
         self.consecutive_failures = 0
 
     def record_failure(self) -> float:
-        """Count a failure and return the wait in seconds."""
+        """Count a failure and return the delay in seconds."""
         doublings = min(self.consecutive_failures, MAX_DOUBLINGS)
         self.consecutive_failures += 1
         return self.add_jitter(BASE_BACKOFF_SECONDS * 2.0**doublings)
 
     def add_jitter(self, seconds: float) -> float:
-        """Return a wait around ``seconds``."""
+        """Return a random delay around ``seconds``."""
         return seconds * self.rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
--- a/src/greengagelb/coordination/sharing/store_budget.py
+++ b/src/greengagelb/coordination/sharing/store_budget.py
@@ -1,11 +1,11 @@
-"""Keeps one instance's use of the platform's service within bounds.
-
-All instances share a store that takes several hundred writes a second. One
-that asks again and again during an outage keeps the store down when it comes
-back, and makes callers wait for answers that won't come. So each instance
-has its own rate, a bound on requests under way, and a circuit breaker. What
-these refuse never left the process: for a claim that is a proof that it was
-not written.
+"""Bounds the load of one instance on the platform store.
+
+All instances share a store that takes several hundred writes a second. An
+instance that retries without bound during an outage keeps the store down when
+it comes back, and makes callers wait for answers that will not come. So each
+instance has its own rate limit, a bound on requests in flight, and a circuit
+breaker. A refused request never left the process: for a claim this proves that
+it was not written.
 """
 
 import dataclasses
@@ -26,11 +26,11 @@
 
 
 class RequestKind(enum.Enum):
-    """What the store counts apart.
+    """The kinds of store requests with separate limits.
 
-    A deferrable write is one that nobody waits for. It leaves half of a
-    burst to the writes that callers wait for: outcomes of finished calls
-    would else keep new calls from being claimed.
+    Nobody waits for a deferrable write. It leaves half of a burst to the
+    writes that callers wait for: otherwise outcomes of finished calls would
+    keep new calls from being claimed.
     """
 
     READ = 'read'
@@ -39,7 +39,7 @@
 
 
 class CircuitState(enum.Enum):
-    """State of the breaker; while half open, one request is a probe."""
+    """State of the circuit breaker; half open allows one probe request."""
 
     CLOSED = 'closed'
     OPEN = 'open'
@@ -58,7 +58,7 @@
 class TokenBucket:
     """Allows ``rate`` requests a second and bursts of ``BURST_SECONDS``.
 
-    Invariant: ``tokens`` stays between 0 and the burst.
+    Invariant: ``tokens`` stays between 0 and the burst size.
     """
 
     rate: float
@@ -66,7 +66,10 @@
     refilled_at: float
 
     def take(self, now: float, reserved_share: float = 0.0) -> bool:
-        """Take one token, if that leaves a share of the burst."""
+        """Take one token; return whether that was allowed.
+
+        ``reserved_share`` is the share of the burst that must remain.
+        """
         gained = max(0.0, now - self.refilled_at) * self.rate
         burst = max(1.0, self.rate * BURST_SECONDS)
         self.tokens = min(burst, self.tokens + gained)
@@ -80,10 +83,12 @@
 
 
 class StoreBudget:
-    """Decides whether a request to the platform may go out now.
+    """Decides whether a request to the platform may be sent now.
+
+    ``in_flight`` counts admitted requests that have not ended.
 
-    ``in_flight`` counts requests that were admitted and have not ended.
-    Invariant: while the circuit is half open at most one was admitted.
+    Invariant: while the circuit is half open, at most one request was
+    admitted.
     """
 
     def __init__(
@@ -106,7 +111,7 @@
     def admit(
         self, kind: RequestKind, now: float, account: str = ''
     ) -> Refusal | None:
-        """Count a request as under way, or return why it may not go out.
+        """Count a request as in flight, or return why it is refused.
 
         ``account`` is the client account that it is made for, if any.
         """
@@ -130,8 +135,8 @@
     def account_bucket(self, account: str, now: float) -> TokenBucket:
         """Return the bucket of the writes that one account may cause.
 
-        Without it an account that floods an instance with charges uses up
-        all its writes, and other accounts' charges are turned away.
+        Without it, an account that floods an instance with charges would use
+        up all its writes, and charges of other accounts would be refused.
         """
         if len(self.account_buckets) > MAX_ACCOUNT_BUCKETS:
             self.account_buckets.clear()
@@ -140,7 +145,7 @@
         return self.account_buckets.setdefault(account, full_bucket)
 
     def record_success(self) -> list[actions.Record]:
-        """Note that a request was answered."""
+        """Record that a request was answered."""
         self.in_flight -= 1
         self.consecutive_failures = 0
         self.consecutive_openings = 0
@@ -150,7 +155,7 @@
         return [actions.Record('store-circuit-closed', 'store answers')]
 
     def record_failure(self, now: float) -> list[actions.Record]:
-        """Note that a request got no answer in time, or an error."""
+        """Record that a request failed or timed out."""
         self.in_flight -= 1
         self.consecutive_failures += 1
         if self.circuit is CircuitState.OPEN:
--- a/src/greengagelb/coordination/sharing/suspicions.py
+++ b/src/greengagelb/coordination/sharing/suspicions.py
@@ -1,7 +1,7 @@
 """Broken connections that may mean that an engine has crashed.
 
-Connections break for many reasons. Only an engine that has ended since counts
-against the requests that it ran, so each is asked first.
+Connections break for many reasons. Only if the engine has ended since does it
+count against the requests that it ran, so each engine is probed first.
 """
 
 import dataclasses
@@ -9,15 +9,14 @@
 from greengagelb.coordination.sharing import crash_records
 from greengagelb.state import crashes
 
-# How long an engine may take to show what has become of it, in seconds.
+# How long it may take to find out whether an engine has ended.
 SUSPICION_TTL_SECONDS = 10.0
-# The most that wait for one engine.
 MAX_SUSPICIONS_PER_ENGINE = 256
-# An engine that does not answer is asked so often. It may be the network that
-# has lost the question, or the engine is just ending.
+# Probes are repeated, as the network may lose one or the engine may just be
+# ending.
 MAX_PROBES = 3
-# After a question without an answer the next one waits for so many seconds: a
-# process that is ending may reset several in a row.
+# Delay after an unanswered probe: a process that is ending may reset several
+# connections in a row.
 PROBE_RETRY_SECONDS = 0.05
 
 
@@ -32,13 +31,13 @@
 
 
 class Suspicions:
-    """Runs that broke off, by the engine that had them."""
+    """Runs that broke off, by engine."""
 
     def __init__(self) -> None:
         self.by_engine: dict[str, list[Suspicion]] = {}
 
     def add(self, engine: str, suspicion: Suspicion) -> bool:
-        """Keep a run; return whether its engine is to be asked."""
+        """Add a run; return whether its engine is to be probed."""
         runs = self.by_engine.setdefault(engine, [])
         runs[:] = [
             run
@@ -50,18 +49,18 @@
         return len(runs) == 1
 
     def pop_suspicions(self, engine: str, now: float) -> list[Suspicion]:
-        """Return the runs that an engine's end explains, and forget them."""
+        """Remove and return the recent runs of an engine."""
         runs = self.by_engine.pop(engine, [])
         return [
             run for run in runs if run.broken_at > now - SUSPICION_TTL_SECONDS
         ]
 
     def clear_engine(self, engine: str) -> None:
-        """Forget the runs of an engine that is still there."""
+        """Drop the runs of an engine that is still alive."""
         self.by_engine.pop(engine, None)
 
     def suspected_crashes(self, fingerprint: str) -> dict[str, crashes.Crash]:
-        """Return the crashes that a request is suspected of, by life."""
+        """Return the suspected crashes of a request, by life."""
         return {
             suspicion.life: crash_from_suspicion(suspicion)
             for runs in self.by_engine.values()
@@ -70,14 +69,14 @@
         }
 
     def forget_expired(self, now: float) -> None:
-        """Forget engines that never showed what became of them."""
+        """Drop engines whose fate was never found out."""
         for engine, runs in list(self.by_engine.items()):
             if runs[-1].broken_at <= now - SUSPICION_TTL_SECONDS:
                 del self.by_engine[engine]
 
 
 def crash_from_suspicion(suspicion: Suspicion) -> crashes.Crash:
-    """Return what a suspicion means if its engine has ended."""
+    """Return the crash that a suspicion becomes if its engine ended."""
     return crashes.Crash(
         suspicion.life, suspicion.began_at, suspicion.broken_at
     )
@@ -86,9 +85,9 @@
 def count_crashes(
     runs: list[Suspicion], records: crash_records.CrashRecords, now: float
 ) -> list[str]:
-    """Count an engine's crash against the runs that it had.
+    """Record an engine's crash for each of the runs that it had.
 
-    Returns the fingerprints of those that it counts against.
+    Returns the fingerprints for which it was unknown.
     """
     return [
         suspicion.fingerprint
--- a/tests/calls/test_store_budget.py
+++ b/tests/calls/test_store_budget.py
@@ -1,4 +1,4 @@
-"""How much one instance asks of the platform's store."""
+"""The load of one instance on the platform store."""
 
 import random
 
@@ -25,9 +25,9 @@
 
 
 def test_rate_is_bounded_after_the_burst():
-    """A flood of charges at one instance takes the fleet's writes.
+    """A flood of charges at one instance would use up the fleet's writes.
 
-    Every other instance would find the store refusing its claims.
+    The store would refuse the claims of every other instance.
     """
     budget = small_budget(writes=5.0)
     admitted = 0
@@ -46,9 +46,10 @@
 
 
 def test_outcomes_leave_room_for_claims():
-    """A burst of charges ends and the outcomes are all written at once.
+    """A burst of charges ends and all outcomes are written at once.
 
-    New charges would be turned away until the last outcome is kept.
+    Without a reserve, new charges would be refused until the last outcome is
+    written.
     """
     budget = small_budget()
     deferrable = store_budget.RequestKind.DEFERRABLE_WRITE
@@ -61,7 +62,8 @@
 def test_one_account_leaves_writes_to_the_others():
     """One account sends charges as fast as it can.
 
-    Another account's single charge would be turned away for it.
+    Without a bound per account, a single charge of another account would be
+    refused.
     """
     budget = small_budget()
     for tick in range(500):
@@ -77,7 +79,7 @@
 
 
 def test_open_circuit_refuses_at_once():
-    """Each claim would wait out its time against a store that is down."""
+    """Guards against claims that wait for a store that is down."""
     budget = small_budget()
     fail_until_open(budget)
     assert budget.admit(WRITE, 0.0) is store_budget.Refusal.CIRCUIT_OPEN
@@ -85,7 +87,7 @@
 
 
 def test_half_open_circuit_lets_one_probe_through():
-    """The store comes back and all waiting requests fall on it at once."""
+    """Guards against all waiting requests hitting a store that comes back."""
     budget = small_budget()
     fail_until_open(budget)
     assert budget.admit(READ, 10.0) is None
@@ -111,7 +113,7 @@
 
 
 def test_requests_under_way_are_bounded():
-    """A store that takes requests and answers none fills the memory."""
+    """Guards against memory exhaustion by a store that never answers."""
     budget = store_budget.StoreBudget(1e6, 1e6, random.Random(1), 0.0)
     admitted = sum(budget.admit(READ, 0.0) is None for _ in range(999))
     assert admitted == store_budget.MAX_IN_FLIGHT
--- a/tests/load/test_crash_records.py
+++ b/tests/load/test_crash_records.py
@@ -1,4 +1,4 @@
-"""What is known of crashes, and the verdict on the requests under them."""
+"""Crash records and the verdict on the requests that crashed engines."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 def records_of(found, now=NOW):
-    """Return records with crashes as pairs of a fingerprint and a crash."""
+    """Return records of pairs of a fingerprint and a crash."""
     records = crash_records.CrashRecords()
     for fingerprint, one in found:
         records.add_crash(fingerprint, one, now)
@@ -27,7 +27,7 @@
 
 
 def test_three_early_crashes_block_a_request():
-    """Guards against a verdict that comes too late, or too soon."""
+    """Guards against a verdict that comes too late or too early."""
     found = [(CRASHING, crash(f'e{n}', 900.0 + n)) for n in range(3)]
     assert not records_of(found[:2]).is_blocked(CRASHING, NOW)
     assert records_of(found).is_blocked(CRASHING, NOW)
@@ -35,10 +35,10 @@
 
 
 def test_late_crashes_need_a_higher_count_to_block():
-    """Guards against streams that are blocked for the crashes of others.
+    """Guards against blocking streams for crashes that others caused.
 
-    They were in the middle of their output; engines that a request does bring
-    down late are still spared in the end.
+    Such streams are in the middle of their output. A request that does crash
+    engines late is still blocked after more crashes.
     """
     late = [(CRASHING, crash(f'e{n}', 900.0 + 10 * n, 5.0)) for n in range(6)]
     assert not records_of(late[:5]).is_blocked(CRASHING, NOW)
@@ -46,9 +46,9 @@
 
 
 def test_engines_that_end_together_count_as_one_crash():
-    """Guards against a lookup blamed for the end of a data centre.
+    """Guards against blocking a lookup for the power loss of a data centre.
 
-    It was on all engines there when they lost power.
+    The lookup was running on all engines there.
     """
     dark = [(HARMLESS, crash(f'e{n}', 900.0 + n / 100)) for n in range(8)]
     records = records_of(dark)
@@ -58,9 +58,9 @@
 
 
 def test_crashes_count_only_against_the_likelier_request():
-    """Guards against the blame for engines that another request ended.
+    """Guards against blocking a request for crashes of another one.
 
-    Both were on the same three engines, and one had run for longer there.
+    Both ran on the same three engines, and one had run for longer on each.
     """
     found = []
     for n in range(3):
@@ -84,7 +84,7 @@
 
 
 def test_many_suspects_do_not_evict_a_blocked_request():
-    """Guards against a flood of suspects that makes room for a guilty one."""
+    """Guards against a flood of suspects that evicts a blocked request."""
     found = [(CRASHING, crash(f'e{n}', 900.0 + n)) for n in range(3)]
     records = records_of(found)
     for n in range(2 * crash_records.MAX_FINGERPRINTS):
@@ -94,7 +94,7 @@
 
 
 def test_expired_crashes_are_removed():
-    """Guards against memory that grows with each crash there ever was."""
+    """Guards against memory that grows with each crash."""
     found = [(f'r{n}', crash(f'e{n}', 900.0)) for n in range(20)]
     records = records_of(found)
     later = NOW + 2 * crash_records.CRASH_TTL_SECONDS
@@ -103,7 +103,7 @@
 
 
 def test_a_crash_that_is_not_kept_is_not_reported_as_new():
-    """Guards against instances that tell each other of it for ever."""
+    """Guards against instances that report it to each other for ever."""
     records = crash_records.CrashRecords()
     for n in range(crash_records.MAX_CRASHES_PER_REQUEST):
         assert records.add_crash(CRASHING, crash(f'e{n}', 900.0 + n), NOW)
@@ -125,13 +125,13 @@
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=30), st.randoms())
 def test_verdict_does_not_depend_on_order_or_repetition(found, order):
-    """Guards against instances that differ in whom they refuse.
+    """Guards against instances with different verdicts.
 
-    They hear of the same crashes in another order, and of some repeatedly.
+    They receive the same crashes in another order, and some repeatedly.
     """
     by_life = {(name, one.life): (name, one) for name, one in found}
     once = list(by_life.values())
-    # More than are remembered would leave each instance its own choice.
+    # With more crashes than are kept, instances may keep different ones.
     per_name = {}
     for name, one in once:
         per_name.setdefault(name, []).append((name, one))
@@ -146,7 +146,7 @@
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=30))
 def test_reports_contain_everything_a_verdict_needs(found):
-    """Guards against reports after which an instance knows less."""
+    """Guards against reports that omit crashes needed for a block."""
     records = records_of(found)
     receiver = crash_records.CrashRecords()
     for name in records.worst_fingerprints():
@@ -159,7 +159,7 @@
 
 @given(st.lists(st.tuples(NAMES, CRASHES), max_size=40), st.floats(900, 990))
 def test_history_invariants_hold_for_any_input(found, survived_at):
-    """Guards against histories that grow, or outlive what clears them."""
+    """Guards against histories over their bound or with cleared crashes."""
     records = crash_records.CrashRecords()
     rng = random.Random(1)
     for name, one in found:
@@ -179,8 +179,8 @@
 def test_a_delayed_report_leads_to_the_same_verdict():
     """Guards against an instance that never blocks what others block.
 
-    Each run began some milliseconds after the crash before, and the news of
-    the first crash took longer than that of all three.
+    Each run began some milliseconds after the previous crash, and the report
+    of the first crash took longer than the report of all three.
     """
     remote, local = crash_records.CrashRecords(), crash_records.CrashRecords()
     seen = [
@@ -203,9 +203,9 @@
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.tuples(NAMES, CRASHES, DELAYS), max_size=20))
 def test_the_earliest_reported_time_of_a_crash_counts(found):
-    """Guards against a verdict that depends on how long news took.
+    """Guards against a verdict that depends on the delay of reports.
 
-    Each crash is told of once without delay, before or after slower news.
+    Each crash is reported once without delay, and before that with delays.
     """
     exact_records, delayed_records = (
         crash_records.CrashRecords(),
@@ -239,9 +239,9 @@
 def test_consecutive_runs_without_a_pause_count_separately(
     lasted, clock, other
 ):
-    """Guards against a verdict that hangs on the rounding of ages.
+    """Guards against a verdict that depends on the rounding of ages.
 
-    Each run began in the moment in which the one before was lost.
+    Each run began at the moment at which the previous one was lost.
     """
     remote, local = crash_records.CrashRecords(), crash_records.CrashRecords()
     for number, seconds in enumerate(lasted):
--- a/tests/load/test_crashing_requests.py
+++ b/tests/load/test_crashing_requests.py
@@ -1,8 +1,7 @@
-"""A request that crashes each engine that runs it comes again and again.
+"""A relayed request that crashes each engine that runs it is sent repeatedly.
 
-Each crash takes along all that the engine was doing. The caller, or a job of
-its own, sends the same request again under a new id, and the balancer gives it
-to any instance.
+Each crash ends everything that the engine was doing. The caller sends the same
+request again under a new id, and the load balancer gives it to any instance.
 """
 
 import itertools
@@ -18,8 +17,8 @@
 from tests.common import crashing_fleet
 from tests.common import relay_world
 
-# What may reach engines later than the instances need to know of the third
-# crash; the operators' bound.
+# The operators' bound on how often engines get the request after the instances
+# need to know of the third crash.
 MAX_RETRIES = 3
 
 
@@ -35,7 +34,7 @@
 
 @pytest.mark.parametrize('loss', [0.1, 0.5])
 def test_all_instances_learn_of_a_crash_despite_lost_datagrams(loss):
-    """Guards against instances that never hear what the others know."""
+    """Guards against instances that never learn what the others know."""
     played = crashing_fleet.CrashingFleet(30, loss=loss)
     played.ask_again_and_again('stream', seconds=20.0, every=0.7)
     assert len(played.crashes) >= 3
@@ -45,7 +44,7 @@
 
 
 def test_a_data_centre_learns_of_blocks_after_a_network_partition():
-    """Guards against a verdict that a cut keeps from some instances."""
+    """Guards against a verdict that some instances miss in a partition."""
     played = crashing_fleet.CrashingFleet(12)
     played.cut.add('west')
     outside = [i for i in played.instances if i.own.data_centre != 'west']
@@ -61,7 +60,7 @@
 
 
 def test_a_started_instance_learns_of_blocks():
-    """Guards against a restart that gives a blocked request new engines."""
+    """Guards against a restart that sends a blocked request to engines."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
     played.store.clear()
@@ -71,7 +70,7 @@
 
 
 def test_blocks_survive_a_restart_of_all_instances():
-    """Guards against a power cut after which engines are ended anew."""
+    """Guards against a power loss after which engines are crashed again."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
     for instance in played.instances:
@@ -84,9 +83,9 @@
 
 
 def test_requests_next_to_a_crashing_one_are_served():
-    """Guards against innocent requests that are blocked with the guilty one.
+    """Guards against harmless requests blocked with the crashing one.
 
-    They are on the same engines, several of which end under each of them.
+    They run on the same engines, several of which end under each of them.
     """
     played = crashing_fleet.CrashingFleet(6, per_place=3)
     served = []
@@ -105,9 +104,9 @@
 
 
 def test_a_power_loss_of_a_data_centre_blocks_no_request():
-    """Guards against a popular lookup that is blamed for a power cut.
+    """Guards against a popular lookup blocked for a power loss.
 
-    It was on all engines there, and comes again while they are down.
+    It was running on all engines there, and is repeated while they are down.
     """
     played = crashing_fleet.CrashingFleet(6, per_place=3)
     for _ in range(4):
@@ -133,7 +132,7 @@
 
 
 def test_a_broken_connection_is_not_a_crash():
-    """Guards against resets that have a request blocked."""
+    """Guards against connection resets that block a request."""
     world = lone_world()
     for _ in range(6):
         exchange = world.ask(body=b'x')
@@ -170,7 +169,7 @@
 
 
 def crash_under(world, send):
-    """Have the engine of a send crash just after it has begun."""
+    """Crash the engine of a send just after it has begun."""
     world.now += 0.1
     world.begin(send)
     world.now += 0.03
@@ -182,7 +181,7 @@
 
 
 def test_a_blocked_request_is_refused_at_once_with_retry_after():
-    """Guards against callers who wait, or ask again, for nothing."""
+    """Guards against callers that wait or retry in vain."""
     world = lone_world()
     exchange = world.ask(body=b'x')
     for _ in range(3):
@@ -199,7 +198,7 @@
 
 
 def test_other_sends_of_a_blocked_request_are_abandoned():
-    """Guards against the engines that are just reading its prompt."""
+    """Guards against crashes of engines that still read its prompt."""
     world = lone_world()
     reading = world.ask(body=b'x')
     other = world.ask(body=b'y')
@@ -213,7 +212,7 @@
 
 
 def test_a_possible_third_crash_is_checked_before_a_fourth_send():
-    """Guards against a fourth engine that ends while the third is asked."""
+    """Guards against a fourth crash while the third engine is checked."""
     world = lone_world()
     exchange = world.ask(body=b'x')
     for _ in range(2):
@@ -247,10 +246,10 @@
 
 
 def test_an_unanswered_engine_check_is_repeated():
-    """Guards against crashes that a lost question leaves uncounted.
+    """Guards against crashes that are not counted as a check was lost.
 
-    A process that is ending may reset several questions in a row, so there is
-    a pause between them.
+    A process that is ending may reset several checks in a row, so there is a
+    pause between them.
     """
     world = lone_world()
     send = world.last_send(world.ask(body=b'x'))
@@ -271,10 +270,11 @@
 
 
 def test_heartbeats_of_instances_started_together_spread_out():
-    """Guards against repairs that wait for all heartbeats at once.
+    """Guards against repairs that wait for a burst of all heartbeats.
 
-    Two hundred instances beat every five seconds each. Where all do so in
-    the same moment, an instance that a datagram missed waits that long.
+    Two hundred instances send a heartbeat every five seconds each. If all did
+    so at the same moment, an instance that missed a datagram would wait that
+    long.
     """
     rng = random.Random(1)
     found = fleet.FleetView(loads.RunLoads(), 'own')
@@ -288,7 +288,7 @@
 
 
 def test_two_hundred_instances_learn_of_the_third_crash_in_time():
-    """Guards against a fleet in which news takes longer than it may."""
+    """Guards against a fleet in which reports take longer than allowed."""
     large = crashing_fleet.CrashingFleet(200, per_place=10, loss=0.05)
     large.ask_again_and_again('query', seconds=4.0, every=1.0)
     assert len(large.crashes) == 3
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -1,7 +1,7 @@
-"""Requests that crash engines, by the product's own interface.
+"""Requests that crash engines, through the product's own API.
 
-Each comes again under a new id, with a key of its own or none, after it has
-brought down what ran it.
+Each is sent again under a new id, with a key of its own or none, after it has
+crashed what ran it.
 """
 
 import collections
@@ -23,13 +23,13 @@
 from tests.common import members
 
 PROMPT = 'what crashes engines'
-# How many engines one request may bring down.
+# How many engines one request may crash.
 MAX_ENGINES = 3
 ROUNDS = 8
 
 
 def crash_busy_engines(world):
-    """Bring down the engines that run something; return how many."""
+    """Crash the engines that run something; return how many."""
     world.deliver_all()
     engines = [
         engine
@@ -46,7 +46,7 @@
 
 
 def ask(world, service):
-    """Have a new caller ask for what crashes engines."""
+    """Let a new caller send the request that crashes engines."""
     number = next(world.numbers)
     request = identity.RequestId('teratak', f'r{number}')
     caller = generations.Caller(request, service, PROMPT)
@@ -83,12 +83,12 @@
 
 
 def report(world, home, name, life):
-    """Have an instance hear of an upstream's present life."""
+    """Deliver the report of an upstream's present life to an instance."""
     world.deliver(home, upstream_report(name, life))
 
 
 def crash_call(world, exchange, lives):
-    """Bring down the upstream that runs a call, if one does."""
+    """Crash the upstream that runs a call, if one does."""
     running = [d for d in world.dispatches if d.exchange is exchange]
     for dispatch in running:
         world.dispatches.remove(dispatch)
@@ -104,7 +104,7 @@
 
 
 def crashed_by_calls(service, has_key):
-    """Return how many upstreams a call ends, and its last answer."""
+    """Return how many upstreams a call crashes, and its last answer."""
     world = call_world.World(instances=1)
     [home] = world.instances
     lives = collections.Counter()
@@ -125,7 +125,7 @@
 
 
 def test_a_call_is_recognized_under_another_id():
-    """Guards against an idempotent call that ends one upstream a try."""
+    """Guards against an idempotent call that ends an upstream per attempt."""
     crashed, answer = crashed_by_calls(call_world.LOOKUP, has_key=False)
     assert crashed <= MAX_ENGINES
     assert isinstance(answer, actions.SendFailure)
@@ -140,10 +140,10 @@
 
 
 def test_a_reset_probe_is_repeated():
-    """Guards against a crash that is never found.
+    """Guards against a crash that is never detected.
 
-    A process that is ending may still take the connection with the question,
-    and reset it.
+    A process that is ending may still accept the connection of the probe and
+    reset it.
     """
     world = call_world.World(instances=1)
     [home] = world.instances
@@ -162,7 +162,7 @@
 
 
 def test_probes_of_an_unreachable_upstream_are_bounded():
-    """Guards against questions without end to an upstream that is cut off."""
+    """Guards against endless probes of an upstream that is cut off."""
     world = call_world.World(instances=1)
     [home] = world.instances
     world.submit(home, call_world.LOOKUP, has_key=False)
@@ -177,9 +177,9 @@
 
 
 def test_suspected_crashes_count_together():
-    """Guards against a fourth engine while three are still being asked.
+    """Guards against a fourth engine while three are still being probed.
 
-    The answers of engines that end may take longer than the next tries.
+    The answers of ending engines may take longer than the next attempts.
     """
     guard = crash_guard.CrashGuard()
     request = requests.CallRequest(
@@ -197,7 +197,7 @@
 
 
 def test_repeated_broken_connections_to_one_upstream_count_once():
-    """Guards against blame for connections that break one after another."""
+    """Guards against blocking for connections that break in sequence."""
     guard = crash_guard.CrashGuard()
     request = requests.CallRequest(
         1, identity.RequestId('teratak', 'r'), 'lookup', 'look', b'', 99.0
@@ -210,7 +210,7 @@
 
 
 def test_other_prompts_are_served_while_one_is_blocked():
-    """Guards against an account that is refused for one of its requests."""
+    """Guards against an account refused for one of its requests."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(3):
@@ -228,7 +228,7 @@
 
 
 def test_a_broken_connection_is_not_a_crash():
-    """Guards against prompts that are blamed for connections."""
+    """Guards against prompts blocked for broken connections."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(6):
@@ -248,7 +248,7 @@
 
 
 def test_a_completed_generation_is_no_suspect():
-    """Guards against prompts that were on engines which others crashed."""
+    """Guards against blocking prompts on engines that others crashed."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(4):
@@ -285,14 +285,14 @@
 
 
 def find_suspect(network, number):
-    """Have an instance find a suspect."""
+    """Let an instance find a suspect."""
     member = network.members[members.peer(number).address]
     own = dataclasses.replace(member.own_state, suspects=(SUSPECT,))
     network.deliver(member, member.update_own_state(own, network.now))
 
 
 def heard_of(network, who):
-    """Return the last report that an instance got, if it got one."""
+    """Return the last report that an instance received, or None."""
     found = [
         report
         for event in network.reports[who.incarnation]
@@ -303,7 +303,7 @@
 
 
 def test_other_instances_are_told_of_a_crash_at_once():
-    """Guards against instances that count only what they see themselves."""
+    """Guards against instances that count only crashes they see."""
     network = joined_network(3)
     find_suspect(network, 0)
     for number in (1, 2):
@@ -313,7 +313,7 @@
 
 
 def test_a_started_instance_is_told_of_earlier_crashes():
-    """Guards against a restart that gives a blocked request engines."""
+    """Guards against a restart that sends a blocked request to engines."""
     network = joined_network(3)
     find_suspect(network, 0)
     network.run(120)
@@ -324,7 +324,7 @@
 
 
 def test_an_instance_is_told_of_crashes_after_a_partition():
-    """Guards against a verdict that a cut keeps from some instances."""
+    """Guards against a verdict that some instances miss in a partition."""
     network = joined_network(3)
     pairs = [
         {members.peer(2).address, members.peer(n).address} for n in (0, 1)
@@ -339,7 +339,7 @@
 
 
 def test_crash_reports_per_heartbeat_are_bounded():
-    """Guards against heartbeats that a crash under many requests swells."""
+    """Guards against oversized heartbeats after a crash of many requests."""
     many = [
         dataclasses.replace(SUSPECT, fingerprint=f'f{n}') for n in range(500)
     ]
--- a/tests/load/test_fair_queue.py
+++ b/tests/load/test_fair_queue.py
@@ -59,7 +59,10 @@
     strategies.integers(1, 4),
 )
 def test_backlogged_accounts_get_service_by_weight(costs, weight):
-    """Two accounts always have work; neither gets ahead by a whole turn."""
+    """Two accounts always have waiting requests.
+
+    Their service by weight never differs by more than one request.
+    """
     queue = fair_queue.FairQueue()
     weights = {'light': 1, 'heavy': weight}
     for exchange, cost in enumerate(costs):
--- a/tests/load/test_fair_start.py
+++ b/tests/load/test_fair_start.py
@@ -1,4 +1,4 @@
-"""Which waiting request starts next, and which one never waits."""
+"""Which waiting request starts next, and which ones are refused."""
 
 import dataclasses
 
@@ -9,10 +9,10 @@
 
 
 def test_account_at_its_limit_blocks_no_other_account():
-    """One account has as many requests running as it may.
+    """An account has reached its limit of running requests.
 
-    Its next request is at the head of the queue. Were the head waited for,
-    all other accounts would see free engines and get no answer.
+    Its next request is at the head of the queue. If the queue waited for it,
+    all other accounts would get no answer while engines are free.
     """
     node = loaded_node.new_node(
         [
@@ -33,8 +33,8 @@
 def test_waiting_request_is_told_not_run_at_its_deadline():
     """All engines are busy until after the caller's deadline.
 
-    Without a timer the caller would hear nothing for as long as the engines
-    stay busy, and would not know that its request never ran.
+    Without a timer the caller would get no answer while the engines stay busy,
+    and would not know that its request never ran.
     """
     node = loaded_node.new_node([loaded_node.account('a')])
     node.handle(loaded_node.draft(1, 'a'), 1.0)
@@ -51,8 +51,8 @@
 def test_short_call_starts_while_long_work_fills_the_queue():
     """An account submits more long work than the engines can run.
 
-    A short call behind the same engine would wait for minutes, were there
-    no place that long work can't take.
+    Without places that long work cannot take, a short call on the same engine
+    would wait for minutes.
     """
     node = loaded_node.new_node([loaded_node.account('a')], slots=4)
     for exchange in range(10):
@@ -64,8 +64,8 @@
 def test_stream_without_engine_goes_before_new_long_work():
     """The engine of a stream dies while every other place is taken.
 
-    The next place that comes free has to go to the broken stream. New work
-    in its place would have the stream given up on after some seconds.
+    The next free place has to go to the broken stream. If new work took it,
+    the stream would fail after some seconds.
     """
     node = loaded_node.new_node([loaded_node.account('a')], engines=2)
     node.handle(loaded_node.draft(1, 'a'), 1.0)
@@ -82,8 +82,8 @@
 def test_arriving_tokens_trigger_no_upstream_selection(monkeypatch):
     """Requests of many accounts wait while streams run.
 
-    Looking for a place on each batch of tokens would take the processor
-    away from relaying them.
+    Selecting upstreams on each batch of tokens would take processor time away
+    from relaying the tokens.
     """
     node = loaded_node.new_node([loaded_node.account('a')])
     for exchange in (1, 2):
@@ -95,10 +95,10 @@
 
 
 def test_retry_after_grows_with_the_queue():
-    """A flood fills the queues, and what can't be done in time is refused.
+    """A flood fills the queues, and late requests are refused on arrival.
 
-    A constant time to come back would have all refused callers return at
-    the same moment, to be refused again.
+    With a constant Retry-After all refused callers would return at the same
+    time and be refused again.
     """
     node = loaded_node.new_node([loaded_node.account('a')])
     node.handle(loaded_node.draft(1, 'a', tokens=100), 0.0)
@@ -117,10 +117,10 @@
 
 
 def test_request_is_not_kept_waiting_longer_than_its_service_allows():
-    """All engines are busy, and staff wait for a draft with a guest.
+    """All engines are busy, and a service bounds the wait for a start.
 
-    A caller with a late deadline would be kept waiting for its first token
-    until then. It is told that nothing ran as soon as the wait is too long.
+    Without the bound, a caller with a late deadline would wait for its first
+    token until then. It gets "not run" as soon as the bound is reached.
     """
     node = loaded_node.new_node([loaded_node.account('a')])
     offered = node.configuration
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -1,4 +1,4 @@
-"""Parts of a limit that instances lend each other, however late they hear."""
+"""Parts of a limit that instances lend each other over unreliable links."""
 
 import random
 
@@ -62,7 +62,7 @@
 
     @stateful.rule(borrower=names)
     def return_all(self, borrower):
-        """Hand the parts over: use them no more, then tell the lenders."""
+        """Hand over the parts: stop using them, then tell the lenders."""
         mine = self.borrowed[borrower]
         lenders = list(mine.parts)
         self.borrowed[borrower] = leases.BorrowedParts(self.now)
@@ -88,7 +88,7 @@
 
     @stateful.invariant()
     def total_share_is_within_the_limit(self):
-        """Guards against a sum of parts that is over the limit."""
+        """Guards against parts whose sum exceeds the limit."""
         totals = [b.total_share(self.now) for b in self.borrowed.values()]
         assert sum(totals) <= 1.0 + 1e-9
 
@@ -100,7 +100,7 @@
 
 
 def test_a_new_instance_has_no_part_before_others_count_it():
-    """Guards against a sum over the limit as the fleet grows."""
+    """Guards against parts whose sum exceeds the limit as the fleet grows."""
     newcomer = leases.OwnParts()
     newcomer.resize(9, 0.0, 100.0)
     assert newcomer.share(100.0 + leases.JOIN_SECONDS - 0.01) == 0.0
@@ -111,7 +111,7 @@
 
 
 def test_the_part_of_a_stopped_instance_is_shared_after_its_lease_ends():
-    """Guards against a part that others take while it is still lent."""
+    """Guards against taking over a part that is still lent."""
     own = leases.OwnParts()
     own.resize(8, 0.0, 100.0)
     own.resize(7, 0.0, 110.0)
@@ -120,7 +120,7 @@
 
 
 def test_time_during_which_a_part_was_lent_is_not_credited_again():
-    """Guards against a time that two borrowers are credited with."""
+    """Guards against crediting two borrowers with the same time."""
     own = leases.OwnParts()
     own.resize(4, 0.0, 100.0)
     own.resize(4, 0.0, 104.0)
--- a/tests/load/test_limit_table.py
+++ b/tests/load/test_limit_table.py
@@ -1,4 +1,4 @@
-"""Which value of an engine's limit counts, in whatever order it is heard."""
+"""Which value of an engine's limit wins, whatever the order of messages."""
 
 import itertools
 
@@ -33,7 +33,7 @@
 
 
 def test_an_answer_to_an_earlier_request_changes_nothing():
-    """Guards against a limit that a late answer lifts or falls back."""
+    """Guards against a late answer that lifts or reverts a limit."""
     table = limit_table.LimitTable()
     table.update_from_answer(LIFE, 2.0, 99.0, 100.0)
     assert table.update_from_answer(LIFE, None, 99.5, 100.5) is None
@@ -57,7 +57,7 @@
 
 
 def test_number_of_kept_lives_is_bounded():
-    """Guards against memory that engines use up by what they name."""
+    """Guards against engines that exhaust memory with reported limits."""
     table = limit_table.LimitTable()
     for number in range(10_000):
         table.update_from_answer(
@@ -68,7 +68,7 @@
 
 
 def test_a_lifted_limit_is_eventually_removed():
-    """Guards against memory of limits that are long over."""
+    """Guards against memory use by limits lifted long ago."""
     table = limit_table.LimitTable()
     table.update_from_answer(LIFE, 2.0, 99.0, 100.0)
     table.update_from_answer(LIFE, None, 100.5, 101.0)
@@ -78,7 +78,7 @@
 
 
 def test_digests_differ_if_limits_differ():
-    """Guards against differences that heartbeats don't show."""
+    """Guards against differences that heartbeats do not show."""
     one, other = limit_table.LimitTable(), limit_table.LimitTable()
     assert one.digest() == other.digest()
     one.update_from_answer(LIFE, 2.0, 99.0, 100.0)
--- a/tests/load/test_limited_engines.py
+++ b/tests/load/test_limited_engines.py
@@ -1,4 +1,4 @@
-"""An engine names how many requests a second it takes from all instances."""
+"""Engines that limit their requests a second over all instances."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 @pytest.mark.parametrize('size', [3, 30])
 @pytest.mark.parametrize('kind', ['call', 'query', 'stream'])
 def test_the_sum_over_all_instances_stays_within_an_engine_limit(size, kind):
-    """Guards against a limit that each instance keeps, or none does.
+    """Guards against a limit applied per instance, or not at all.
 
     All engines of the service have one, and callers ask for three times as
     much as they allow.
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize('kind', ['call', 'query'])
 def test_requests_above_an_engine_limit_go_to_other_engines(kind):
-    """Guards against an engine in need that gets its part as before."""
+    """Guards against a limited engine that gets the same load as before."""
     played = limited_fleet.LimitedFleet(8, per_place=1)
     [first, *others] = played.engines_of(kind)
     played.limit(2.0, first)
--- a/tests/load/test_limited_upstreams.py
+++ b/tests/load/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that name a limit, by the product's own interface."""
+"""Upstreams with a limit, through the product's own API."""
 
 import collections
 
@@ -19,7 +19,7 @@
 def test_the_sum_over_all_instances_stays_within_an_upstream_limit(
     size, service
 ):
-    """Guards against a limit that each instance keeps, or none does."""
+    """Guards against a limit applied per instance, or not at all."""
     played = limited_nodes.LimitedNodes(size)
     names = played.upstreams_of(service)
     played.limit(RATE, *names)
@@ -60,7 +60,7 @@
     'service', [limited_nodes.DRAFT, limited_nodes.CHARGE]
 )
 def test_one_instance_with_all_callers_can_use_the_whole_limit(service):
-    """Guards against parts that lie where nobody asks."""
+    """Guards against parts left unused at instances without callers."""
     played = limited_nodes.LimitedNodes(12)
     names = played.upstreams_of(service)
     played.limit(RATE, *names)
@@ -74,9 +74,9 @@
 
 
 def test_a_retried_call_waits_for_a_permit():
-    """Guards against calls that fail as their second upstream has a limit.
+    """Guards against calls that fail because their second upstream is limited.
 
-    No permit is in stock at the moment in which the first try breaks off.
+    No permit is in stock at the moment at which the first attempt breaks off.
     """
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
@@ -96,10 +96,10 @@
 
 
 def test_resumed_and_retried_requests_wait_under_their_own_account():
-    """Guards against the turns of an account that others use up.
+    """Guards against accounting requests to the wrong account.
 
     A stream and a call lose their upstreams just after another account has
-    asked.
+    sent a request. Without the right account, others could use up its turns.
     """
     played = limited_nodes.LimitedNodes(1)
     [instance] = played.instances
@@ -127,7 +127,7 @@
 
 
 def test_a_lifted_limit_no_longer_applies():
-    """Guards against an upstream that is spared for ever."""
+    """Guards against an upstream that stays limited for ever."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
@@ -140,7 +140,7 @@
 
 
 def test_a_later_life_starts_without_a_limit():
-    """Guards against a limit that outlives the upstream that named it."""
+    """Guards against a limit that outlives the upstream that reported it."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
@@ -155,7 +155,7 @@
 
 
 def test_requests_above_the_limit_are_refused_with_retry_after():
-    """Guards against callers who wait until their deadline for nothing."""
+    """Guards against callers that wait in vain until their deadline."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
--- a/tests/load/test_limits.py
+++ b/tests/load/test_limits.py
@@ -27,8 +27,8 @@
 def test_smaller_fleet_lets_waiting_requests_start():
     """Half of the instances are replaced.
 
-    The rest must take up their part of the account's limit, or the account
-    gets less than it is promised although engines are free.
+    The others must take over their part of the account's limit. Otherwise the
+    account gets less than its limit while engines are free.
     """
     node = loaded_node.new_node(
         [loaded_node.account('a', most_running=4)], slots=8
@@ -44,8 +44,8 @@
 def test_account_over_its_rate_is_refused_and_others_are_not():
     """One account sends far more than its rate.
 
-    It is told at once that its request did not run and when to come back;
-    the other account notices nothing.
+    It is told at once that its request did not run and when to come back; the
+    other account is not affected.
     """
     node = loaded_node.new_node(
         [
@@ -88,10 +88,10 @@
 
 
 def test_repeated_resumes_use_up_the_account_budget():
-    """A broken client drops its stream and comes back at once, for ever.
+    """A broken client drops its stream and resumes at once, in a loop.
 
-    Each return costs an engine the prompt again. After its budget the
-    account is told to wait, so that others keep the engines.
+    Each resume costs an engine the prompt again. Beyond its budget the account
+    is refused, so that others keep the engines.
     """
     node = loaded_node.new_node(
         [loaded_node.account('a', resume_budget=3)], slots=64
--- a/tests/load/test_limits_under_faults.py
+++ b/tests/load/test_limits_under_faults.py
@@ -1,4 +1,4 @@
-"""Limits of engines while instances fail, are cut off, and limits change."""
+"""Limits of engines while instances fail, networks split and limits change."""
 
 import pytest
 
@@ -16,7 +16,7 @@
 
 
 def loaded_fleet(size=9, rate=RATE, loss=0.0):
-    """Return a fleet that has kept to a limit of all its engines."""
+    """Return a fleet that has kept a limit of all its engines under load."""
     played = limited_fleet.LimitedFleet(size, per_place=1, loss=loss)
     names = played.engines_of(KIND)
     played.limit(rate, *names)
@@ -25,7 +25,7 @@
 
 
 def continue_load(played, names, seconds=SECONDS, rate=RATE, instances=None):
-    """Go on asking; return which part of the limits was used."""
+    """Continue the load; return the used share of the limits."""
     since = played.now
     asked = PRESSURE * rate * len(names)
     played.press(KIND, asked, seconds, instances)
@@ -40,14 +40,14 @@
 
 @pytest.mark.parametrize('size', [3, 30])
 def test_limit_holds_while_a_third_of_datagrams_is_lost(size):
-    """Guards against a limit that is overstepped or wasted by losses."""
+    """Guards against losses that cause excess or unused permits."""
     played, names = loaded_fleet(size, loss=0.33)
     assert continue_load(played, names) > 0.85
     check_limit_held(played, names)
 
 
 def test_one_instance_reports_a_silent_issuer_to_all():
-    """Guards against a cut that each instance finds out by a lost request."""
+    """Guards against each instance finding a partition by a failed request."""
     played, names = loaded_fleet(45)
     played.cut.add('west')
     played.press(KIND, 9.0, 3.0, instances=(0, 1))
@@ -72,7 +72,7 @@
 
 
 def test_an_engine_missing_for_a_moment_keeps_its_limit():
-    """Guards against a limit that an outage of the store takes off."""
+    """Guards against a limit that is lost in an outage of the store."""
     played, names = loaded_fleet(9)
     for instance in played.instances:
         instance.handle(relay_events.StoreLost('away'))
@@ -91,7 +91,7 @@
 
 
 def test_limit_is_used_with_all_callers_at_one_instance():
-    """Guards against parts that lie where nobody asks."""
+    """Guards against parts left unused at instances without callers."""
     played, names = loaded_fleet(30)
     assert continue_load(played, names, instances=[7]) > 0.9
     check_limit_held(played, names)
@@ -99,7 +99,7 @@
 
 @pytest.mark.parametrize('size', [3, 30])
 def test_limit_holds_while_a_data_centre_is_cut_off(size):
-    """Guards against two sides of a cut that each use the whole limit."""
+    """Guards against two sides of a partition that each use the limit."""
     played, names = loaded_fleet(size)
     played.cut.add('west')
     assert continue_load(played, names) > 0.8
@@ -110,7 +110,7 @@
 
 
 def test_limit_holds_while_all_instances_are_isolated():
-    """Guards against many instances that all use what they have saved up."""
+    """Guards against many instances that all use their saved permits."""
     played, names = loaded_fleet(30)
     played.loss = 1.0
     played.run(60.0)
@@ -119,7 +119,7 @@
 
 
 def test_limit_holds_while_all_instances_restart_in_turn():
-    """Guards against parts that are handed out twice as instances change."""
+    """Guards against parts that are lent twice as instances change."""
     played, names = loaded_fleet(8)
     for number in range(8):
         played.after(1.0 + 3.0 * number, played.restart, number)
@@ -128,18 +128,18 @@
 
 
 def test_an_issuer_that_dies_is_replaced():
-    """Guards against a limit that nobody may use any more."""
+    """Guards against a limit that no instance may use any more."""
     played, names = loaded_fleet(9)
     for number in range(0, 9, 2):
         played.instances[number].alive = False
     continue_load(played, names, leases.LEASE_SECONDS + 3.0)
-    # Four of nine are left, and keep no more than their own parts.
+    # Four of nine instances are left, each with only its own part.
     assert continue_load(played, names) > 0.9 * 4 / 9
     check_limit_held(played, names)
 
 
 def test_limit_holds_after_instances_were_frozen():
-    """Guards against instances that use what they were granted long ago."""
+    """Guards against instances that use permits granted long ago."""
     played, names = loaded_fleet(9)
     for number in (0, 3, 5):
         played.instances[number].alive = False
@@ -152,7 +152,7 @@
 
 
 def test_a_lowered_limit_applies_to_all_instances():
-    """Guards against instances that go on by a limit of before."""
+    """Guards against instances that keep using the previous limit."""
     played, names = loaded_fleet(30, rate=20.0)
     played.limit(10.0, *names)
     assert continue_load(played, names, rate=10.0) > 0.9
@@ -160,7 +160,7 @@
 
 
 def test_a_lifted_limit_applies_to_no_instance():
-    """Guards against an engine that is spared for ever."""
+    """Guards against an engine that stays limited for ever."""
     played, names = loaded_fleet(9)
     played.limit(None, *names)
     played.press(KIND, 30.0, 5.0)
@@ -173,7 +173,7 @@
 
 
 def test_a_later_life_of_an_engine_starts_without_a_limit():
-    """Guards against a limit that outlives the engine that named it."""
+    """Guards against a limit that outlives the engine that reported it."""
     played, names = loaded_fleet(9)
     played.limit(None, *names)
     for name in names:
@@ -188,7 +188,7 @@
 
 
 def test_a_limit_of_zero_stops_requests_for_a_while():
-    """Guards against a limit of zero that is taken for none, or for ever."""
+    """Guards against a limit of zero read as no limit, or kept for ever."""
     played = limited_fleet.LimitedFleet(9, per_place=1)
     names = played.engines_of(KIND)
     played.limit(0.0, *names)
@@ -206,7 +206,10 @@
 
 
 def test_requests_above_the_limit_are_refused_at_once_with_retry_after():
-    """Guards against callers who wait for nothing, or return all at once."""
+    """Guards against callers that wait in vain.
+
+    Their Retry-After times differ, so that they do not return all at once.
+    """
     played, names = loaded_fleet(9)
     asked_at = {}
     refused = {}
@@ -220,7 +223,7 @@
             if isinstance(answer, relay_actions.Refuse):
                 refused.setdefault(other, (played.now - at, answer))
     assert len(refused) > 100
-    # Half of the goal of these calls, and a step of this test.
+    # Half of the latency goal of these calls, and one step of this test.
     assert max(held for held, _ in refused.values()) <= 0.13
     waits = {round(a.retry_after, 3) for _, a in refused.values()}
     assert len(waits) > 50
@@ -228,7 +231,7 @@
 
 
 def test_no_message_is_sent_while_no_engine_has_a_limit():
-    """Guards against a cost of limits where there are none."""
+    """Guards against message costs for engines without a limit."""
     played = limited_fleet.LimitedFleet(9, per_place=1)
     played.run(10.0)
     idle = played.datagrams
--- a/tests/load/test_permits.py
+++ b/tests/load/test_permits.py
@@ -11,7 +11,7 @@
 
 
 def issuer(rate=2.0, share=1.0, seconds=1e6):
-    """Return an issuer that has a part of a limit for long."""
+    """Return an issuer with a long lease of a part."""
     permit_issuer = permits.PermitIssuer(rate, 100.0)
     lease = limits.Leased(LIFE, share, 0.0, 100.0)
     permit_issuer.add_lease('i0', lease, 100.0 + seconds, 100.0)
@@ -39,7 +39,7 @@
     ),
 )
 def test_no_more_permits_than_accrued(rate, steps):
-    """Guards against a limit that is overstepped in some 4 s."""
+    """Guards against exceeding the limit in any window of 4 s."""
     permit_issuer = issuer(rate)
     now, number, times = 100.0, 0, []
     for seconds, count in steps:
@@ -55,7 +55,7 @@
 
 
 def test_small_parts_are_not_saved_up():
-    """Guards against many that are cut off and spend at the same moment."""
+    """Guards against many isolated instances that grant at the same moment."""
     at_once = 0
     for number in range(200):
         permit_issuer = permits.PermitIssuer(2.0, 100.0, number / 200)
@@ -92,7 +92,7 @@
 
 
 def test_a_request_that_would_wait_too_long_is_denied_at_once():
-    """Guards against requests that are held until their time is over."""
+    """Guards against requests that are held until their deadline."""
     permit_issuer = issuer()
     for number in range(1, 4):
         ask(permit_issuer, number, 100.0, wait=1.6)
@@ -104,7 +104,7 @@
 
 
 def test_a_repeated_request_gets_one_permit():
-    """Guards against permits that lost datagrams double."""
+    """Guards against lost datagrams that double the permits."""
     permit_issuer = issuer()
     ask(permit_issuer, 1, 100.0)
     permit_issuer.take_answers(100.0)
@@ -115,7 +115,7 @@
 
 
 def test_a_returned_permit_goes_to_the_next_request():
-    """Guards against a rate that is lost with callers who leave."""
+    """Guards against permits that are lost with callers that leave."""
     permit_issuer = issuer()
     ask(permit_issuer, 1, 100.0)
     ask(permit_issuer, 2, 100.0)
@@ -126,7 +126,7 @@
 
 
 def test_expired_parts_leave_no_saved_permits():
-    """Guards against an issuer that froze and spends what it had saved."""
+    """Guards against a frozen issuer that grants what it had saved."""
     permit_issuer = issuer(seconds=3.0)
     permit_issuer.take_answers(102.9)
     ask(permit_issuer, 1, 110.0)
--- a/tests/load/test_permits_in_time.py
+++ b/tests/load/test_permits_in_time.py
@@ -1,4 +1,4 @@
-"""Permits that come too late, or twice, to the instance that wants them."""
+"""Permits that arrive late or twice, and issuers that do not answer."""
 
 from greengagelb.coordination.sharing import issuer_ranking
 from greengagelb.coordination.sharing import limit_keeper
@@ -9,7 +9,7 @@
 
 
 def keeper_with_request():
-    """Return an instance that has asked another one for a permit."""
+    """Return an instance that has requested a permit from another one."""
     keeper = limit_keeper.LimitKeeper('own')
     keeper.ranking.members = lambda life: (OTHER,)
     keeper.ranking.has_part = lambda life: False
@@ -26,7 +26,7 @@
 
 
 def test_a_permit_that_is_granted_twice_is_used_once():
-    """Guards against a limit that is doubled by questions asked again."""
+    """Guards against a limit that is doubled by repeated requests."""
     keeper, number = keeper_with_request()
     for _ in range(3):
         keeper.handle_message(OTHER, answer(number), 100.1)
@@ -35,7 +35,7 @@
 
 
 def test_a_permit_read_after_a_freeze_is_returned():
-    """Guards against a process that wakes up and spends old permits."""
+    """Guards against a resumed process that uses old permits."""
     keeper, number = keeper_with_request()
     keeper.handle_message(OTHER, answer(number), 105.0)
     [outcome] = keeper.outcomes
@@ -45,7 +45,7 @@
 
 
 def test_an_issuer_that_never_answers_is_skipped():
-    """Guards against callers who all wait for an instance that is dead."""
+    """Guards against callers that all wait for a dead instance."""
     keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
     now = 100.0
@@ -62,7 +62,7 @@
 
 
 def skip_other(keeper):
-    """Have an instance find another one silent; return the time."""
+    """Let an instance find another one silent; return the time."""
     now = 100.0
     while not keeper.ranking.is_skipped(OTHER, now):
         now += 0.01
@@ -87,9 +87,10 @@
 
 
 def test_a_silent_issuer_is_reported_once_and_probed_rarely():
-    """Guards against instances that each find out by a request that fails.
+    """Guards against each instance finding out by a failed request.
 
-    In a large fleet heartbeats are rare, and each of them asks seldom.
+    In a large fleet heartbeats are rare, and each instance asks an issuer
+    rarely.
     """
     keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
@@ -104,7 +105,7 @@
 
 
 def test_a_reported_silent_issuer_is_probed_before_it_is_skipped():
-    """Guards against one bad link that has all turn away from an issuer."""
+    """Guards against one bad link that makes all instances skip an issuer."""
     keeper, _ = keeper_with_request()
     keeper.ranking.has_part = lambda life: True
     keeper.handle_message('third', limits.IssuerSilent(OTHER), 100.01)
@@ -121,7 +122,7 @@
 
 
 def test_an_instance_reported_as_silent_answers():
-    """Guards against an issuer that nobody asks although it works."""
+    """Guards against a working issuer that no instance uses."""
     keeper = limit_keeper.LimitKeeper('own')
     keeper.handle_message(OTHER, limits.IssuerSilent('own'), 100.0)
     [answered] = keeper.outgoing
@@ -129,9 +130,10 @@
 
 
 def test_next_ranked_issuers_are_probed_as_well():
-    """Guards against requests that are lost to one dead issuer each.
+    """Guards against one failed request for each unreachable issuer.
 
-    A data centre that is cut off takes several of the first with it.
+    A data centre that is cut off removes several of the highest ranked
+    issuers.
     """
     keeper = limit_keeper.LimitKeeper('own')
     others = [f'other {number}' for number in range(6)]
@@ -150,7 +152,7 @@
 
 
 def test_a_permit_for_a_request_that_is_gone_is_returned():
-    """Guards against a rate that is lost with callers who leave."""
+    """Guards against permits that are lost with callers that leave."""
     keeper, number = keeper_with_request()
     keeper.handle_message(OTHER, answer(number), 100.1)
     [granted] = keeper.outcomes
@@ -160,7 +162,7 @@
 
 
 def test_a_lease_that_arrives_after_its_part_was_returned_is_ignored():
-    """Guards against an issuer that begins again with parts of before."""
+    """Guards against an issuer that starts again with returned parts."""
     keeper, _ = keeper_with_request()
     wanted = limits.PermitWanted(LIFE, 1, 'one', False, 5.0, 2.0, 1)
     keeper.handle_message(OTHER, wanted, 101.0)
