--- a/src/greengagelb/coordination/sharing/arrivals.py
+++ b/src/greengagelb/coordination/sharing/arrivals.py
@@ -1,7 +1,6 @@
-"""What a request needs and whether it can be taken at all.
+"""Checks of arriving requests that need only the request and configuration.
 
-These are questions about the request and the configuration alone; what waits
-and runs at the moment is the business of the node.
+The node combines them with the state of queues and running requests.
 """
 
 import dataclasses
@@ -23,14 +22,14 @@
 )
 
 
-def service_of(
+def resolve_service(
     configuration: configuration_state.Configuration,
     request: requests.GenerationRequest | requests.CallRequest,
 ) -> configuration_state.Service | None:
-    """Return the service of a request, at the priority asked for.
+    """Return the service of a request, with the priority asked for.
 
-    A caller may lower the priority that its service has. Were it able to
-    raise it, every account's work would soon be the most urgent.
+    A caller may only lower the priority of its service. If it could raise it,
+    all accounts would soon use the highest priority.
     """
     service = configuration.find_service(request.service)
     if service is None or request.priority <= service.priority:
@@ -38,14 +37,14 @@
     return dataclasses.replace(service, priority=request.priority)
 
 
-def ticket_of(
+def build_ticket(
     event: Arrival,
     service: configuration_state.Service,
     now: float,
 ) -> fair_queue.Ticket:
-    """Return the ticket with which a request waits.
+    """Return the queue ticket of a request.
 
-    A caller who comes back to its stream goes before new long work.
+    A caller that resumes its stream goes before new long work.
     """
     priority = service.priority
     if isinstance(event, events.GenerationResumed):
@@ -55,51 +54,53 @@
         event.request.request.account,
         service.pool,
         priority,
-        cost_of(event),
+        estimate_cost(event),
         event.request.deadline,
         now + service.most_wait if service.most_wait else float('inf'),
     )
 
 
-def refusal_of(
+def find_refusal(
     event: Arrival,
     account: configuration_state.ClientAccount | None,
     service: configuration_state.Service | None,
 ) -> requests.Failure | None:
-    """Return why a request can't be taken, or None."""
+    """Return why a request is invalid, or None."""
     if account is None:
-        return not_run('unknown-account', 'no such client account', None)
+        return not_run_failure(
+            'unknown-account', 'no such client account', None
+        )
     if service is None or service.name not in account.services:
-        return not_run('unknown-service', 'no such service', None)
-    wanted = (
+        return not_run_failure('unknown-service', 'no such service', None)
+    expected_kind = (
         configuration_state.ServiceKind.CALL
         if isinstance(event, events.CallSubmitted)
         else configuration_state.ServiceKind.GENERATION
     )
-    if service.kind is not wanted:
-        return not_run('wrong-service-kind', service.kind.value, None)
+    if service.kind is not expected_kind:
+        return not_run_failure('wrong-service-kind', service.kind.value, None)
     return None
 
 
-def cost_of(event: Arrival) -> float:
-    """Return what a request may use, in tokens."""
+def estimate_cost(event: Arrival) -> float:
+    """Return the most that a request may use, in tokens."""
     match event:
         case events.CallSubmitted():
             return 1.0
         case events.GenerationResumed():
-            prompt = len(event.request.prompt) / CHARACTERS_PER_TOKEN
-            left = event.request.most_tokens - len(event.received)
-            return prompt + max(1, left)
+            prompt_tokens = len(event.request.prompt) / CHARACTERS_PER_TOKEN
+            remaining_tokens = event.request.most_tokens - len(event.received)
+            return prompt_tokens + max(1, remaining_tokens)
         case _:
-            prompt = len(event.request.prompt) / CHARACTERS_PER_TOKEN
-            return prompt + event.request.most_tokens
+            prompt_tokens = len(event.request.prompt) / CHARACTERS_PER_TOKEN
+            return prompt_tokens + event.request.most_tokens
 
 
 def needs_claim(event: Arrival, service: configuration_state.Service) -> bool:
-    """Return whether a request may be dispatched only by a claim's holder.
+    """Return whether only the holder of a claim may dispatch a request.
 
-    A caller that comes back with a cursor asks for what already runs. A
-    request without an idempotency key has an id that nobody sends again.
+    A caller that resumes with a cursor asks for work that already runs. A
+    request without an idempotency key has an id that is never sent again.
     """
     if isinstance(event, events.GenerationResumed):
         return False
@@ -111,28 +112,29 @@
     event: Arrival,
     service: configuration_state.Service | None,
 ) -> requests.Failure:
-    """Return a refusal that says "not run" only where that is known.
+    """Return a refusal that says "not run" only if that is certain.
 
-    A caller that comes back with a cursor holds tokens of its request. Told
-    "not run", it would throw them away and ask for the whole again.
+    A caller that resumes with a cursor holds tokens of its request. If it were
+    told "not run", it would discard them and submit the whole request again.
     """
     if isinstance(event, events.GenerationResumed):
         return dataclasses.replace(failure, ran=requests.Ran.YES)
     return claims.truthful(failure, event.request, service)
 
 
-def not_run(
+def not_run_failure(
     code: str, detail: str, retry_after: float | None
 ) -> requests.Failure:
-    """Return a failure for a request that was never handed on."""
+    """Return a failure for a request that was never dispatched."""
     return requests.Failure(code, requests.Ran.NO, detail, retry_after)
 
 
-def prefix_of(event: Arrival) -> str:
-    """Return what requests have in common that share a cached prefix.
+def cache_prefix(event: Arrival) -> str:
+    """Return the key shared by requests with the same cached prefix.
 
-    It is scoped by client account, so that no account can learn from its
-    own latency what another has asked.
+    The key contains the client account, so that no account can learn from its
+    own latency what another account has asked. It is empty for requests
+    without a cacheable prefix.
     """
     if isinstance(event, events.CallSubmitted):
         return ''
--- /dev/null
+++ b/src/greengagelb/coordination/sharing/crash_records.py
@@ -0,0 +1,303 @@
+"""Decides which requests crash the engines that run them.
+
+A crash ends everything that the engine was running, so each of those requests
+is a suspect. The one that caused the crash differs from the others:
+
+* it has just begun, while the others are at any point of their run;
+* it crashes another engine that it was sent to after the last crash. A
+  data centre that loses power ends many engines at one time;
+* no engine has run it to its end since;
+* no other request explains its crashes better.
+
+Instances exchange reports in any order and repeatedly. Merging them is a
+union, so all instances come to the same verdict.
+"""
+
+from collections.abc import Iterable
+import zlib
+
+from greengagelb.state import crashes
+
+# A request is blocked after so many crashes early in its run, or after
+# CRASHES_TO_BLOCK crashes at any time of its run.
+EARLY_CRASHES_TO_BLOCK = 3
+CRASHES_TO_BLOCK = 6
+# A crash is early if the request had run for at most so many seconds.
+EARLY_CRASH_SECONDS = 0.5
+# A run that began up to this long before the end of the previous one still
+# counts as following it, because reported times are not exact.
+TIME_TOLERANCE_SECONDS = 0.001
+# How long a crash counts.
+CRASH_TTL_SECONDS = 600.0
+# Memory bounds; a crash takes about 150 bytes.
+MAX_CRASHES_PER_REQUEST = 8
+MAX_FINGERPRINTS = 1024
+# Other instances are kept current on at most so many requests, those with the
+# most crashes. Requests with a single crash are left out, because one crash
+# makes every request on the engine a suspect.
+MAX_SHARED_REQUESTS = 64
+MIN_SHARED_CRASHES = 2
+
+
+class CrashRecords:
+    """The crash histories of all suspects known to this instance.
+
+    ``change_count`` counts the changes.
+
+    Invariants: no history has a crash from before its ``survived_at`` or more
+    than ``MAX_CRASHES_PER_REQUEST``; there are at most ``MAX_FINGERPRINTS``.
+    """
+
+    def __init__(self) -> None:
+        self.histories: dict[str, crashes.CrashHistory] = {}
+        self.change_count = 0
+
+    def add_crash(
+        self, fingerprint: str, crash: crashes.Crash, now: float
+    ) -> bool:
+        """Add a crash; return whether it was unknown.
+
+        The time of a reported crash is too late by the delay of the report, so
+        the earliest of several reported times is kept.
+        """
+        self.forget_expired(now)
+        if crash.ended_at <= now - CRASH_TTL_SECONDS:
+            return False
+        history = self.histories.get(fingerprint, crashes.CrashHistory())
+        known_crash = history.crashes.get(crash.life)
+        if known_crash is not None:
+            if history.survived_at < crash.ended_at < known_crash.ended_at:
+                history.crashes[crash.life] = crash
+                self.change_count += 1
+            return False
+        if crash.ended_at <= history.survived_at:
+            return False
+        history.crashes[crash.life] = crash
+        if len(history.crashes) > MAX_CRASHES_PER_REQUEST:
+            oldest = min(history.crashes.values(), key=end_time)
+            del history.crashes[oldest.life]
+            if oldest is crash:
+                return False
+        history.changed_at = now
+        self.change_count += 1
+        self.histories[fingerprint] = history
+        self.evict_least_crashed()
+        return True
+
+    def record_survival(
+        self, fingerprint: str, survived_at: float, now: float
+    ) -> bool:
+        """Record that an engine ran a request to its end.
+
+        Returns whether that cleared crashes. Nothing is stored for requests
+        without a crash, which are by far the most.
+        """
+        history = self.histories.get(fingerprint)
+        if history is None or survived_at <= history.survived_at:
+            return False
+        history.survived_at = survived_at
+        cleared_crashes = [
+            c for c in history.crashes.values() if c.ended_at <= survived_at
+        ]
+        for crash in cleared_crashes:
+            del history.crashes[crash.life]
+        if cleared_crashes:
+            history.changed_at = now
+            self.change_count += 1
+        return bool(cleared_crashes)
+
+    def merge_report(self, report: crashes.CrashReport, now: float) -> bool:
+        """Merge the report of another instance.
+
+        Returns whether the request has become blocked.
+        """
+        blocked_before = self.is_blocked(report.fingerprint, now)
+        if report.survived_age is not None:
+            survived_at = now - max(0.0, report.survived_age)
+            self.record_survival(report.fingerprint, survived_at, now)
+        for reported in report.crashes:
+            ended_at = now - max(0.0, reported.age)
+            began_at = ended_at - max(0.0, reported.seconds)
+            crash = crashes.Crash(reported.life, began_at, ended_at)
+            self.add_crash(report.fingerprint, crash, now)
+        return not blocked_before and self.is_blocked(report.fingerprint, now)
+
+    def forget_expired(self, now: float) -> None:
+        """Drop expired crashes, and suspects without crashes."""
+        oldest_kept_at = now - CRASH_TTL_SECONDS
+        for fingerprint, history in list(self.histories.items()):
+            for crash in list(history.crashes.values()):
+                if crash.ended_at <= oldest_kept_at:
+                    del history.crashes[crash.life]
+            if not history.crashes and history.changed_at <= oldest_kept_at:
+                del self.histories[fingerprint]
+
+    def evict_least_crashed(self) -> None:
+        """Evict the suspect with the fewest crashes, the oldest one of these.
+
+        An account that crashes engines with many different requests must not
+        evict a request that has crashed more of them.
+        """
+        if len(self.histories) <= MAX_FINGERPRINTS:
+            return
+        evicted = min(
+            self.histories,
+            key=lambda fingerprint: (
+                len(self.histories[fingerprint].crashes),
+                self.histories[fingerprint].changed_at,
+            ),
+        )
+        del self.histories[evicted]
+
+    def blocked_until(self, fingerprint: str, now: float) -> float | None:
+        """Return the time until which a request is blocked, or None."""
+        history = self.histories.get(fingerprint)
+        if history is None or len(history.crashes) < EARLY_CRASHES_TO_BLOCK:
+            return None
+        until = block_expiry(history.crashes.values(), now)
+        if until is None:
+            return None
+        unexplained = [
+            crash
+            for crash in history.crashes.values()
+            if not self.is_explained_by_other(fingerprint, crash, now)
+        ]
+        return block_expiry(unexplained, now)
+
+    def is_blocked(self, fingerprint: str, now: float) -> bool:
+        """Return whether a request is blocked now."""
+        return self.blocked_until(fingerprint, now) is not None
+
+    def blocked_fingerprints(self, now: float) -> list[str]:
+        """Return the blocked requests, those with most crashes first."""
+        return [
+            fingerprint
+            for fingerprint in self.worst_fingerprints()
+            if self.is_blocked(fingerprint, now)
+        ]
+
+    def would_be_blocked(
+        self,
+        fingerprint: str,
+        suspected: dict[str, crashes.Crash],
+        now: float,
+    ) -> bool:
+        """Return whether a request is blocked if the suspected crashes count.
+
+        ``suspected`` holds them by life.
+        """
+        history = self.histories.get(fingerprint)
+        known_crashes = history.crashes if history else {}
+        return (
+            block_expiry((suspected | known_crashes).values(), now) is not None
+        )
+
+    def is_explained_by_other(
+        self, fingerprint: str, crash: crashes.Crash, now: float
+    ) -> bool:
+        """Return whether another request is the likelier cause of a crash.
+
+        That is one with enough crashes for a block that had run for a shorter
+        time on this engine.
+        """
+        for other_fingerprint, history in self.histories.items():
+            other_crash = history.crashes.get(crash.life)
+            if other_fingerprint == fingerprint or other_crash is None:
+                continue
+            if other_crash.seconds >= crash.seconds:
+                continue
+            if block_expiry(history.crashes.values(), now) is not None:
+                return True
+        return False
+
+    def worst_fingerprints(self) -> list[str]:
+        """Return the requests that others are kept current on, worst first."""
+        selected = [
+            fingerprint
+            for fingerprint, history in self.histories.items()
+            if len(history.crashes) >= MIN_SHARED_CRASHES
+        ]
+        selected.sort(
+            key=lambda fingerprint: -len(self.histories[fingerprint].crashes)
+        )
+        return selected[:MAX_SHARED_REQUESTS]
+
+    def cleared_fingerprints(self) -> list[str]:
+        """Return the requests whose crashes were cleared, latest first.
+
+        Other instances are told of them as well, or they would go on to refuse
+        them.
+        """
+        selected = [
+            fingerprint
+            for fingerprint, history in self.histories.items()
+            if not history.crashes
+        ]
+        selected.sort(
+            key=lambda fingerprint: -self.histories[fingerprint].changed_at
+        )
+        return selected[:MAX_SHARED_REQUESTS]
+
+    def digest(self) -> int:
+        """Return a checksum of the crashes of the worst requests."""
+        lines = sorted(
+            ' '.join(
+                (fingerprint, *sorted(self.histories[fingerprint].crashes))
+            )
+            for fingerprint in self.worst_fingerprints()
+        )
+        return zlib.crc32('\n'.join(lines).encode()) if lines else 0
+
+    def get_suspect(self, fingerprint: str) -> crashes.Suspect:
+        """Return an immutable snapshot of the history of a request."""
+        history = self.histories[fingerprint]
+        return crashes.Suspect(
+            fingerprint,
+            tuple(sorted(history.crashes.values(), key=end_time)),
+            history.survived_at,
+            history.changed_at,
+        )
+
+    def build_report(
+        self, fingerprint: str, now: float
+    ) -> crashes.CrashReport:
+        """Return the report on a request for other instances."""
+        return crashes.report_on(self.get_suspect(fingerprint), now)
+
+
+def end_time(crash: crashes.Crash) -> float:
+    """Return when a crash happened, as a sort key."""
+    return crash.ended_at
+
+
+def block_expiry(
+    known_crashes: Iterable[crashes.Crash], now: float
+) -> float | None:
+    """Return when the block by some crashes ends; None without a block."""
+    recent = [c for c in known_crashes if c.ended_at > now - CRASH_TTL_SECONDS]
+    early = [c for c in recent if c.seconds <= EARLY_CRASH_SECONDS]
+    expiries = [
+        chain[-required].ended_at + CRASH_TTL_SECONDS
+        for chain, required in (
+            (longest_chain(early), EARLY_CRASHES_TO_BLOCK),
+            (longest_chain(recent), CRASHES_TO_BLOCK),
+        )
+        if len(chain) >= required
+    ]
+    return max(expiries, default=None)
+
+
+def longest_chain(
+    known_crashes: Iterable[crashes.Crash],
+) -> list[crashes.Crash]:
+    """Return the longest sequence of crashes with runs one after another.
+
+    Engines that ran a request at the same time may have ended for one external
+    cause, so overlapping runs count once.
+    """
+    chain: list[crashes.Crash] = []
+    for crash in sorted(known_crashes, key=end_time):
+        began_at = crash.began_at + TIME_TOLERANCE_SECONDS
+        if not chain or began_at >= chain[-1].ended_at:
+            chain.append(crash)
+    return chain
--- a/src/greengagelb/coordination/sharing/fair_queue.py
+++ b/src/greengagelb/coordination/sharing/fair_queue.py
@@ -1,10 +1,10 @@
-"""A queue that serves client accounts in turn, by the cost of their work.
+"""A fair queue over client accounts, weighted by the cost of their requests.
 
-One queue for all would let an account that floods make every other account
-wait behind it. Here each account has a line of its own, and the account that
-has had the least service by its weight is next (start-time fair queueing).
-An account that may not run more at the moment is set aside, so that it holds
-up nobody else.
+With a single FIFO queue, one account that floods it would make every other
+account wait. Here each account has its own FIFO queue, and the account that
+has received the least service relative to its weight is next (start-time fair
+queueing). An account that may not run more at the moment is parked, so that it
+blocks no other account.
 """
 
 import collections
@@ -16,16 +16,16 @@
 from greengagelb import errors
 from greengagelb.state import configuration as configuration_state
 
-NOT_READY = 0
+NO_HEAP_ENTRY = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
     """A request that waits for a place on an upstream.
 
-    ``cost`` is in tokens: prompt and the most that may be generated.
-    ``deadline`` is the monotonic time at which its caller stops waiting, and
-    ``start_by`` the one by which the service wants it started.
+    ``cost`` is in tokens: the prompt and the most that may be generated.
+    ``deadline`` is the monotonic time at which the caller stops waiting, and
+    ``start_by`` the one by which the service wants the request started.
     """
 
     exchange: int
@@ -38,23 +38,23 @@
 
 
 @dataclasses.dataclass(slots=True)
-class AccountLine:
-    """An account's waiting tickets, oldest first, and its service so far.
+class AccountQueue:
+    """The waiting tickets of an account, oldest first, and its past service.
 
-    ``finish`` is in virtual time. ``serial`` names the line's entry in the
-    heap, and is ``NOT_READY`` while it has none.
+    ``virtual_finish`` is in virtual time. ``heap_serial`` identifies the valid
+    heap entry of the account; it is ``NO_HEAP_ENTRY`` if there is none.
     """
 
     account: str
-    finish: float = 0.0
-    cost: float = 0.0
-    serial: int = NOT_READY
+    virtual_finish: float = 0.0
+    waiting_cost: float = 0.0
+    heap_serial: int = NO_HEAP_ENTRY
     parked: bool = False
     waiting: collections.OrderedDict[int, Ticket] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
 
-    def first(self) -> Ticket:
+    def oldest_ticket(self) -> Ticket:
         """Return the oldest ticket."""
         return next(iter(self.waiting.values()))
 
@@ -62,146 +62,176 @@
 class FairQueue:
     """Start-time fair queueing over accounts; each step is O(log accounts).
 
-    Invariants: virtual time never falls; a line has a valid heap entry
+    Invariants: virtual time never decreases; an account has a valid heap entry
     exactly while it has tickets and is not parked; an idle or parked account
-    saves up no service.
+    accumulates no credit.
     """
 
     def __init__(self) -> None:
         self.virtual_time = 0.0
-        self.lines: dict[str, AccountLine] = {}
+        self.account_queues: dict[str, AccountQueue] = {}
         self.heap: list[tuple[float, int, str]] = []
-        self.serials = itertools.count(NOT_READY + 1)
+        self.heap_serials = itertools.count(NO_HEAP_ENTRY + 1)
         self.size = 0
-        self.cost = 0.0
-        self.active = 0
-        self.pops_since_sweep = 0
+        self.waiting_cost = 0.0
+        self.active_accounts = 0
+        self.pops_since_cleanup = 0
 
     def push(self, ticket: Ticket) -> None:
-        """Append a ticket to its account's line."""
-        line = self.lines.setdefault(
-            ticket.account, AccountLine(ticket.account)
+        """Append a ticket to the queue of its account."""
+        account_queue = self.account_queues.setdefault(
+            ticket.account, AccountQueue(ticket.account)
         )
-        if not line.waiting:
-            line.finish = max(line.finish, self.virtual_time)
-            self.active += 1
-        line.waiting[ticket.exchange] = ticket
-        line.cost += ticket.cost
+        if not account_queue.waiting:
+            account_queue.virtual_finish = max(
+                account_queue.virtual_finish, self.virtual_time
+            )
+            self.active_accounts += 1
+        account_queue.waiting[ticket.exchange] = ticket
+        account_queue.waiting_cost += ticket.cost
         self.size += 1
-        self.cost += ticket.cost
-        self.make_ready(line)
+        self.waiting_cost += ticket.cost
+        self.schedule_account(account_queue)
 
-    def head(self) -> Ticket | None:
-        """Return the ticket that is next, without taking it."""
+    def peek(self) -> Ticket | None:
+        """Return the next ticket without removing it."""
         while self.heap:
-            _, serial, account = self.heap[0]
-            line = self.lines.get(account)
-            if line is not None and line.serial == serial:
-                return line.first()
+            _, heap_serial, account = self.heap[0]
+            account_queue = self.account_queues.get(account)
+            if (
+                account_queue is not None
+                and account_queue.heap_serial == heap_serial
+            ):
+                return account_queue.oldest_ticket()
             heapq.heappop(self.heap)
         return None
 
     def pop(self, weight: int) -> Ticket:
-        """Take the next ticket and charge its account by its weight."""
-        ticket = self.head()
+        """Remove the next ticket and charge its account by ``weight``.
+
+        Raises InvariantViolated if no ticket is ready.
+        """
+        ticket = self.peek()
         if ticket is None:
             raise errors.InvariantViolated('pop from an empty fair queue')
         heapq.heappop(self.heap)
-        line = self.lines[ticket.account]
-        line.serial = NOT_READY
-        self.virtual_time = max(self.virtual_time, line.finish)
-        line.finish += ticket.cost / weight
-        self.remove(line, ticket.exchange)
-        self.make_ready(line)
-        self.sweep()
+        account_queue = self.account_queues[ticket.account]
+        account_queue.heap_serial = NO_HEAP_ENTRY
+        self.virtual_time = max(
+            self.virtual_time, account_queue.virtual_finish
+        )
+        account_queue.virtual_finish += ticket.cost / weight
+        self.remove_ticket(account_queue, ticket.exchange)
+        self.schedule_account(account_queue)
+        self.drop_idle_accounts()
         return ticket
 
     def discard(self, account: str, exchange: int) -> None:
-        """Drop the ticket of an exchange that nobody waits for."""
-        line = self.lines.get(account)
-        if line is None or exchange not in line.waiting:
+        """Remove the ticket of an exchange, if it waits."""
+        account_queue = self.account_queues.get(account)
+        if account_queue is None or exchange not in account_queue.waiting:
             return
-        self.remove(line, exchange)
-        if not line.waiting:
-            line.serial = NOT_READY
-
-    def remove(self, line: AccountLine, exchange: int) -> None:
-        """Take a ticket out of its line and out of the sums."""
-        ticket = line.waiting.pop(exchange)
-        line.cost -= ticket.cost
+        self.remove_ticket(account_queue, exchange)
+        if not account_queue.waiting:
+            account_queue.heap_serial = NO_HEAP_ENTRY
+
+    def remove_ticket(
+        self, account_queue: AccountQueue, exchange: int
+    ) -> None:
+        """Remove a ticket from its account queue and from the totals."""
+        ticket = account_queue.waiting.pop(exchange)
+        account_queue.waiting_cost -= ticket.cost
         self.size -= 1
-        self.cost -= ticket.cost
-        if not line.waiting:
-            self.active -= 1
-            line.cost = 0.0
+        self.waiting_cost -= ticket.cost
+        if not account_queue.waiting:
+            self.active_accounts -= 1
+            account_queue.waiting_cost = 0.0
         if not self.size:
-            self.cost = 0.0
+            self.waiting_cost = 0.0
 
-    def park(self, account: str) -> None:
-        """Set an account aside that may not run more at the moment.
+    def park_account(self, account: str) -> None:
+        """Exclude an account that may not run more at the moment.
 
-        If its tickets stayed at the head, every other account would wait for
-        it with engines free.
+        If its ticket stayed at the head, every other account would wait for it
+        while engines are free.
         """
-        line = self.lines[account]
-        line.parked = True
-        line.serial = NOT_READY
-
-    def unpark(self, account: str) -> None:
-        """Let an account compete again, without credit for the time."""
-        line = self.lines.get(account)
-        if line is None or not line.parked:
+        account_queue = self.account_queues[account]
+        account_queue.parked = True
+        account_queue.heap_serial = NO_HEAP_ENTRY
+
+    def unpark_account(self, account: str) -> None:
+        """Let an account compete again, without credit for the parked time."""
+        account_queue = self.account_queues.get(account)
+        if account_queue is None or not account_queue.parked:
             return
-        line.parked = False
-        line.finish = max(line.finish, self.virtual_time)
-        self.make_ready(line)
-
-    def make_ready(self, line: AccountLine) -> None:
-        """Enter a line into the heap, if it may compete and is not there."""
-        if line.parked or line.serial != NOT_READY or not line.waiting:
+        account_queue.parked = False
+        account_queue.virtual_finish = max(
+            account_queue.virtual_finish, self.virtual_time
+        )
+        self.schedule_account(account_queue)
+
+    def schedule_account(self, account_queue: AccountQueue) -> None:
+        """Add an account to the heap if it may compete and has no entry."""
+        if (
+            account_queue.parked
+            or account_queue.heap_serial != NO_HEAP_ENTRY
+            or not account_queue.waiting
+        ):
             return
-        line.serial = next(self.serials)
-        entry = (line.finish, line.serial, line.account)
+        account_queue.heap_serial = next(self.heap_serials)
+        entry = (
+            account_queue.virtual_finish,
+            account_queue.heap_serial,
+            account_queue.account,
+        )
         heapq.heappush(self.heap, entry)
 
-    def sweep(self) -> None:
-        """Drop lines without tickets and debt, at a constant mean cost."""
-        self.pops_since_sweep += 1
-        if self.pops_since_sweep < len(self.lines):
+    def drop_idle_accounts(self) -> None:
+        """Drop accounts without tickets whose service is paid off.
+
+        It scans all accounts once per that many pops, so the amortized cost is
+        constant.
+        """
+        self.pops_since_cleanup += 1
+        if self.pops_since_cleanup < len(self.account_queues):
             return
-        self.pops_since_sweep = 0
-        self.lines = {
-            account: line
-            for account, line in self.lines.items()
-            if line.waiting or line.finish > self.virtual_time
+        self.pops_since_cleanup = 0
+        self.account_queues = {
+            account: account_queue
+            for account, account_queue in self.account_queues.items()
+            if account_queue.waiting
+            or account_queue.virtual_finish > self.virtual_time
         }
 
     def cost_before(self, account: str) -> float:
-        """Return the cost that is likely to start before a new ticket.
+        """Return the cost that is likely to be served before a new ticket.
 
-        Fair turns let about the account's own waiting cost pass for each
-        account that competes, and never more than all that waits.
+        Fair queueing serves about as much of each competing account as the
+        account's own waiting cost, and never more than the total.
         """
-        line = self.lines.get(account)
-        own = line.cost if line is not None else 0.0
-        return min(self.cost, own * max(1, self.active))
+        account_queue = self.account_queues.get(account)
+        own_cost = (
+            account_queue.waiting_cost if account_queue is not None else 0.0
+        )
+        return min(self.waiting_cost, own_cost * max(1, self.active_accounts))
 
     def tickets(self) -> Iterator[Ticket]:
         """Yield all waiting tickets."""
-        for line in self.lines.values():
-            yield from line.waiting.values()
-
-    def check(self) -> None:
-        """Raise InvariantViolated if the heap and the lines disagree."""
-        entries = {serial for _, serial, _ in self.heap}
-        for line in self.lines.values():
-            ready = bool(line.waiting) and not line.parked
-            if ready != (line.serial in entries):
+        for account_queue in self.account_queues.values():
+            yield from account_queue.waiting.values()
+
+    def check_invariants(self) -> None:
+        """Raise InvariantViolated if the heap and the queues disagree."""
+        heap_serials = {heap_serial for _, heap_serial, _ in self.heap}
+        for account_queue in self.account_queues.values():
+            is_ready = bool(account_queue.waiting) and not account_queue.parked
+            if is_ready != (account_queue.heap_serial in heap_serials):
                 raise errors.InvariantViolated(
-                    f'line of {line.account} is not where it should be'
+                    f'heap entry of account {account_queue.account} '
+                    'does not match its queue'
                 )
         if self.size != sum(1 for _ in self.tickets()):
-            raise errors.InvariantViolated('size differs from the tickets')
+            raise errors.InvariantViolated('size is not the number of tickets')
 
     def __len__(self) -> int:
         return self.size
--- a/src/greengagelb/coordination/sharing/retry_budget.py
+++ b/src/greengagelb/coordination/sharing/retry_budget.py
@@ -1,65 +1,69 @@
-"""Bounds retries: how many an account gets, and when callers come back.
+"""Retry budgets of accounts, and backoff advice for callers.
 
-Retries multiply load just when there is too little capacity. An account may
-add a tenth to its own calls by retries and no more, so one account's failing
-calls can't crowd out another account's first tries.
+Retries multiply load just when capacity is short. An account may add a tenth
+to its own calls by retries, so that its failing calls cannot displace first
+attempts of other accounts.
 """
 
 import random
 
-EARNED_PER_CALL = 0.1
-MOST_SAVED = 10.0
-BASE_SECONDS = 1.0
-MOST_DOUBLINGS = 5
-LEAST_SPREAD = 0.5
-MOST_SPREAD = 1.5
+RETRIES_EARNED_PER_CALL = 0.1
+MAX_SAVED_RETRIES = 10.0
+BASE_BACKOFF_SECONDS = 1.0
+MAX_DOUBLINGS = 5
+MIN_JITTER_FACTOR = 0.5
+MAX_JITTER_FACTOR = 1.5
 
 
 class RetryBudget:
-    """Retries that each account may still make at this instance.
+    """The retries left to each account at this instance.
 
-    Invariant: ``saved`` of an account stays between 0 and ``MOST_SAVED``.
+    Invariant: ``saved_retries`` of an account stays between 0 and
+    ``MAX_SAVED_RETRIES``.
     """
 
     def __init__(self) -> None:
-        self.saved: dict[str, float] = {}
-
-    def earn(self, account: str) -> None:
-        """Count a first try."""
-        saved = self.saved.get(account, MOST_SAVED) + EARNED_PER_CALL
-        self.saved[account] = min(MOST_SAVED, saved)
-
-    def spend(self, account: str) -> bool:
-        """Take one retry out of the budget, if there is one."""
-        saved = self.saved.get(account, MOST_SAVED)
-        if saved < 1.0:
+        self.saved_retries: dict[str, float] = {}
+
+    def count_first_attempt(self, account: str) -> None:
+        """Earn a fraction of a retry for a first attempt."""
+        saved_retries = (
+            self.saved_retries.get(account, MAX_SAVED_RETRIES)
+            + RETRIES_EARNED_PER_CALL
+        )
+        self.saved_retries[account] = min(MAX_SAVED_RETRIES, saved_retries)
+
+    def take_retry(self, account: str) -> bool:
+        """Take one retry from the budget; return whether there was one."""
+        saved_retries = self.saved_retries.get(account, MAX_SAVED_RETRIES)
+        if saved_retries < 1.0:
             return False
-        self.saved[account] = saved - 1.0
+        self.saved_retries[account] = saved_retries - 1.0
         return True
 
 
 class RetryAdvice:
-    """Says when a caller that was turned away should come back.
+    """Computes when refused callers should come back.
 
-    The wait doubles with each failure in a row, so that callers ask less
-    often the longer an outage lasts; it is spread at random, so that those
-    who were turned away together do not come back together.
+    The delay doubles with each consecutive failure, so that callers ask less
+    often the longer an outage lasts. It is jittered, so that callers refused
+    together do not return together.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.failures = 0
+        self.consecutive_failures = 0
 
-    def succeeded(self) -> None:
-        """Start from the shortest wait again."""
-        self.failures = 0
+    def record_success(self) -> None:
+        """Reset the delay to its minimum."""
+        self.consecutive_failures = 0
 
-    def failed(self) -> float:
-        """Count a failure and return the wait in seconds."""
-        doublings = min(self.failures, MOST_DOUBLINGS)
-        self.failures += 1
-        return self.spread(BASE_SECONDS * 2.0**doublings)
+    def record_failure(self) -> float:
+        """Count a failure and return the delay in seconds."""
+        doublings = min(self.consecutive_failures, MAX_DOUBLINGS)
+        self.consecutive_failures += 1
+        return self.add_jitter(BASE_BACKOFF_SECONDS * 2.0**doublings)
 
-    def spread(self, seconds: float) -> float:
-        """Return a wait around ``seconds``."""
-        return seconds * self.rng.uniform(LEAST_SPREAD, MOST_SPREAD)
+    def add_jitter(self, seconds: float) -> float:
+        """Return a random delay around ``seconds``."""
+        return seconds * self.rng.uniform(MIN_JITTER_FACTOR, MAX_JITTER_FACTOR)
--- a/src/greengagelb/coordination/sharing/suspicions.py
+++ b/src/greengagelb/coordination/sharing/suspicions.py
@@ -1,24 +1,23 @@
 """Broken connections that may mean that an engine has crashed.
 
-Connections break for many reasons. Only an engine that has ended since counts
-against the requests that it ran, so each is asked first.
+Connections break for many reasons. Only if the engine has ended since does it
+count against the requests that it ran, so each engine is probed first.
 """
 
 import dataclasses
 
-from greengagelb.coordination.sharing import crashes as crash_records
+from greengagelb.coordination.sharing import crash_records
 from greengagelb.state import crashes
 
-# How long an engine may take to show what has become of it, in seconds.
-WAIT_SECONDS = 10.0
-# The most that wait for one engine.
-MOST_WAITING = 256
-# An engine that does not answer is asked so often. It may be the network that
-# has lost the question, or the engine is just ending.
-MOST_QUESTIONS = 3
-# After a question without an answer the next one waits for so many seconds: a
-# process that is ending may reset several in a row.
-ASK_AGAIN_SECONDS = 0.05
+# How long it may take to find out whether an engine has ended.
+SUSPICION_TTL_SECONDS = 10.0
+MAX_SUSPICIONS_PER_ENGINE = 256
+# Probes are repeated, as the network may lose one or the engine may just be
+# ending.
+MAX_PROBES = 3
+# Delay after an unanswered probe: a process that is ending may reset several
+# connections in a row.
+PROBE_RETRY_SECONDS = 0.05
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,66 +27,72 @@
     fingerprint: str
     life: str
     began_at: float
-    broke_at: float
+    broken_at: float
 
 
 class Suspicions:
-    """Runs that broke off, by the engine that had them."""
+    """Runs that broke off, by engine."""
 
     def __init__(self) -> None:
-        self.waiting: dict[str, list[Suspicion]] = {}
+        self.by_engine: dict[str, list[Suspicion]] = {}
 
     def add(self, engine: str, suspicion: Suspicion) -> bool:
-        """Keep a run; return whether its engine is to be asked."""
-        found = self.waiting.setdefault(engine, [])
-        found[:] = [
-            s for s in found if s.broke_at > suspicion.broke_at - WAIT_SECONDS
+        """Add a run; return whether its engine is to be probed."""
+        runs = self.by_engine.setdefault(engine, [])
+        runs[:] = [
+            run
+            for run in runs
+            if run.broken_at > suspicion.broken_at - SUSPICION_TTL_SECONDS
+        ]
+        if len(runs) < MAX_SUSPICIONS_PER_ENGINE:
+            runs.append(suspicion)
+        return len(runs) == 1
+
+    def pop_suspicions(self, engine: str, now: float) -> list[Suspicion]:
+        """Remove and return the recent runs of an engine."""
+        runs = self.by_engine.pop(engine, [])
+        return [
+            run for run in runs if run.broken_at > now - SUSPICION_TTL_SECONDS
         ]
-        if len(found) < MOST_WAITING:
-            found.append(suspicion)
-        return len(found) == 1
-
-    def ended(self, engine: str, now: float) -> list[Suspicion]:
-        """Return the runs that an engine's end explains, and forget them."""
-        found = self.waiting.pop(engine, [])
-        return [s for s in found if s.broke_at > now - WAIT_SECONDS]
 
-    def lives(self, engine: str) -> None:
-        """Forget the runs of an engine that is still there."""
-        self.waiting.pop(engine, None)
+    def clear_engine(self, engine: str) -> None:
+        """Drop the runs of an engine that is still alive."""
+        self.by_engine.pop(engine, None)
 
-    def crashes_of(self, fingerprint: str) -> dict[str, crashes.Crash]:
-        """Return the crashes that a request is suspected of, by life."""
+    def suspected_crashes(self, fingerprint: str) -> dict[str, crashes.Crash]:
+        """Return the suspected crashes of a request, by life."""
         return {
-            suspicion.life: crash_of(suspicion)
-            for waiting in self.waiting.values()
-            for suspicion in waiting
+            suspicion.life: crash_from_suspicion(suspicion)
+            for runs in self.by_engine.values()
+            for suspicion in runs
             if suspicion.fingerprint == fingerprint
         }
 
-    def forget_old(self, now: float) -> None:
-        """Forget engines that never showed what became of them."""
-        for engine, found in list(self.waiting.items()):
-            if found[-1].broke_at <= now - WAIT_SECONDS:
-                del self.waiting[engine]
+    def forget_expired(self, now: float) -> None:
+        """Drop engines whose fate was never found out."""
+        for engine, runs in list(self.by_engine.items()):
+            if runs[-1].broken_at <= now - SUSPICION_TTL_SECONDS:
+                del self.by_engine[engine]
 
 
-def crash_of(suspicion: Suspicion) -> crashes.Crash:
-    """Return what a suspicion means if its engine has ended."""
+def crash_from_suspicion(suspicion: Suspicion) -> crashes.Crash:
+    """Return the crash that a suspicion becomes if its engine ended."""
     return crashes.Crash(
-        suspicion.life, suspicion.began_at, suspicion.broke_at
+        suspicion.life, suspicion.began_at, suspicion.broken_at
     )
 
 
-def count(
-    found: list[Suspicion], records: crash_records.CrashRecords, now: float
+def count_crashes(
+    runs: list[Suspicion], records: crash_records.CrashRecords, now: float
 ) -> list[str]:
-    """Count an engine's crash against the runs that it had.
+    """Record an engine's crash for each of the runs that it had.
 
-    Returns the fingerprints of those that it counts against.
+    Returns the fingerprints for which it was unknown.
     """
     return [
         suspicion.fingerprint
-        for suspicion in found
-        if records.crashed(suspicion.fingerprint, crash_of(suspicion), now)
+        for suspicion in runs
+        if records.add_crash(
+            suspicion.fingerprint, crash_from_suspicion(suspicion), now
+        )
     ]
--- a/tests/load/test_crashing_requests.py
+++ b/tests/load/test_crashing_requests.py
@@ -1,8 +1,7 @@
-"""A request that crashes each engine that runs it comes again and again.
+"""A relayed request that crashes each engine that runs it is sent repeatedly.
 
-Each crash takes along all that the engine was doing. The caller, or a job of
-its own, sends the same request again under a new id, and the balancer gives it
-to any instance.
+Each crash ends everything that the engine was doing. The caller sends the same
+request again under a new id, and the load balancer gives it to any instance.
 """
 
 import itertools
@@ -18,34 +17,34 @@
 from tests.common import crashing_fleet
 from tests.common import relay_world
 
-# What may reach engines later than the instances need to know of the third
-# crash; the operators' bound.
-MOST_RETRIES = 3
+# The operators' bound on how often engines get the request after the instances
+# need to know of the third crash.
+MAX_RETRIES = 3
 
 
 @pytest.mark.parametrize('size', [3, 30])
 @pytest.mark.parametrize('kind', ['stream', 'query', 'call'])
-def test_what_has_crashed_three_engines_gets_no_more_of_them(size, kind):
+def test_a_request_that_crashed_three_engines_is_blocked(size, kind):
     """Guards against one request that ends engine after engine."""
     played = crashing_fleet.CrashingFleet(size)
     played.ask_again_and_again(kind, seconds=30.0, every=1.5)
     assert len(played.crashes) >= 3
-    assert played.retries_after_the_third_crash() <= MOST_RETRIES
+    assert played.retries_after_the_third_crash() <= MAX_RETRIES
 
 
 @pytest.mark.parametrize('loss', [0.1, 0.5])
-def test_all_know_of_a_crash_although_datagrams_are_lost(loss):
-    """Guards against instances that never hear what the others know."""
+def test_all_instances_learn_of_a_crash_despite_lost_datagrams(loss):
+    """Guards against instances that never learn what the others know."""
     played = crashing_fleet.CrashingFleet(30, loss=loss)
     played.ask_again_and_again('stream', seconds=20.0, every=0.7)
     assert len(played.crashes) >= 3
     played.run(crashing_fleet.CONTACT_SECONDS)
     assert all(played.refuses(instance) for instance in played.instances)
-    assert played.retries_after_the_third_crash() <= MOST_RETRIES
+    assert played.retries_after_the_third_crash() <= MAX_RETRIES
 
 
-def test_a_data_centre_learns_after_a_cut_what_the_others_know():
-    """Guards against a verdict that a cut keeps from some instances."""
+def test_a_data_centre_learns_of_blocks_after_a_network_partition():
+    """Guards against a verdict that some instances miss in a partition."""
     played = crashing_fleet.CrashingFleet(12)
     played.cut.add('west')
     outside = [i for i in played.instances if i.own.data_centre != 'west']
@@ -60,8 +59,8 @@
     assert all(played.refuses(instance) for instance in played.instances)
 
 
-def test_an_instance_that_starts_learns_what_the_others_know():
-    """Guards against a restart that gives a blocked request new engines."""
+def test_a_started_instance_learns_of_blocks():
+    """Guards against a restart that sends a blocked request to engines."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
     played.store.clear()
@@ -70,8 +69,8 @@
     assert played.refuses(played.instances[2])
 
 
-def test_the_store_keeps_what_is_blocked_over_an_end_of_all_instances():
-    """Guards against a power cut after which engines are ended anew."""
+def test_blocks_survive_a_restart_of_all_instances():
+    """Guards against a power loss after which engines are crashed again."""
     played = crashing_fleet.CrashingFleet(6)
     played.ask_again_and_again('stream', seconds=10.0, every=1.5)
     for instance in played.instances:
@@ -83,10 +82,10 @@
     assert all(played.refuses(instance) for instance in played.instances)
 
 
-def test_requests_beside_one_that_crashes_engines_are_served():
-    """Guards against innocent requests that are blocked with the guilty one.
+def test_requests_next_to_a_crashing_one_are_served():
+    """Guards against harmless requests blocked with the crashing one.
 
-    They are on the same engines, several of which end under each of them.
+    They run on the same engines, several of which end under each of them.
     """
     played = crashing_fleet.CrashingFleet(6, per_place=3)
     served = []
@@ -104,10 +103,10 @@
     assert answers.CRASHES_ENGINES not in codes
 
 
-def test_a_data_centre_that_goes_dark_blocks_no_request():
-    """Guards against a popular lookup that is blamed for a power cut.
+def test_a_power_loss_of_a_data_centre_blocks_no_request():
+    """Guards against a popular lookup blocked for a power loss.
 
-    It was on all engines there, and comes again while they are down.
+    It was running on all engines there, and is repeated while they are down.
     """
     played = crashing_fleet.CrashingFleet(6, per_place=3)
     for _ in range(4):
@@ -132,8 +131,8 @@
     return world
 
 
-def test_a_connection_that_breaks_is_no_crash():
-    """Guards against resets that have a request blocked."""
+def test_a_broken_connection_is_not_a_crash():
+    """Guards against connection resets that block a request."""
     world = lone_world()
     for _ in range(6):
         exchange = world.ask(body=b'x')
@@ -153,7 +152,7 @@
     assert not world.relay.crashes.records.histories
 
 
-def test_a_request_that_waits_on_an_engine_that_crashes_is_no_suspect():
+def test_a_request_not_yet_begun_on_a_crashed_engine_is_no_suspect():
     """Guards against prompts that are blocked while they are read.
 
     The engines end under another request, which had begun there.
@@ -170,7 +169,7 @@
 
 
 def crash_under(world, send):
-    """Have the engine of a send crash just after it has begun."""
+    """Crash the engine of a send just after it has begun."""
     world.now += 0.1
     world.begin(send)
     world.now += 0.03
@@ -181,8 +180,8 @@
     )
 
 
-def test_a_blocked_request_is_refused_at_once_with_when_to_come_back():
-    """Guards against callers who wait, or ask again, for nothing."""
+def test_a_blocked_request_is_refused_at_once_with_retry_after():
+    """Guards against callers that wait or retry in vain."""
     world = lone_world()
     exchange = world.ask(body=b'x')
     for _ in range(3):
@@ -198,8 +197,8 @@
     assert world.sends(world.ask(body=b'x'))
 
 
-def test_other_sends_of_a_blocked_request_are_taken_off_their_engines():
-    """Guards against the engines that are just reading its prompt."""
+def test_other_sends_of_a_blocked_request_are_abandoned():
+    """Guards against crashes of engines that still read its prompt."""
     world = lone_world()
     reading = world.ask(body=b'x')
     other = world.ask(body=b'y')
@@ -212,8 +211,8 @@
     assert not world.refusals(other)
 
 
-def test_the_third_crash_is_waited_for_before_a_fourth_engine_gets_it():
-    """Guards against a fourth engine that ends while the third is asked."""
+def test_a_possible_third_crash_is_checked_before_a_fourth_send():
+    """Guards against a fourth crash while the third engine is checked."""
     world = lone_world()
     exchange = world.ask(body=b'x')
     for _ in range(2):
@@ -230,7 +229,7 @@
     assert world.last_send(exchange) is not third
 
 
-def test_an_engine_that_survives_a_request_clears_it():
+def test_a_completed_run_clears_a_suspect():
     """Guards against requests that stay suspects for crashes of others."""
     world = lone_world()
     exchange = world.ask(body=b'x')
@@ -246,11 +245,11 @@
     assert not world.refusals()
 
 
-def test_an_engine_that_gives_no_answer_is_asked_again():
-    """Guards against crashes that a lost question leaves uncounted.
+def test_an_unanswered_engine_check_is_repeated():
+    """Guards against crashes that are not counted as a check was lost.
 
-    A process that is ending may reset several questions in a row, so there is
-    a pause between them.
+    A process that is ending may reset several checks in a row, so there is a
+    pause between them.
     """
     world = lone_world()
     send = world.last_send(world.ask(body=b'x'))
@@ -270,11 +269,12 @@
     assert not world.relay.crashes.questions
 
 
-def test_heartbeats_of_instances_that_started_together_spread():
-    """Guards against repairs that wait for all heartbeats at once.
+def test_heartbeats_of_instances_started_together_spread_out():
+    """Guards against repairs that wait for a burst of all heartbeats.
 
-    Two hundred instances beat every five seconds each. Where all do so in
-    the same moment, an instance that a datagram missed waits that long.
+    Two hundred instances send a heartbeat every five seconds each. If all did
+    so at the same moment, an instance that missed a datagram would wait that
+    long.
     """
     rng = random.Random(1)
     found = fleet.FleetView(loads.RunLoads(), 'own')
@@ -287,8 +287,8 @@
     assert max(gaps) < 1.0
 
 
-def test_two_hundred_instances_know_of_the_third_crash_in_time():
-    """Guards against a fleet in which news takes longer than it may."""
+def test_two_hundred_instances_learn_of_the_third_crash_in_time():
+    """Guards against a fleet in which reports take longer than allowed."""
     large = crashing_fleet.CrashingFleet(200, per_place=10, loss=0.05)
     large.ask_again_and_again('query', seconds=4.0, every=1.0)
     assert len(large.crashes) == 3
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -1,7 +1,7 @@
-"""Requests that crash engines, by the product's own interface.
+"""Requests that crash engines, through the product's own API.
 
-Each comes again under a new id, with a key of its own or none, after it has
-brought down what ran it.
+Each is sent again under a new id, with a key of its own or none, after it has
+crashed what ran it.
 """
 
 import collections
@@ -23,13 +23,13 @@
 from tests.common import members
 
 PROMPT = 'what crashes engines'
-# How many engines one request may bring down.
-MOST_ENGINES = 3
+# How many engines one request may crash.
+MAX_ENGINES = 3
 ROUNDS = 8
 
 
-def crash_what_runs(world):
-    """Bring down the engines that run something; return how many."""
+def crash_busy_engines(world):
+    """Crash the engines that run something; return how many."""
     world.deliver_all()
     engines = [
         engine
@@ -46,7 +46,7 @@
 
 
 def ask(world, service):
-    """Have a new caller ask for what crashes engines."""
+    """Let a new caller send the request that crashes engines."""
     number = next(world.numbers)
     request = identity.RequestId('teratak', f'r{number}')
     caller = generations.Caller(request, service, PROMPT)
@@ -55,7 +55,7 @@
     return caller
 
 
-def test_a_generation_is_known_again_under_another_id():
+def test_a_generation_is_recognized_under_another_id():
     """Guards against a prompt that ends engine after engine."""
     world = generations.World(engines=4)
     world.report()
@@ -63,13 +63,13 @@
     for _ in range(ROUNDS):
         caller = ask(world, 'draft')
         while caller.waits:
-            crashed += crash_what_runs(world)
+            crashed += crash_busy_engines(world)
             world.pass_time(0.25)
             for engine in world.engines.values():
                 engine.come_back()
             world.report()
         world.pass_time(2.0)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     failure = caller.finals[-1].failure
     assert failure.code == 'request-crashes-engines'
     assert failure.retry_after
@@ -83,12 +83,12 @@
 
 
 def report(world, home, name, life):
-    """Have an instance hear of an upstream's present life."""
+    """Deliver the report of an upstream's present life to an instance."""
     world.deliver(home, upstream_report(name, life))
 
 
 def crash_call(world, exchange, lives):
-    """Bring down the upstream that runs a call, if one does."""
+    """Crash the upstream that runs a call, if one does."""
     running = [d for d in world.dispatches if d.exchange is exchange]
     for dispatch in running:
         world.dispatches.remove(dispatch)
@@ -104,7 +104,7 @@
 
 
 def crashed_by_calls(service, has_key):
-    """Return how many upstreams a call ends, and its last answer."""
+    """Return how many upstreams a call crashes, and its last answer."""
     world = call_world.World(instances=1)
     [home] = world.instances
     lives = collections.Counter()
@@ -124,26 +124,26 @@
     return crashed, exchange.answers[-1]
 
 
-def test_a_call_is_known_again_under_another_id():
-    """Guards against an idempotent call that ends one upstream a try."""
+def test_a_call_is_recognized_under_another_id():
+    """Guards against an idempotent call that ends an upstream per attempt."""
     crashed, answer = crashed_by_calls(call_world.LOOKUP, has_key=False)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     assert isinstance(answer, actions.SendFailure)
     assert answer.failure.code == 'request-crashes-engines'
 
 
-def test_a_keyed_call_is_known_again_under_another_key():
+def test_a_keyed_call_is_recognized_under_another_key():
     """Guards against a charge that ends an upstream with each new key."""
     crashed, answer = crashed_by_calls(call_world.CHARGE, has_key=True)
-    assert crashed <= MOST_ENGINES
+    assert crashed <= MAX_ENGINES
     assert answer.failure.code == 'request-crashes-engines'
 
 
-def test_an_upstream_that_resets_the_question_is_asked_again():
-    """Guards against a crash that is never found.
+def test_a_reset_probe_is_repeated():
+    """Guards against a crash that is never detected.
 
-    A process that is ending may still take the connection with the question,
-    and reset it.
+    A process that is ending may still accept the connection of the probe and
+    reset it.
     """
     world = call_world.World(instances=1)
     [home] = world.instances
@@ -161,8 +161,8 @@
     assert world.kinds['engine-crashed'] == 1
 
 
-def test_an_upstream_that_never_answers_is_asked_a_few_times():
-    """Guards against questions without end to an upstream that is cut off."""
+def test_probes_of_an_unreachable_upstream_are_bounded():
+    """Guards against endless probes of an upstream that is cut off."""
     world = call_world.World(instances=1)
     [home] = world.instances
     world.submit(home, call_world.LOOKUP, has_key=False)
@@ -172,14 +172,14 @@
     for _ in range(10):
         world.deliver(home, events.UpstreamUnreachable(dispatch.upstream))
         world.advance(0.2)
-    assert len(world.probes) == suspicions.MOST_QUESTIONS
+    assert len(world.probes) == suspicions.MAX_PROBES
     assert world.kinds['engine-crashed'] == 0
 
 
-def test_crashes_that_are_only_suspected_count_together():
-    """Guards against a fourth engine while three are still being asked.
+def test_suspected_crashes_count_together():
+    """Guards against a fourth engine while three are still being probed.
 
-    The answers of engines that end may take longer than the next tries.
+    The answers of ending engines may take longer than the next attempts.
     """
     guard = crash_guard.CrashGuard()
     request = requests.CallRequest(
@@ -190,14 +190,14 @@
         name = f'plain-{number}'
         upstream = configuration.Upstream(name, '127.0.0.1', 1, 'kl-1')
         began = 10.0 + number
-        guard.broke_off(request, upstream, 'life', began, began + 0.1)
+        guard.suspect_upstream(request, upstream, 'life', began, began + 0.1)
     assert guard.must_not_run(request, 13.0)
-    guard.reported(upstream_report('plain-1', 'life'), 13.0)
+    guard.handle_report(upstream_report('plain-1', 'life'), 13.0)
     assert not guard.must_not_run(request, 13.0)
 
 
-def test_an_upstream_whose_connections_break_is_one_suspect():
-    """Guards against blame for connections that break one after another."""
+def test_repeated_broken_connections_to_one_upstream_count_once():
+    """Guards against blocking for connections that break in sequence."""
     guard = crash_guard.CrashGuard()
     request = requests.CallRequest(
         1, identity.RequestId('teratak', 'r'), 'lookup', 'look', b'', 99.0
@@ -205,18 +205,18 @@
     upstream = configuration.Upstream('plain', '127.0.0.1', 1, 'kl-1')
     for number in range(5):
         began = 10.0 + number
-        guard.broke_off(request, upstream, 'life', began, began + 0.1)
+        guard.suspect_upstream(request, upstream, 'life', began, began + 0.1)
     assert not guard.must_not_run(request, 15.0)
 
 
-def test_other_prompts_are_served_meanwhile():
-    """Guards against an account that is refused for one of its requests."""
+def test_other_prompts_are_served_while_one_is_blocked():
+    """Guards against an account refused for one of its requests."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(3):
         caller = ask(world, 'draft')
         while caller.waits:
-            crash_what_runs(world)
+            crash_busy_engines(world)
             world.pass_time(0.25)
             for engine in world.engines.values():
                 engine.come_back()
@@ -227,8 +227,8 @@
     assert isinstance(other.finals[-1], actions.SendEnd)
 
 
-def test_an_engine_that_is_only_silent_has_not_crashed():
-    """Guards against prompts that are blamed for connections."""
+def test_a_broken_connection_is_not_a_crash():
+    """Guards against prompts blocked for broken connections."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(6):
@@ -247,13 +247,13 @@
     assert 'engine-crashed' not in world.kinds()
 
 
-def test_a_survived_generation_is_no_suspect():
-    """Guards against prompts that were on engines which others crashed."""
+def test_a_completed_generation_is_no_suspect():
+    """Guards against blocking prompts on engines that others crashed."""
     world = generations.World(engines=4)
     world.report()
     for _ in range(4):
         caller = ask(world, 'draft')
-        crash_what_runs(world)
+        crash_busy_engines(world)
         world.pass_time(0.25)
         for engine in world.engines.values():
             engine.come_back()
@@ -285,14 +285,14 @@
 
 
 def find_suspect(network, number):
-    """Have an instance find a suspect."""
+    """Let an instance find a suspect."""
     member = network.members[members.peer(number).address]
     own = dataclasses.replace(member.own_state, suspects=(SUSPECT,))
     network.deliver(member, member.update_own_state(own, network.now))
 
 
 def heard_of(network, who):
-    """Return the last report that an instance got, if it got one."""
+    """Return the last report that an instance received, or None."""
     found = [
         report
         for event in network.reports[who.incarnation]
@@ -303,7 +303,7 @@
 
 
 def test_other_instances_are_told_of_a_crash_at_once():
-    """Guards against instances that count only what they see themselves."""
+    """Guards against instances that count only crashes they see."""
     network = joined_network(3)
     find_suspect(network, 0)
     for number in (1, 2):
@@ -312,8 +312,8 @@
         assert report.crashes[-1].age == network.now - 92.1
 
 
-def test_an_instance_that_starts_is_told_of_crashes_of_long_ago():
-    """Guards against a restart that gives a blocked request engines."""
+def test_a_started_instance_is_told_of_earlier_crashes():
+    """Guards against a restart that sends a blocked request to engines."""
     network = joined_network(3)
     find_suspect(network, 0)
     network.run(120)
@@ -323,8 +323,8 @@
     assert heard_of(network, started) is not None
 
 
-def test_an_instance_is_told_after_a_cut():
-    """Guards against a verdict that a cut keeps from some instances."""
+def test_an_instance_is_told_of_crashes_after_a_partition():
+    """Guards against a verdict that some instances miss in a partition."""
     network = joined_network(3)
     pairs = [
         {members.peer(2).address, members.peer(n).address} for n in (0, 1)
@@ -338,13 +338,13 @@
     assert heard_of(network, members.peer(2)) is not None
 
 
-def test_what_heartbeats_carry_of_crashes_is_bounded():
-    """Guards against heartbeats that a crash under many requests swells."""
+def test_crash_reports_per_heartbeat_are_bounded():
+    """Guards against oversized heartbeats after a crash of many requests."""
     many = [
         dataclasses.replace(SUSPECT, fingerprint=f'f{n}') for n in range(500)
     ]
-    told = crash_guard.reports_of(tuple(many), 101.0, whole=True)
-    assert len(told) == crash_guard.MOST_IN_HEARTBEAT
+    told = crash_guard.heartbeat_reports(tuple(many), 101.0, include_all=True)
+    assert len(told) == crash_guard.MAX_REPORTS_PER_HEARTBEAT
 
 
 def test_reports_cross_the_wire_between_instances():
--- a/tests/load/test_limited_upstreams.py
+++ b/tests/load/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams that name a limit, by the product's own interface."""
+"""Upstreams with a limit, through the product's own API."""
 
 import collections
 
@@ -16,10 +16,10 @@
     'service',
     [limited_nodes.DRAFT, limited_nodes.LOOKUP, limited_nodes.CHARGE],
 )
-def test_all_instances_together_keep_to_the_limit_of_an_upstream(
+def test_the_sum_over_all_instances_stays_within_an_upstream_limit(
     size, service
 ):
-    """Guards against a limit that each instance keeps, or none does."""
+    """Guards against a limit applied per instance, or not at all."""
     played = limited_nodes.LimitedNodes(size)
     names = played.upstreams_of(service)
     played.limit(RATE, *names)
@@ -30,7 +30,7 @@
         assert played.worst_window(name) <= most
 
 
-def test_an_account_that_floods_leaves_the_other_its_turns():
+def test_an_account_over_the_limit_does_not_starve_another():
     """Guards against an account that uses up the rate of another."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
@@ -59,8 +59,8 @@
 @pytest.mark.parametrize(
     'service', [limited_nodes.DRAFT, limited_nodes.CHARGE]
 )
-def test_the_limit_is_used_by_whoever_has_callers(service):
-    """Guards against parts that lie where nobody asks."""
+def test_one_instance_with_all_callers_can_use_the_whole_limit(service):
+    """Guards against parts left unused at instances without callers."""
     played = limited_nodes.LimitedNodes(12)
     names = played.upstreams_of(service)
     played.limit(RATE, *names)
@@ -73,10 +73,10 @@
         assert used > 0.9 * RATE * 20.0
 
 
-def test_a_call_that_is_tried_again_waits_for_a_permit():
-    """Guards against calls that fail as their second upstream has a limit.
+def test_a_retried_call_waits_for_a_permit():
+    """Guards against calls that fail because their second upstream is limited.
 
-    No permit is in stock at the moment in which the first try breaks off.
+    No permit is in stock at the moment at which the first attempt breaks off.
     """
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
@@ -95,11 +95,11 @@
         assert played.worst_window(name) <= most
 
 
-def test_what_goes_on_waits_under_its_own_account():
-    """Guards against the turns of an account that others use up.
+def test_resumed_and_retried_requests_wait_under_their_own_account():
+    """Guards against accounting requests to the wrong account.
 
     A stream and a call lose their upstreams just after another account has
-    asked.
+    sent a request. Without the right account, others could use up its turns.
     """
     played = limited_nodes.LimitedNodes(1)
     [instance] = played.instances
@@ -111,8 +111,8 @@
         played.run(4.0)
         asked = []
         keeper = instance.node.limits.keeper
-        put = keeper.put
-        keeper.put = lambda ask, now, put=put, asked=asked: (
+        put = keeper.send_request
+        keeper.send_request = lambda ask, now, put=put, asked=asked: (
             asked.append((ask.account, ask.urgent)),
             put(ask, now),
         )
@@ -123,11 +123,11 @@
         goes_on = service == limited_nodes.DRAFT
         assert ('', goes_on) not in asked
         assert (one, goes_on) in asked
-        keeper.put = put
+        keeper.send_request = put
 
 
-def test_a_lifted_limit_is_forgotten():
-    """Guards against an upstream that is spared for ever."""
+def test_a_lifted_limit_no_longer_applies():
+    """Guards against an upstream that stays limited for ever."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
@@ -140,7 +140,7 @@
 
 
 def test_a_later_life_starts_without_a_limit():
-    """Guards against a limit that outlives the upstream that named it."""
+    """Guards against a limit that outlives the upstream that reported it."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
@@ -154,8 +154,8 @@
     assert len(played.failures()) == failed
 
 
-def test_what_can_not_be_served_is_refused_with_a_time():
-    """Guards against callers who wait until their deadline for nothing."""
+def test_requests_above_the_limit_are_refused_with_retry_after():
+    """Guards against callers that wait in vain until their deadline."""
     played = limited_nodes.LimitedNodes(6)
     names = played.upstreams_of(limited_nodes.LOOKUP)
     played.limit(RATE, *names)
