--- a/src/greengagelb/coordination/actions.py
+++ b/src/greengagelb/coordination/actions.py
@@ -138,7 +138,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellPeer:
+class SendPeerMessage:
     """Tell another instance something about limits.
 
     All instances of the data centre where ``incarnation`` is empty.
@@ -193,7 +193,7 @@
     | DispatchCall
     | AbandonCall
     | ProbeUpstream
-    | TellPeer
+    | SendPeerMessage
     | SetTimer
     | ClearTimer
     | Record
--- a/src/greengagelb/coordination/calls/claims.py
+++ b/src/greengagelb/coordination/calls/claims.py
@@ -33,11 +33,11 @@
 
 DEADLINE_TIMER = 'claim-deadline'
 SETTLE_TIMER = 'claim-settle'
-MOST_CLAIM_TRIES = 2
-SETTLE_RETRY_SECONDS = 0.5
-SETTLE_PATIENCE_SECONDS = 30.0
-MOST_KEPT_BODY_BYTES = 16 << 10
-STREAM_STATUS = 200
+MAX_CLAIM_TRIES = 2
+SETTLE_RETRY_DELAY_SECONDS = 0.5
+SETTLE_TIMEOUT_SECONDS = 30.0
+MAX_KEPT_BODY_BYTES = 16 << 10
+GENERATION_STATUS = 200
 
 Claimable = requests.CallRequest | requests.GenerationRequest
 
@@ -57,11 +57,11 @@
     record: claims.ClaimRecord
     phase: claims.ClaimPhase = claims.ClaimPhase.CLAIMING
     version: int = 0
-    writing: claims.ClaimRecord | None = None
+    pending_write: claims.ClaimRecord | None = None
     tries: int = 0
     may_be_written: bool = False
     was_held: bool = False
-    settle_by: float = 0.0
+    settle_deadline: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,7 +72,7 @@
     """
 
     actions: list[actions.Action]
-    granted: Claimable | None = None
+    granted_request: Claimable | None = None
 
 
 def claim_key(request: identity.RequestId) -> str:
@@ -82,21 +82,21 @@
     share a row with ``a`` and ``b/c``, and one account's charge would keep
     another account's from running.
     """
-    return f'{digest(request.account)}.{digest(request.request)}'
+    return f'{text_digest(request.account)}.{text_digest(request.request)}'
 
 
-def digest(text: str) -> str:
+def text_digest(text: str) -> str:
     """Return a short digest of a text of any length."""
-    raw = text.encode('utf-8', 'surrogatepass')
-    return hashlib.blake2b(raw, digest_size=16).hexdigest()
+    encoded = text.encode('utf-8', 'surrogatepass')
+    return hashlib.blake2b(encoded, digest_size=16).hexdigest()
 
 
-def content_of(request: Claimable) -> str:
+def content_digest(request: Claimable) -> str:
     """Return the digest of what a request asks for."""
     return fingerprints.digest_parts(fingerprints.content_parts(request))
 
 
-class ClaimKeeper:
+class ClaimSupervisor:
     """All claims of this instance that are not settled yet.
 
     Invariant: a holder has at most one write under way, is granted at most
@@ -105,33 +105,33 @@
 
     def __init__(self, incarnation: str, rng: random.Random) -> None:
         self.incarnation = incarnation
-        self.advice = retry_budget.RetryAdvice(rng)
-        self.claims: dict[str, Claim] = {}
-        self.holders: dict[int, str] = {}
-        self.counter = itertools.count(1)
+        self.retry_advice = retry_budget.RetryAdvice(rng)
+        self.claim_by_holder: dict[str, Claim] = {}
+        self.holder_by_exchange: dict[int, str] = {}
+        self.holder_numbers = itertools.count(1)
 
     # -- claiming -----------------------------------------------------------
 
-    def begin(self, request: Claimable) -> list[actions.Action]:
+    def start_claim(self, request: Claimable) -> list[actions.Action]:
         """Try to become the holder of a request's row."""
-        holder = f'{self.incarnation}.{next(self.counter)}'
+        holder = f'{self.incarnation}.{next(self.holder_numbers)}'
         record = claims.ClaimRecord(
-            holder, claims.ClaimStage.CLAIMED, content_of(request)
+            holder, claims.ClaimStage.CLAIMED, content_digest(request)
         )
         claim = Claim(request, claim_key(request.request), record)
-        self.claims[holder] = claim
-        self.holders[request.exchange] = holder
+        self.claim_by_holder[holder] = claim
+        self.holder_by_exchange[request.exchange] = holder
         timer = f'{DEADLINE_TIMER}:{request.exchange}'
         return [
             actions.SetTimer(timer, request.deadline),
-            self.write(claim),
+            self.write_claim(claim),
         ]
 
-    def write(self, claim: Claim) -> actions.WriteClaim:
+    def write_claim(self, claim: Claim) -> actions.WriteClaim:
         """Return the write of what the row should say next."""
-        if claim.writing is not None:
+        if claim.pending_write is not None:
             raise errors.InvariantViolated('two writes of one claim at once')
-        claim.writing = claim.record
+        claim.pending_write = claim.record
         return actions.WriteClaim(
             claim.record.holder,
             claim.key,
@@ -140,7 +140,7 @@
             claim.request.request.account,
         )
 
-    def answered(
+    def handle_write_result(
         self,
         event: events.ClaimWritten
         | events.ClaimConflicted
@@ -148,50 +148,58 @@
         now: float,
     ) -> ClaimStep:
         """Handle the answer to a write, or that there is none."""
-        claim = self.claims.get(event.holder)
-        if claim is None or claim.writing is None:
+        claim = self.claim_by_holder.get(event.holder)
+        if claim is None or claim.pending_write is None:
             return ClaimStep([])
-        written, claim.writing = claim.writing, None
+        written_record, claim.pending_write = claim.pending_write, None
         match event:
             case events.ClaimWritten(version=version):
-                return self.owned(claim, version, written, now)
+                return self.handle_owned_row(
+                    claim, version, written_record, now
+                )
             case events.ClaimConflicted(row=row):
                 if row.record.holder == claim.record.holder:
-                    return self.owned(claim, row.version, row.record, now)
-                return ClaimStep(self.lost(claim, row, now))
+                    return self.handle_owned_row(
+                        claim, row.version, row.record, now
+                    )
+                return ClaimStep(self.handle_foreign_row(claim, row, now))
             case events.ClaimWriteFailed(handed_over=handed_over):
-                return ClaimStep(self.write_failed(claim, handed_over, now))
+                return ClaimStep(
+                    self.handle_write_failure(claim, handed_over, now)
+                )
 
-    def owned(
+    def handle_owned_row(
         self,
         claim: Claim,
         version: int,
-        found: claims.ClaimRecord,
+        found_record: claims.ClaimRecord,
         now: float,
     ) -> ClaimStep:
         """Go on as the owner of a row that says ``found``."""
-        self.advice.record_success()
+        self.retry_advice.record_success()
         claim.version = version
         claim.may_be_written = True
         match claim.phase:
             case claims.ClaimPhase.HELD:
                 raise errors.InvariantViolated('a held claim was granted')
             case claims.ClaimPhase.SETTLING:
-                if found.stage is claim.record.stage:
-                    return ClaimStep(self.forget(claim))
-                return ClaimStep([self.write(claim)])
+                if found_record.stage is claim.record.stage:
+                    return ClaimStep(self.forget_claim(claim))
+                return ClaimStep([self.write_claim(claim)])
         if now >= claim.request.deadline:
             # A holder that was paused reads the answer to its write before
             # its own deadline timer fires. Nobody waits for the call then.
             return ClaimStep(
-                self.give_up(claim, 'deadline-passed', requests.Ran.NO, now)
+                self.give_up_claim(
+                    claim, 'deadline-passed', requests.Ran.NO, now
+                )
             )
         claim.phase = claims.ClaimPhase.HELD
         claim.was_held = True
         timer = f'{DEADLINE_TIMER}:{claim.request.exchange}'
         return ClaimStep([actions.ClearTimer(timer)], claim.request)
 
-    def lost(
+    def handle_foreign_row(
         self, claim: Claim, row: claims.ClaimRow, now: float
     ) -> list[actions.Action]:
         """Give the answer of the row's holder, as far as it is known.
@@ -199,31 +207,38 @@
         While settling there is nothing left to do: versions only grow, so no
         delayed write of this holder can take effect on this row any more.
         """
-        self.advice.record_success()
+        self.retry_advice.record_success()
         if claim.phase is claims.ClaimPhase.SETTLING:
-            return self.overwritten(claim, row) + self.forget(claim)
+            return self.report_overwritten_claim(
+                claim, row
+            ) + self.forget_claim(claim)
         record = row.record
         exchange = claim.request.exchange
         if record.stage is claims.ClaimStage.RELEASED:
             claim.version = row.version
-            return [self.write(claim)]
+            return [self.write_claim(claim)]
         if record.content != claim.record.content:
-            return self.refuse(
+            return self.refuse_request(
                 claim, 'idempotency-key-reused', requests.Ran.UNKNOWN, None
             )
         if record.stage is claims.ClaimStage.CLAIMED:
-            wait = self.advice.add_jitter(retry_budget.BASE_BACKOFF_SECONDS)
-            return self.refuse(
-                claim, 'twin-outcome-unknown', requests.Ran.UNKNOWN, wait
+            wait_seconds = self.retry_advice.add_jitter(
+                retry_budget.BASE_BACKOFF_SECONDS
+            )
+            return self.refuse_request(
+                claim,
+                'twin-outcome-unknown',
+                requests.Ran.UNKNOWN,
+                wait_seconds,
             )
         if not record.body_kept:
-            return self.refuse(
+            return self.refuse_request(
                 claim, 'answer-not-kept', requests.Ran.YES, None
             )
         answer = actions.SendAnswer(exchange, record.status, record.body)
-        return [answer, *self.forget(claim)]
+        return [answer, *self.forget_claim(claim)]
 
-    def overwritten(
+    def report_overwritten_claim(
         self, claim: Claim, row: claims.ClaimRow
     ) -> list[actions.Action]:
         """Report a row that was taken from a holder that kept it.
@@ -236,7 +251,7 @@
             return []
         return [self.record(claim, 'claim-overwritten', row.record.holder)]
 
-    def write_failed(
+    def handle_write_failure(
         self, claim: Claim, handed_over: bool, now: float
     ) -> list[actions.Action]:
         """Write again, or give up at once where that promises nothing.
@@ -247,49 +262,56 @@
         """
         claim.may_be_written = claim.may_be_written or handed_over
         if claim.phase is claims.ClaimPhase.SETTLING:
-            return self.settle_later(claim, now)
+            return self.retry_settlement(claim, now)
         claim.tries += 1
-        in_time = now < claim.request.deadline
-        if handed_over and in_time and claim.tries < MOST_CLAIM_TRIES:
-            return [self.write(claim)]
-        return self.give_up(
-            claim, 'platform-unavailable', unproved(claim.request), now
+        is_in_time = now < claim.request.deadline
+        if handed_over and is_in_time and claim.tries < MAX_CLAIM_TRIES:
+            return [self.write_claim(claim)]
+        return self.give_up_claim(
+            claim,
+            'platform-unavailable',
+            unclaimed_outcome(claim.request),
+            now,
         )
 
-    def timer_fired(
-        self, kind: str, rest: str, now: float
+    def handle_timer(
+        self, kind: str, timer_key: str, now: float
     ) -> list[actions.Action]:
         """Handle one of this object's timers."""
         if kind == SETTLE_TIMER:
-            claim = self.claims.get(rest)
-            if claim is None or claim.writing is not None:
+            claim = self.claim_by_holder.get(timer_key)
+            if claim is None or claim.pending_write is not None:
                 return []
-            return [self.write(claim)]
-        claim = self.claiming(int(rest))
+            return [self.write_claim(claim)]
+        claim = self.find_pending_claim(int(timer_key))
         if claim is None:
             return []
-        return self.give_up(
-            claim, 'deadline-passed', unproved(claim.request), now
+        return self.give_up_claim(
+            claim, 'deadline-passed', unclaimed_outcome(claim.request), now
         )
 
-    def claiming(self, exchange: int) -> Claim | None:
+    def find_pending_claim(self, exchange: int) -> Claim | None:
         """Return the claim that an exchange waits for, if any."""
-        claim = self.claims.get(self.holders.get(exchange, ''))
+        claim = self.claim_by_holder.get(
+            self.holder_by_exchange.get(exchange, '')
+        )
         if claim is None or claim.phase is not claims.ClaimPhase.CLAIMING:
             return None
         return claim
 
-    def caller_gone(self, exchange: int, now: float) -> list[actions.Action]:
+    def handle_caller_gone(
+        self, exchange: int, now: float
+    ) -> list[actions.Action]:
         """Give up a claim that nobody waits for."""
-        claim = self.claiming(exchange)
+        claim = self.find_pending_claim(exchange)
         if claim is None:
             return []
-        return self.release(claim, now)
+        return self.release_claim(claim, now)
 
     # -- ends ---------------------------------------------------------------
 
-    def served(
-        self, done: Iterable[actions.Action], now: float
+    def settle_answered_claims(
+        self, planned: Iterable[actions.Action], now: float
     ) -> list[actions.Action]:
         """Settle the claims whose exchanges get their final answer here.
 
@@ -299,63 +321,71 @@
         must not run it again.
         """
         settled: list[actions.Action] = []
-        for action in done:
+        for action in planned:
             match action:
                 case actions.SendAnswer(exchange, status, body):
-                    settled += self.finish(exchange, status, body, now)
+                    settled += self.settle_with_answer(
+                        exchange, status, body, now
+                    )
                 case actions.SendEnd(exchange):
-                    settled += self.finish(exchange, STREAM_STATUS, None, now)
+                    settled += self.settle_with_answer(
+                        exchange, GENERATION_STATUS, None, now
+                    )
                 case actions.SendFailure(exchange, failure):
-                    settled += self.failed(exchange, failure, now)
+                    settled += self.handle_failure(exchange, failure, now)
         return settled
 
-    def held(self, exchange: int) -> Claim | None:
+    def find_held_claim(self, exchange: int) -> Claim | None:
         """Return the claim under which an exchange is served, if any."""
-        claim = self.claims.get(self.holders.get(exchange, ''))
+        claim = self.claim_by_holder.get(
+            self.holder_by_exchange.get(exchange, '')
+        )
         if claim is None or claim.phase is not claims.ClaimPhase.HELD:
             return None
         return claim
 
-    def finish(
+    def settle_with_answer(
         self, exchange: int, status: int, body: bytes | None, now: float
     ) -> list[actions.Action]:
         """Keep the answer for a retry that comes later."""
-        claim = self.held(exchange)
+        claim = self.find_held_claim(exchange)
         if claim is None:
             return []
-        kept = body is not None and len(body) <= MOST_KEPT_BODY_BYTES
+        is_kept = body is not None and len(body) <= MAX_KEPT_BODY_BYTES
         record = dataclasses.replace(
             claim.record,
             stage=claims.ClaimStage.DONE,
             status=status,
-            body=body if kept and body is not None else b'',
-            body_kept=kept,
+            body=body if is_kept and body is not None else b'',
+            body_kept=is_kept,
         )
-        return self.settle(claim, record, now)
+        return self.settle_claim(claim, record, now)
 
-    def failed(
+    def handle_failure(
         self, exchange: int, failure: requests.Failure, now: float
     ) -> list[actions.Action]:
         """Release the row of a request that provably did not run."""
-        claim = self.held(exchange)
+        claim = self.find_held_claim(exchange)
         if claim is None:
             return []
         if failure.ran is requests.Ran.NO:
-            return self.release(claim, now)
+            return self.release_claim(claim, now)
         return []
 
-    def proved_unrun(self, exchange: int, now: float) -> list[actions.Action]:
+    def release_unrun_request(
+        self, exchange: int, now: float
+    ) -> list[actions.Action]:
         """Release the row of a request that turned out not to have run."""
-        claim = self.held(exchange)
-        return self.release(claim, now) if claim is not None else []
+        claim = self.find_held_claim(exchange)
+        return self.release_claim(claim, now) if claim is not None else []
 
-    def leave_taken(self, exchange: int) -> None:
+    def leave_row_taken(self, exchange: int) -> None:
         """Forget a claim whose request ended without a final answer."""
-        claim = self.held(exchange)
+        claim = self.find_held_claim(exchange)
         if claim is not None:
-            self.forget(claim)
+            self.forget_claim(claim)
 
-    def give_up(
+    def give_up_claim(
         self,
         claim: Claim,
         code: str,
@@ -363,51 +393,51 @@
         now: float,
     ) -> list[actions.Action]:
         """Answer a caller whose request this holder won't dispatch."""
-        wait = self.advice.record_failure()
-        failure = self.failure(claim, code, ran, wait)
+        wait_seconds = self.retry_advice.record_failure()
+        failure = self.build_failure(claim, code, ran, wait_seconds)
         answer = actions.SendFailure(claim.request.exchange, failure)
         return [
             self.record(claim, 'claim-given-up', code),
             answer,
-            *self.release(claim, now),
+            *self.release_claim(claim, now),
         ]
 
-    def refuse(
+    def refuse_request(
         self,
         claim: Claim,
         code: str,
         ran: requests.Ran,
-        wait: float | None,
+        wait_seconds: float | None,
     ) -> list[actions.Action]:
         """Answer a caller whose row belongs to another holder."""
-        failure = self.failure(claim, code, ran, wait)
+        failure = self.build_failure(claim, code, ran, wait_seconds)
         return [
             self.record(claim, 'claim-taken', code),
             actions.SendFailure(claim.request.exchange, failure),
-            *self.forget(claim),
+            *self.forget_claim(claim),
         ]
 
-    def failure(
+    def build_failure(
         self,
         claim: Claim,
         code: str,
         ran: requests.Ran,
-        wait: float | None,
+        wait_seconds: float | None,
     ) -> requests.Failure:
         """Return a final answer about a claim."""
         detail = f'service {claim.request.service}'
-        return requests.Failure(code, ran, detail, wait)
+        return requests.Failure(code, ran, detail, wait_seconds)
 
     # -- settling -----------------------------------------------------------
 
-    def release(self, claim: Claim, now: float) -> list[actions.Action]:
+    def release_claim(self, claim: Claim, now: float) -> list[actions.Action]:
         """Give the row up: this holder never dispatches from here on."""
         record = dataclasses.replace(
             claim.record, stage=claims.ClaimStage.RELEASED
         )
-        return self.settle(claim, record, now)
+        return self.settle_claim(claim, record, now)
 
-    def settle(
+    def settle_claim(
         self, claim: Claim, record: claims.ClaimRecord, now: float
     ) -> list[actions.Action]:
         """Have the row say how the request ended.
@@ -418,34 +448,36 @@
         fails, and its conflict shows the row.
         """
         exchange = claim.request.exchange
-        self.holders.pop(exchange, None)
+        self.holder_by_exchange.pop(exchange, None)
         timer = actions.ClearTimer(f'{DEADLINE_TIMER}:{exchange}')
         claim.phase = claims.ClaimPhase.SETTLING
         claim.record = record
-        claim.settle_by = now + SETTLE_PATIENCE_SECONDS
-        if claim.writing is not None:
+        claim.settle_deadline = now + SETTLE_TIMEOUT_SECONDS
+        if claim.pending_write is not None:
             return [timer]
         if not claim.may_be_written:
-            return [timer, *self.forget(claim)]
-        return [timer, self.write(claim)]
+            return [timer, *self.forget_claim(claim)]
+        return [timer, self.write_claim(claim)]
 
-    def settle_later(self, claim: Claim, now: float) -> list[actions.Action]:
+    def retry_settlement(
+        self, claim: Claim, now: float
+    ) -> list[actions.Action]:
         """Write again after a while, unless it has taken too long."""
         if not claim.may_be_written:
-            return self.forget(claim)
-        if now >= claim.settle_by:
-            left = self.record(claim, 'claim-left-taken', 'store away')
-            return [left, *self.forget(claim)]
-        wait = self.advice.add_jitter(SETTLE_RETRY_SECONDS)
+            return self.forget_claim(claim)
+        if now >= claim.settle_deadline:
+            left_taken = self.record(claim, 'claim-left-taken', 'store away')
+            return [left_taken, *self.forget_claim(claim)]
+        wait_seconds = self.retry_advice.add_jitter(SETTLE_RETRY_DELAY_SECONDS)
         name = f'{SETTLE_TIMER}:{claim.record.holder}'
-        return [actions.SetTimer(name, now + wait)]
+        return [actions.SetTimer(name, now + wait_seconds)]
 
-    def forget(self, claim: Claim) -> list[actions.Action]:
+    def forget_claim(self, claim: Claim) -> list[actions.Action]:
         """Drop a claim that needs nothing more from this holder."""
         exchange = claim.request.exchange
-        self.claims.pop(claim.record.holder, None)
-        if self.holders.get(exchange) == claim.record.holder:
-            del self.holders[exchange]
+        self.claim_by_holder.pop(claim.record.holder, None)
+        if self.holder_by_exchange.get(exchange) == claim.record.holder:
+            del self.holder_by_exchange[exchange]
         return [
             actions.ClearTimer(f'{DEADLINE_TIMER}:{exchange}'),
             actions.ClearTimer(f'{SETTLE_TIMER}:{claim.record.holder}'),
@@ -461,7 +493,7 @@
         )
 
 
-def unproved(request: Claimable) -> requests.Ran:
+def unclaimed_outcome(request: Claimable) -> requests.Ran:
     """Return what may be said of a request whose row nobody here holds.
 
     This instance has not run it. But the same request may have come in
@@ -473,13 +505,13 @@
     return requests.Ran.NO
 
 
-def truthful(
+def with_known_outcome(
     failure: requests.Failure,
     request: Claimable,
     service: configuration_state.Service | None,
 ) -> requests.Failure:
     """Return a refusal that says "not run" only where that is known."""
-    may_repeat = service is None or service.idempotent
-    if may_repeat or failure.ran is not requests.Ran.NO:
+    is_repeatable = service is None or service.idempotent
+    if is_repeatable or failure.ran is not requests.Ran.NO:
         return failure
-    return dataclasses.replace(failure, ran=unproved(request))
+    return dataclasses.replace(failure, ran=unclaimed_outcome(request))
--- a/src/greengagelb/coordination/calls/dispatching.py
+++ b/src/greengagelb/coordination/calls/dispatching.py
@@ -21,14 +21,14 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 
-MOST_DISPATCHES = 3
+MAX_DISPATCHES = 3
 # The code of what limits leave no room for.
 LIMITED_CODE = 'upstreams-limited'
 DEADLINE_TIMER = 'call-deadline'
 OUTCOME_TIMER = 'call-outcome'
 STALL_TIMER = 'call-stall'
 PERMIT_TIMER = 'call-permit'
-OUTCOME_PATIENCE_SECONDS = 30.0
+OUTCOME_TIMEOUT_SECONDS = 30.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -48,20 +48,20 @@
     request: requests.CallRequest
     service: configuration_state.Service
     pool: configuration_state.Pool
-    under_way: dict[int, configuration_state.Upstream] = dataclasses.field(
-        default_factory=dict
+    tries_in_flight: dict[int, configuration_state.Upstream] = (
+        dataclasses.field(default_factory=dict)
     )
     began_at: dict[int, float] = dataclasses.field(default_factory=dict)
     dispatches: int = 0
     may_have_run: bool = False
-    told: bool = False
+    is_caller_answered: bool = False
     excluded: set[str] = dataclasses.field(default_factory=set)
-    permit_by: float | None = None
+    permit_deadline: float | None = None
 
     @property
     def ran(self) -> requests.Ran:
         """Return what may be said of a call that brought no answer."""
-        if self.may_have_run or self.under_way:
+        if self.may_have_run or self.tries_in_flight:
             return requests.Ran.UNKNOWN
         return requests.Ran.NO
 
@@ -80,12 +80,12 @@
     ) -> None:
         self.directory = directory
         self.guard = guard
-        self.budget = retry_budget.RetryBudget()
-        self.advice = retry_budget.RetryAdvice(rng)
+        self.retry_budget = retry_budget.RetryBudget()
+        self.retry_advice = retry_budget.RetryAdvice(rng)
         self.calls: dict[int, Call] = {}
-        self.waiting: dict[int, Call] = {}
+        self.waiting_calls: dict[int, Call] = {}
 
-    def begin(
+    def start_call(
         self,
         request: requests.CallRequest,
         service: configuration_state.Service,
@@ -95,14 +95,14 @@
         """Dispatch a call that may run now."""
         call = Call(request, service, pool)
         self.calls[request.exchange] = call
-        self.budget.count_first_attempt(request.request.account)
+        self.retry_budget.count_first_attempt(request.request.account)
         timer = f'{DEADLINE_TIMER}:{request.exchange}'
         return [
             actions.SetTimer(timer, request.deadline),
-            *self.dispatch(call, now),
+            *self.dispatch_call(call, now),
         ]
 
-    def answer_in(
+    def find_limit_answer(
         self, event: events.Event
     ) -> upstream_limits.UpstreamAnswer | None:
         """Return the answer of an upstream that an event brings, if any."""
@@ -111,20 +111,26 @@
                 call = self.calls.get(event.exchange)
             case _:
                 return None
-        number = event.try_number
-        if said is None or call is None or number not in call.under_way:
+        try_number = event.try_number
+        if (
+            said is None
+            or call is None
+            or try_number not in call.tries_in_flight
+        ):
             return None
-        name = call.under_way[number].name
+        name = call.tries_in_flight[try_number].name
         return upstream_limits.UpstreamAnswer(
-            name, call.began_at[number], said
+            name, call.began_at[try_number], said
         )
 
-    def dispatch(self, call: Call, now: float) -> list[actions.Action]:
+    def dispatch_call(self, call: Call, now: float) -> list[actions.Action]:
         """Hand the call to an upstream."""
-        if call.told or (call.may_have_run and not call.service.idempotent):
+        if call.is_caller_answered or (
+            call.may_have_run and not call.service.idempotent
+        ):
             raise errors.InvariantViolated('a second dispatch could run twice')
         if now >= call.request.deadline:
-            return self.fail(call, 'deadline-passed', None)
+            return self.fail_call(call, 'deadline-passed', None)
         account = call.request.request.account
         self.directory.limits.set_retry_requester(account, now)
         view = self.directory.choose_upstream(
@@ -132,7 +138,7 @@
         )
         if view is None:
             return self.wait_for_permit(call, now)
-        return self.hand_over(call, view.upstream, now)
+        return self.start_try(call, view.upstream, now)
 
     def wait_for_permit(self, call: Call, now: float) -> list[actions.Action]:
         """Wait for an upstream whose limit has no room now, or give up."""
@@ -140,37 +146,43 @@
         limited = self.directory.upstreams_if_all_limited(call.pool, now)
         names = [name for name in limited if name not in call.excluded]
         if not names:
-            return self.fail(call, 'no-upstream', self.advice.record_failure())
-        if call.permit_by is None:
-            patience = upstream_limits.RETRY_PERMIT_WAIT_SECONDS
-            call.permit_by = min(call.request.deadline, now + patience)
-        if now >= call.permit_by:
+            return self.fail_call(
+                call, 'no-upstream', self.retry_advice.record_failure()
+            )
+        if call.permit_deadline is None:
+            patience_seconds = upstream_limits.RETRY_PERMIT_WAIT_SECONDS
+            call.permit_deadline = min(
+                call.request.deadline, now + patience_seconds
+            )
+        if now >= call.permit_deadline:
             code = 'upstream-lost' if call.may_have_run else LIMITED_CODE
             account = call.request.request.account
-            wait = self.directory.limits.estimate_wait_seconds(
+            wait_seconds = self.directory.limits.estimate_wait_seconds(
                 names, account, 0, now
             )
-            return self.fail(call, code, self.advice.add_jitter(wait))
-        self.waiting[exchange] = call
+            return self.fail_call(
+                call, code, self.retry_advice.add_jitter(wait_seconds)
+            )
+        self.waiting_calls[exchange] = call
         timer = f'{PERMIT_TIMER}:{exchange}'
-        return [actions.SetTimer(timer, call.permit_by)]
+        return [actions.SetTimer(timer, call.permit_deadline)]
 
-    def go_on_waiting(self, now: float) -> list[actions.Action]:
+    def dispatch_waiting_calls(self, now: float) -> list[actions.Action]:
         """Dispatch the calls whose upstreams may have room by now."""
-        waiting, self.waiting = self.waiting, {}
-        done: list[actions.Action] = []
+        waiting, self.waiting_calls = self.waiting_calls, {}
+        planned: list[actions.Action] = []
         for call in waiting.values():
-            done += self.dispatch(call, now)
-        return done
+            planned += self.dispatch_call(call, now)
+        return planned
 
-    def permit_overdue(
+    def handle_permit_timeout(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
         """Look a last time for an upstream with room."""
-        call = self.waiting.pop(exchange, None)
-        return self.dispatch(call, now) if call is not None else []
+        call = self.waiting_calls.pop(exchange, None)
+        return self.dispatch_call(call, now) if call is not None else []
 
-    def hand_over(
+    def start_try(
         self,
         call: Call,
         upstream: configuration_state.Upstream,
@@ -179,24 +191,24 @@
         """Begin one more try at an upstream."""
         exchange = call.request.exchange
         call.dispatches += 1
-        number = call.dispatches
-        call.under_way[number] = upstream
-        call.began_at[number] = now
+        try_number = call.dispatches
+        call.tries_in_flight[try_number] = upstream
+        call.began_at[try_number] = now
         self.directory.add_in_flight(upstream.name)
         self.directory.limits.spend_permit(upstream.name, now)
-        done: list[actions.Action] = [
+        planned: list[actions.Action] = [
             self.timeline(
-                call, 'call-dispatched', f'try {number}', upstream.name
+                call, 'call-dispatched', f'try {try_number}', upstream.name
             ),
-            actions.DispatchCall(exchange, upstream, call.request, number),
+            actions.DispatchCall(exchange, upstream, call.request, try_number),
         ]
         if call.service.idempotent:
-            stalls_at = now + call.service.recovery.most_stall
+            stall_at = now + call.service.recovery.most_stall
             timer = f'{STALL_TIMER}:{exchange}'
-            done.append(actions.SetTimer(timer, stalls_at))
-        return done
+            planned.append(actions.SetTimer(timer, stall_at))
+        return planned
 
-    def stalled(self, exchange: int, now: float) -> list[actions.Action]:
+    def handle_stall(self, exchange: int, now: float) -> list[actions.Action]:
         """Try a silent call once more, beside the tries that are under way.
 
         A connection can go silent for good while new ones work, and nothing
@@ -204,26 +216,32 @@
         not given up: its answer may still be the first to come.
         """
         call = self.calls.get(exchange)
-        if call is None or not call.under_way or not call.service.idempotent:
+        if (
+            call is None
+            or not call.tries_in_flight
+            or not call.service.idempotent
+        ):
             return []
-        if self.guard.must_not_run(call.request, now) or not self.may_repeat(
+        if self.guard.must_not_run(call.request, now) or not self.spend_retry(
             call
         ):
             return []
         account = call.request.request.account
         self.directory.limits.set_retry_requester(account, now)
-        tried = {upstream.name for upstream in call.under_way.values()}
+        tried_names = {
+            upstream.name for upstream in call.tries_in_flight.values()
+        }
         priority = call.service.priority
         view = self.directory.choose_upstream(
-            call.pool, call.excluded | tried, now, priority
+            call.pool, call.excluded | tried_names, now, priority
         ) or self.directory.choose_upstream(
             call.pool, call.excluded, now, priority
         )
         if view is None:
             return []
-        return self.hand_over(call, view.upstream, now)
+        return self.start_try(call, view.upstream, now)
 
-    def answered(
+    def handle_answer(
         self, event: events.CallAnswered, now: float
     ) -> list[actions.Action]:
         """Pass the answer on.
@@ -235,17 +253,17 @@
         upstream = self.end_try(call, event.try_number) if call else None
         if call is None or upstream is None:
             return []
-        self.advice.record_success()
+        self.retry_advice.record_success()
         self.guard.record_survival(call.request, now)
-        for silent in call.under_way.values():
+        for silent in call.tries_in_flight.values():
             if silent.name != upstream.name:
                 self.directory.mark_suspected(silent.name, now)
         return [
             actions.SendAnswer(event.exchange, event.status, event.body),
-            *self.close(call),
+            *self.close_call(call),
         ]
 
-    def broken(
+    def handle_broken_try(
         self, event: events.CallBroken, now: float
     ) -> list[actions.Action]:
         """Repeat the call elsewhere where that is safe; else say so."""
@@ -256,42 +274,46 @@
         self.directory.mark_suspected(upstream.name, now)
         call.excluded.add(upstream.name)
         call.may_have_run = call.may_have_run or event.handed_over
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         if event.handed_over:
-            done = self.suspect(call, upstream, event.try_number, now)
-        if call.under_way:
-            return done
+            planned = self.request_crash_check(
+                call, upstream, event.try_number, now
+            )
+        if call.tries_in_flight:
+            return planned
         if self.guard.must_not_run(call.request, now):
-            return done + self.fail(call, crash_guard.BLOCKED_RAN_CODE, None)
-        if self.may_repeat(call):
-            return done + self.dispatch(call, now)
-        return done + self.fail(
-            call, 'upstream-lost', self.advice.record_failure()
+            return planned + self.fail_call(
+                call, crash_guard.BLOCKED_RAN_CODE, None
+            )
+        if self.spend_retry(call):
+            return planned + self.dispatch_call(call, now)
+        return planned + self.fail_call(
+            call, 'upstream-lost', self.retry_advice.record_failure()
         )
 
-    def suspect(
+    def request_crash_check(
         self,
         call: Call,
         upstream: configuration_state.Upstream,
-        number: int,
+        try_number: int,
         now: float,
     ) -> list[actions.Action]:
         """Have an upstream asked whether it has crashed."""
         view = self.directory.views.get(upstream.name)
         incarnation = view.incarnation if view else ''
         return self.guard.suspect_upstream(
-            call.request, upstream, incarnation, call.began_at[number], now
+            call.request, upstream, incarnation, call.began_at[try_number], now
         )
 
-    def may_repeat(self, call: Call) -> bool:
+    def spend_retry(self, call: Call) -> bool:
         """Return whether a broken call may be dispatched once more."""
         if call.may_have_run and not call.service.idempotent:
             return False
-        if call.dispatches >= MOST_DISPATCHES:
+        if call.dispatches >= MAX_DISPATCHES:
             return False
-        return self.budget.take_retry(call.request.request.account)
+        return self.retry_budget.take_retry(call.request.request.account)
 
-    def deadline_passed(self, exchange: int) -> list[actions.Action]:
+    def handle_deadline(self, exchange: int) -> list[actions.Action]:
         """Give the final answer at the caller's deadline.
 
         A claimed call goes on without its caller for a while. Abandoned now,
@@ -299,33 +321,35 @@
         to its end would be told "outcome unknown".
         """
         call = self.calls.get(exchange)
-        if call is None or call.told:
+        if call is None or call.is_caller_answered:
             return []
-        if not call.under_way or not is_claimed(call):
+        if not call.tries_in_flight or not is_claimed(call):
             return [
                 actions.AbandonCall(exchange),
-                *self.fail(call, 'deadline-passed', None),
+                *self.fail_call(call, 'deadline-passed', None),
             ]
-        call.told = True
-        give_up_at = call.request.deadline + OUTCOME_PATIENCE_SECONDS
+        call.is_caller_answered = True
+        give_up_at = call.request.deadline + OUTCOME_TIMEOUT_SECONDS
         return [
-            *self.tell(call, 'deadline-passed', self.advice.add_jitter(1.0)),
+            *self.send_failure(
+                call, 'deadline-passed', self.retry_advice.add_jitter(1.0)
+            ),
             actions.SetTimer(f'{OUTCOME_TIMER}:{exchange}', give_up_at),
         ]
 
-    def awaits_outcome(self, exchange: int) -> bool:
+    def is_awaiting_outcome(self, exchange: int) -> bool:
         """Return whether a call only waits for its outcome."""
         call = self.calls.get(exchange)
-        return call is not None and call.told
+        return call is not None and call.is_caller_answered
 
-    def outcome_ended(self, exchange: int) -> list[actions.Action]:
+    def stop_awaiting_outcome(self, exchange: int) -> list[actions.Action]:
         """Stop waiting for an outcome, known by now or not."""
         call = self.calls.get(exchange)
         if call is None:
             return []
-        return [actions.AbandonCall(exchange), *self.close(call)]
+        return [actions.AbandonCall(exchange), *self.close_call(call)]
 
-    def caller_gone(self, exchange: int) -> list[actions.Action]:
+    def handle_caller_gone(self, exchange: int) -> list[actions.Action]:
         """Let a dispatched call end by itself; drop one that waits.
 
         A call that may have run is not abandoned: its outcome still has to be
@@ -334,18 +358,21 @@
         call = self.calls.get(exchange)
         if call is None or call.dispatches:
             return []
-        return self.close(call)
+        return self.close_call(call)
 
-    def fail(
+    def fail_call(
         self,
         call: Call,
         code: str,
         retry_after: float | None,
     ) -> list[actions.Action]:
         """Give the caller its final answer, and forget the call."""
-        return [*self.tell(call, code, retry_after), *self.close(call)]
+        return [
+            *self.send_failure(call, code, retry_after),
+            *self.close_call(call),
+        ]
 
-    def tell(
+    def send_failure(
         self, call: Call, code: str, retry_after: float | None
     ) -> list[actions.Action]:
         """Give the caller its final answer."""
@@ -357,29 +384,29 @@
             actions.SendFailure(call.request.exchange, failure),
         ]
 
-    def close(self, call: Call) -> list[actions.Action]:
+    def close_call(self, call: Call) -> list[actions.Action]:
         """Forget a call that has had its final answer."""
         exchange = call.request.exchange
-        done: list[actions.Action] = []
-        if call.under_way:
-            done.append(actions.AbandonCall(exchange))
-        for number in list(call.under_way):
-            self.end_try(call, number)
+        planned: list[actions.Action] = []
+        if call.tries_in_flight:
+            planned.append(actions.AbandonCall(exchange))
+        for try_number in list(call.tries_in_flight):
+            self.end_try(call, try_number)
         self.calls.pop(exchange, None)
-        if self.waiting.pop(exchange, None) is not None:
-            done.append(actions.ClearTimer(f'{PERMIT_TIMER}:{exchange}'))
+        if self.waiting_calls.pop(exchange, None) is not None:
+            planned.append(actions.ClearTimer(f'{PERMIT_TIMER}:{exchange}'))
         return [
-            *done,
+            *planned,
             actions.ClearTimer(f'{STALL_TIMER}:{exchange}'),
             actions.ClearTimer(f'{DEADLINE_TIMER}:{exchange}'),
             actions.ClearTimer(f'{OUTCOME_TIMER}:{exchange}'),
         ]
 
     def end_try(
-        self, call: Call, number: int
+        self, call: Call, try_number: int
     ) -> configuration_state.Upstream | None:
         """Count a try as ended and return its upstream, if it had not."""
-        upstream = call.under_way.pop(number, None)
+        upstream = call.tries_in_flight.pop(try_number, None)
         if upstream is not None:
             self.directory.remove_in_flight(upstream.name)
         return upstream
--- a/src/greengagelb/coordination/events.py
+++ b/src/greengagelb/coordination/events.py
@@ -124,7 +124,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LoadsHeard:
+class PeerLoadsReceived:
     """Another instance passes on the loads of upstreams that it watches.
 
     The indices are those of the configuration in force here.
@@ -145,7 +145,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CrashesHeard:
+class CrashReportsReceived:
     """Another instance tells of requests that crash engines."""
 
     reports: tuple[crashes.CrashReport, ...]
@@ -250,21 +250,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FleetSized:
+class FleetSizeChanged:
     """How many instances of this data centre may be serving, this one too."""
 
     live_instances: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeersKnown:
+class PeersChanged:
     """Which other instances may be serving, and their data centres."""
 
     peers: tuple[tuple[str, str], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerTold:
+class PeerMessageReceived:
     """Another instance says something about limits."""
 
     incarnation: str
@@ -277,7 +277,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PauseNoticed:
+class PauseDetected:
     """The event loop woke ``seconds`` later than planned.
 
     The process was stopped or starved. Timers fire before sockets are read
@@ -307,8 +307,8 @@
     | AttemptCancelled
     | CancelFailed
     | UpstreamReported
-    | LoadsHeard
-    | CrashesHeard
+    | PeerLoadsReceived
+    | CrashReportsReceived
     | EngineCacheChanged
     | UpstreamUnreachable
     | UpstreamLeaving
@@ -319,10 +319,10 @@
     | CallBroken
     | ConfigurationOffered
     | UpstreamsHeld
-    | FleetSized
-    | PeersKnown
-    | PeerTold
+    | FleetSizeChanged
+    | PeersChanged
+    | PeerMessageReceived
     | StopRequested
-    | PauseNoticed
+    | PauseDetected
     | TimerFired
 )
--- a/src/greengagelb/coordination/fleet/membership.py
+++ b/src/greengagelb/coordination/fleet/membership.py
@@ -189,10 +189,14 @@
                 EmitEvent(events.UpstreamLeaving(engine, f'peer {peer.name}'))
             )
         if heartbeat.crash_reports:
-            crashes_heard = events.CrashesHeard(heartbeat.crash_reports)
+            crashes_heard = events.CrashReportsReceived(
+                heartbeat.crash_reports
+            )
             actions.append(EmitEvent(crashes_heard))
         if heartbeat.loads and heartbeat.version == self.own_state.version:
-            actions.append(EmitEvent(events.LoadsHeard(heartbeat.loads)))
+            actions.append(
+                EmitEvent(events.PeerLoadsReceived(heartbeat.loads))
+            )
         return [
             *actions,
             *self.request_newer_configuration(view, now),
@@ -529,11 +533,11 @@
         peers = self.serving_peers(now)
         if peers != self.reported_peers:
             self.reported_peers = peers
-            actions.append(EmitEvent(events.PeersKnown(peers)))
+            actions.append(EmitEvent(events.PeersChanged(peers)))
         size = self.count_live_instances(now)
         if size != self.reported_instance_count:
             self.reported_instance_count = size
-            actions.append(EmitEvent(events.FleetSized(size)))
+            actions.append(EmitEvent(events.FleetSizeChanged(size)))
         return actions
 
     def serving_peers(self, now: float) -> tuple[tuple[str, str], ...]:
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -372,7 +372,7 @@
     def pending_actions(self, now: float) -> list[actions.Action]:
         """Return the messages to send and the timer to set, if it changed."""
         due_actions: list[actions.Action] = [
-            actions.TellPeer(outgoing.receiver, outgoing.message)
+            actions.SendPeerMessage(outgoing.receiver, outgoing.message)
             for outgoing in self.keeper.outgoing
         ]
         self.keeper.outgoing.clear()
--- a/src/greengagelb/coordination/lifecycle.py
+++ b/src/greengagelb/coordination/lifecycle.py
@@ -23,7 +23,7 @@
     ENDED = 'ended'
 
 
-ENDING = (Phase.STOPPING, Phase.FINISHED, Phase.ENDED)
+ENDING_PHASES = (Phase.STOPPING, Phase.FINISHED, Phase.ENDED)
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,19 +36,19 @@
 class Lifecycle(Protocol):
     """What can happen to an instance as a whole."""
 
-    def configured(self) -> None:
+    def configuration_applied(self) -> None:
         """A configuration was applied."""
 
     def stop_requested(self) -> None:
         """The platform asks the instance to stop; asking twice is harmless."""
 
-    def request_taken(self) -> None:
+    def request_accepted(self) -> None:
         """A request is about to be sent on, or to wait for that."""
 
-    def emptied(self) -> None:
+    def work_finished(self) -> None:
         """Nothing is in flight, and nothing new is taken."""
 
-    def closed(self) -> None:
+    def connections_closed(self) -> None:
         """All that was written is out, and nobody can connect any more."""
 
 
@@ -60,8 +60,8 @@
 ended = builder.state('ended')
 
 
-@starting.upon(Lifecycle.configured).to(serving)
-def begin_to_serve(machine: Lifecycle, progress: Progress) -> None:
+@starting.upon(Lifecycle.configuration_applied).to(serving)
+def start_serving(machine: Lifecycle, progress: Progress) -> None:
     """Take requests from now on."""
     progress.phase = Phase.SERVING
 
@@ -73,13 +73,13 @@
 
 
 @serving.upon(Lifecycle.stop_requested).to(stopping)
-def begin_to_stop(machine: Lifecycle, progress: Progress) -> None:
+def start_stopping(machine: Lifecycle, progress: Progress) -> None:
     """Take no new request; what is in flight goes on."""
     progress.phase = Phase.STOPPING
 
 
-@stopping.upon(Lifecycle.emptied).to(finished)
-def finish(machine: Lifecycle, progress: Progress) -> None:
+@stopping.upon(Lifecycle.work_finished).to(finished)
+def finish_stopping(machine: Lifecycle, progress: Progress) -> None:
     """Take nothing any more, and let the process end once that is told.
 
     A request that were sent to an engine from now on would be cut with the
@@ -89,18 +89,18 @@
     progress.phase = Phase.FINISHED
 
 
-@finished.upon(Lifecycle.closed).to(ended)
-def end(machine: Lifecycle, progress: Progress) -> None:
+@finished.upon(Lifecycle.connections_closed).to(ended)
+def end_process(machine: Lifecycle, progress: Progress) -> None:
     """End the process."""
     progress.phase = Phase.ENDED
 
 
-@serving.upon(Lifecycle.configured).loop()
-@serving.upon(Lifecycle.request_taken).loop()
-@stopping.upon(Lifecycle.request_taken).loop()
-@stopping.upon(Lifecycle.configured).loop()
-@finished.upon(Lifecycle.configured).loop()
-@ended.upon(Lifecycle.configured).loop()
+@serving.upon(Lifecycle.configuration_applied).loop()
+@serving.upon(Lifecycle.request_accepted).loop()
+@stopping.upon(Lifecycle.request_accepted).loop()
+@stopping.upon(Lifecycle.configuration_applied).loop()
+@finished.upon(Lifecycle.configuration_applied).loop()
+@ended.upon(Lifecycle.configuration_applied).loop()
 @stopping.upon(Lifecycle.stop_requested).loop()
 @finished.upon(Lifecycle.stop_requested).loop()
 @ended.upon(Lifecycle.stop_requested).loop()
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -22,7 +22,7 @@
 from greengagelb.coordination.sharing import crash_guard
 from greengagelb.coordination.sharing import fair_queue
 from greengagelb.coordination.streams import cancellations
-from greengagelb.coordination.streams import continuing
+from greengagelb.coordination.streams import supervisor
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import limits
 from greengagelb.state import requests
@@ -47,20 +47,23 @@
         )
         self.limits = self.directory.limits
         self.admission = admission.AdmissionControl(rng)
-        self.accounts: dict[str, configuration_state.ClientAccount] = {}
-        self.cancels = cancellations.CancellationSupervisor()
+        self.account_by_name: dict[str, configuration_state.ClientAccount] = {}
+        self.cancellation_supervisor = cancellations.CancellationSupervisor()
         self.guard = crash_guard.CrashGuard()
-        self.streams = continuing.StreamSupervisor(
-            self.directory, self.cancels, incarnation, self.guard
+        self.stream_supervisor = supervisor.StreamSupervisor(
+            self.directory,
+            self.cancellation_supervisor,
+            incarnation,
+            self.guard,
         )
-        self.calls = dispatching.CallSupervisor(
+        self.call_supervisor = dispatching.CallSupervisor(
             self.directory, rng, self.guard
         )
-        self.claims = claims.ClaimKeeper(incarnation, rng)
-        self.waiting: dict[
+        self.claim_supervisor = claims.ClaimSupervisor(incarnation, rng)
+        self.waiting_requests: dict[
             int, tuple[fair_queue.Ticket, arrivals.Arrival]
         ] = {}
-        self.abandoned: set[int] = set()
+        self.abandoned_exchanges: set[int] = set()
         self.progress = lifecycle.Progress()
         self.lifecycle = lifecycle.new_lifecycle(self.progress)
 
@@ -70,55 +73,61 @@
         return self.admission.running
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the platform's balancer may send callers here."""
         return self.progress.phase is lifecycle.Phase.SERVING
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         """Return whether this instance was asked to stop."""
-        return self.progress.phase in lifecycle.ENDING
+        return self.progress.phase in lifecycle.ENDING_PHASES
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
         """Decide what an event leads to."""
-        done = self.decide(event, now)
-        done += self.claims.served(done, now)
-        self.release_finished(event, done, now)
+        planned = self.decide_event(event, now)
+        planned += self.claim_supervisor.settle_answered_claims(planned, now)
+        self.release_ended_requests(event, planned, now)
         for name in self.limits.process_permit_outcomes(now):
             self.directory.mark_possible_room(name)
-        started = self.start_waiting(now)
-        self.release_finished(event, started, now)
-        done += started
-        wanted = bool(
-            self.waiting
-            or self.streams.ladder.recovering
-            or self.calls.waiting
+        started = self.start_waiting_requests(now)
+        self.release_ended_requests(event, started, now)
+        planned += started
+        has_waiting_work = bool(
+            self.waiting_requests
+            or self.stream_supervisor.stream_recovery.recovering_streams
+            or self.call_supervisor.waiting_calls
         )
-        self.limits.return_permits(wanted, now)
-        done += self.limits.pending_actions(now)
+        self.limits.return_permits(has_waiting_work, now)
+        planned += self.limits.pending_actions(now)
         if isinstance(event, arrivals.Arrival):
-            done += self.queue_timer(event.request.exchange)
-        if self.progress.phase is lifecycle.Phase.STOPPING and self.idle:
-            self.lifecycle.emptied()
-            done.append(actions.FinishStopping())
-        return done
+            planned += self.queue_timer(event.request.exchange)
+        if self.progress.phase is lifecycle.Phase.STOPPING and self.is_idle:
+            self.lifecycle.work_finished()
+            planned.append(actions.FinishStopping())
+        return planned
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Return whether nothing is in flight, claims to settle included."""
-        return not (self.running or self.waiting or self.claims.claims)
+        return not (
+            self.running
+            or self.waiting_requests
+            or self.claim_supervisor.claim_by_holder
+        )
 
-    def answered(
-        self, found: upstream_limits.UpstreamAnswer | None, now: float
+    def apply_limit_answer(
+        self, answer: upstream_limits.UpstreamAnswer | None, now: float
     ) -> list[actions.Action]:
         """Take in what an answer says of its upstream."""
-        if found is None:
+        if answer is None:
             return []
-        view = self.directory.views.get(found.upstream)
-        known = view.incarnation if view else ''
-        return self.limits.handle_answer(found, known, now)
+        view = self.directory.views.get(answer.upstream)
+        known_incarnation = view.incarnation if view else ''
+        return self.limits.handle_answer(answer, known_incarnation, now)
 
-    def decide(self, event: events.Event, now: float) -> list[actions.Action]:
+    def decide_event(
+        self, event: events.Event, now: float
+    ) -> list[actions.Action]:
         """Pass an event to the object that it concerns."""
         match event:
             case (
@@ -126,59 +135,88 @@
                 | events.GenerationResumed()
                 | events.CallSubmitted()
             ):
-                return self.arrive(event, now)
+                return self.admit_request(event, now)
             case events.CallerGone(exchange):
-                return self.caller_gone(exchange, now)
+                return self.handle_caller_gone(exchange, now)
             case events.AttemptAccepted():
-                said = self.answered(self.streams.answer_in(event), now)
-                return said + self.streams.accepted(event, now)
+                limit_actions = self.apply_limit_answer(
+                    self.stream_supervisor.find_limit_answer(event), now
+                )
+                return (
+                    limit_actions
+                    + self.stream_supervisor.handle_attempt_accepted(
+                        event, now
+                    )
+                )
             case events.TokensArrived():
-                return self.streams.arrived(event, now)
+                return self.stream_supervisor.handle_tokens(event, now)
             case events.AttemptEnded():
-                return self.streams.ended(event, now)
+                return self.stream_supervisor.handle_attempt_ended(event, now)
             case events.AttemptRefused():
-                said = self.answered(self.streams.answer_in(event), now)
-                return said + self.streams.refused(event, now)
+                limit_actions = self.apply_limit_answer(
+                    self.stream_supervisor.find_limit_answer(event), now
+                )
+                return (
+                    limit_actions
+                    + self.stream_supervisor.handle_attempt_refused(event, now)
+                )
             case events.AttemptBroken():
-                return self.streams.broken(event, now)
+                return self.stream_supervisor.handle_attempt_broken(event, now)
             case events.AttemptCancelled(attempt):
-                return self.cancels.confirmed(attempt)
+                return self.cancellation_supervisor.handle_confirmation(
+                    attempt
+                )
             case events.CancelFailed(attempt):
-                return self.cancels.failed(attempt, now)
+                return self.cancellation_supervisor.schedule_retry(
+                    attempt, now
+                )
             case (
                 events.ClaimWritten()
                 | events.ClaimConflicted()
                 | events.ClaimWriteFailed()
             ):
-                step = self.claims.answered(event, now)
-                return step.actions + self.begin_granted(step.granted, now)
+                step = self.claim_supervisor.handle_write_result(event, now)
+                return step.actions + self.start_granted_request(
+                    step.granted_request, now
+                )
             case events.CallAnswered() | events.CallBroken():
-                said = self.answered(self.calls.answer_in(event), now)
-                return said + self.call_ended(event, now)
+                limit_actions = self.apply_limit_answer(
+                    self.call_supervisor.find_limit_answer(event), now
+                )
+                return limit_actions + self.handle_try_end(event, now)
             case events.TimerFired(name):
-                return self.timer_fired(name, now)
+                return self.handle_timer(name, now)
             case _:
-                return self.decide_of_the_fleet(event, now)
+                return self.decide_fleet_event(event, now)
 
-    def call_ended(
+    def handle_try_end(
         self, event: events.CallAnswered | events.CallBroken, now: float
     ) -> list[actions.Action]:
         """Handle the end of one try of a call."""
         match event:
             case events.CallAnswered(exchange, status, body):
-                if self.calls.awaits_outcome(exchange):
-                    kept = self.claims.finish(exchange, status, body, now)
-                    return kept + self.calls.outcome_ended(exchange)
-                return self.calls.answered(event, now)
+                if self.call_supervisor.is_awaiting_outcome(exchange):
+                    settled = self.claim_supervisor.settle_with_answer(
+                        exchange, status, body, now
+                    )
+                    return (
+                        settled
+                        + self.call_supervisor.stop_awaiting_outcome(exchange)
+                    )
+                return self.call_supervisor.handle_answer(event, now)
             case events.CallBroken(exchange, handed_over=handed_over):
-                if self.calls.awaits_outcome(exchange):
-                    ended = self.calls.outcome_ended(exchange)
+                if self.call_supervisor.is_awaiting_outcome(exchange):
+                    ended = self.call_supervisor.stop_awaiting_outcome(
+                        exchange
+                    )
                     if handed_over:
                         return ended
-                    return ended + self.claims.proved_unrun(exchange, now)
-                return self.calls.broken(event, now)
+                    return ended + self.claim_supervisor.release_unrun_request(
+                        exchange, now
+                    )
+                return self.call_supervisor.handle_broken_try(event, now)
 
-    def decide_of_the_fleet(
+    def decide_fleet_event(
         self, event: events.Event, now: float
     ) -> list[actions.Action]:
         """Handle what concerns no single request."""
@@ -190,11 +228,13 @@
                 )
                 self.directory.apply_report(event, now)
                 return [
-                    *self.crashes_found(crashed, event.engine.name, now),
-                    *self.cancels.engine_reported(event.engine),
-                    *self.streams.engine_reported(event, now),
+                    *self.report_crashes(crashed, event.engine.name, now),
+                    *self.cancellation_supervisor.handle_engine_report(
+                        event.engine
+                    ),
+                    *self.stream_supervisor.handle_engine_report(event, now),
                 ]
-            case events.LoadsHeard(loads):
+            case events.PeerLoadsReceived(loads):
                 self.directory.apply_peer_loads(loads, now)
                 return []
             case events.EngineCacheChanged():
@@ -204,12 +244,12 @@
                 self.directory.mark_suspected(name, now)
                 crashed = self.guard.handle_unreachable(event, now)
                 return [
-                    *self.crashes_found(crashed, name, now),
+                    *self.report_crashes(crashed, name, now),
                     *self.guard.schedule_probe(event, now),
                 ]
-            case events.CrashesHeard(reports):
+            case events.CrashReportsReceived(reports):
                 blocked = self.guard.merge_reports(reports, now)
-                return self.block(blocked, now)
+                return self.stop_blocked_requests(blocked, now)
             case events.UpstreamLeaving():
                 self.directory.mark_leaving(event, now)
                 return []
@@ -217,114 +257,118 @@
                 freed = self.directory.hold_upstreams(event, now)
                 return [actions.ProbeUpstream(upstream) for upstream in freed]
             case events.ConfigurationOffered():
-                return self.configure(event)
-            case events.FleetSized(live_instances):
+                return self.apply_configuration(event)
+            case events.FleetSizeChanged(live_instances):
                 self.admission.resize(live_instances)
                 self.directory.set_live_instances(live_instances)
                 self.limits.keeper.resize(live_instances, 0.0, now)
                 return []
-            case events.PeersKnown(peers):
+            case events.PeersChanged(peers):
                 self.limits.update_peers(dict(peers), now)
                 return []
-            case events.PeerTold(incarnation, message):
-                return self.peer_told(incarnation, message, now)
+            case events.PeerMessageReceived(incarnation, message):
+                return self.handle_peer_message(incarnation, message, now)
             case events.StopRequested():
                 self.lifecycle.stop_requested()
                 return [actions.Record('stopping', 'stop requested')]
-            case events.PauseNoticed(seconds):
+            case events.PauseDetected(seconds):
                 return [
                     actions.Record('own-pause', f'{seconds:.3f} s'),
-                    *self.streams.pause_noticed(now),
+                    *self.stream_supervisor.reset_stall_timers(now),
                 ]
         return []
 
-    def peer_told(
+    def handle_peer_message(
         self, incarnation: str, message: limits.Message, now: float
     ) -> list[actions.Action]:
         """Take in what another instance says about limits."""
-        known = ''
+        known_incarnation = ''
         if isinstance(message, limits.LimitNews):
             name = upstream_limits.upstream_of_life(message.life)
             view = self.directory.views.get(name)
-            known = view.incarnation if view else ''
+            known_incarnation = view.incarnation if view else ''
         return self.limits.handle_peer_message(
-            incarnation, message, known, now
+            incarnation, message, known_incarnation, now
         )
 
     # -- requests that crash engines ----------------------------------------
 
-    def crashes_found(
+    def report_crashes(
         self, fingerprints_found: list[str], upstream: str, now: float
     ) -> list[actions.Action]:
         """Put crashes on the time line; stop what must not run any more."""
-        told: list[actions.Action] = [
+        recorded: list[actions.Action] = [
             actions.Record(
-                'engine-crashed', f'fingerprint {one}', upstream=upstream
+                'engine-crashed',
+                f'fingerprint {fingerprint}',
+                upstream=upstream,
             )
-            for one in fingerprints_found
+            for fingerprint in fingerprints_found
         ]
-        return told + self.block(fingerprints_found, now)
+        return recorded + self.stop_blocked_requests(fingerprints_found, now)
 
-    def block(
+    def stop_blocked_requests(
         self, fingerprints_found: list[str], now: float
     ) -> list[actions.Action]:
         """Stop what runs of requests that must not run any more."""
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         for fingerprint in fingerprints_found:
             if self.guard.records.is_blocked(fingerprint, now):
-                why = f'fingerprint {fingerprint}'
-                done.append(actions.Record('request-blocked', why))
-                done += self.streams.block(fingerprint)
-        return done
+                reason = f'fingerprint {fingerprint}'
+                planned.append(actions.Record('request-blocked', reason))
+                planned += self.stream_supervisor.stop_blocked_streams(
+                    fingerprint
+                )
+        return planned
 
     # -- arrivals -----------------------------------------------------------
 
-    def arrive(
+    def admit_request(
         self, event: arrivals.Arrival, now: float
     ) -> list[actions.Action]:
         """Admit a request, let it wait, or refuse it at once."""
         request = event.request
-        account = self.accounts.get(request.request.account)
+        account = self.account_by_name.get(request.request.account)
         service = arrivals.resolve_service(self.configuration, request)
-        refusal = self.refusal(event, account, service)
+        refusal = self.find_refusal(event, account, service)
         if refusal is not None or account is None or service is None:
-            truthful = arrivals.truthful_answer(refusal, event, service)
-            return [actions.SendFailure(request.exchange, truthful)]
-        until = self.guard.blocked_until(request, now)
-        if until is not None:
+            failure_to_send = arrivals.truthful_answer(refusal, event, service)
+            return [actions.SendFailure(request.exchange, failure_to_send)]
+        blocked_until = self.guard.blocked_until(request, now)
+        if blocked_until is not None:
             refusal = arrivals.not_run_failure(
                 crash_guard.BLOCKED_NOT_RUN_CODE,
                 f'service {service.name}',
-                until - now,
+                blocked_until - now,
             )
-            truthful = arrivals.truthful_answer(refusal, event, service)
-            return [actions.SendFailure(request.exchange, truthful)]
+            failure_to_send = arrivals.truthful_answer(refusal, event, service)
+            return [actions.SendFailure(request.exchange, failure_to_send)]
         ticket = arrivals.build_ticket(event, service, now)
         resumes = isinstance(event, events.GenerationResumed)
         refusal = self.admission.refusal(ticket, account, resumes, now)
-        refusal = refusal or self.limit_refusal(ticket, now)
+        refusal = refusal or self.find_limit_refusal(ticket, now)
         if refusal is not None:
-            truthful = arrivals.truthful_answer(refusal, event, service)
-            return [actions.SendFailure(request.exchange, truthful)]
+            failure_to_send = arrivals.truthful_answer(refusal, event, service)
+            return [actions.SendFailure(request.exchange, failure_to_send)]
         self.admission.push(ticket)
-        self.waiting[request.exchange] = (ticket, event)
+        self.waiting_requests[request.exchange] = (ticket, event)
         return []
 
-    def limit_refusal(
+    def find_limit_refusal(
         self, ticket: fair_queue.Ticket, now: float
     ) -> requests.Failure | None:
         """Return why the limits of upstreams leave no place for a request."""
-        ahead = self.admission.waiting_before(ticket)
-        wait = self.wait_for_limits(ticket, ahead, now)
-        if now + wait <= min(ticket.deadline, ticket.start_by):
+        ahead_count = self.admission.waiting_before(ticket)
+        wait_seconds = self.limit_wait_seconds(ticket, ahead_count, now)
+        if now + wait_seconds <= min(ticket.deadline, ticket.start_by):
             return None
-        detail = f'would have to wait for about {wait:.1f} s'
+        detail = f'would have to wait for about {wait_seconds:.1f} s'
         return self.admission.not_run_failure(
-            dispatching.LIMITED_CODE, detail, wait
+            dispatching.LIMITED_CODE, detail, wait_seconds
         )
 
-    def wait_for_limits(
-        self, ticket: fair_queue.Ticket, ahead: int, now: float
+    def limit_wait_seconds(
+        self, ticket: fair_queue.Ticket, ahead_count: int, now: float
     ) -> float:
         """Return how long limits keep a request with others ahead of it."""
         pool = self.configuration.find_pool(ticket.pool)
@@ -334,17 +378,17 @@
         if not names:
             return 0.0
         return self.limits.estimate_wait_seconds(
-            names, ticket.account, ahead, now
+            names, ticket.account, ahead_count, now
         )
 
-    def refusal(
+    def find_refusal(
         self,
         event: arrivals.Arrival,
         account: configuration_state.ClientAccount | None,
         service: configuration_state.Service | None,
     ) -> requests.Failure | None:
         """Return why a request can't be taken now, or None."""
-        if self.stopping:
+        if self.is_stopping:
             detail = 'this instance is stopping'
             return arrivals.not_run_failure('stopping', detail, 0.0)
         return arrivals.find_refusal(event, account, service)
@@ -355,14 +399,14 @@
         Without it a caller would hear nothing past its deadline for as long
         as the upstreams stay busy.
         """
-        if exchange not in self.waiting:
+        if exchange not in self.waiting_requests:
             return []
-        ticket, _ = self.waiting[exchange]
+        ticket, _ = self.waiting_requests[exchange]
         name = timers.timer_name(arrivals.QUEUE_TIMER, exchange)
         give_up_at = min(ticket.deadline, ticket.start_by)
         return [actions.SetTimer(name, give_up_at)]
 
-    def start_waiting(self, now: float) -> list[actions.Action]:
+    def start_waiting_requests(self, now: float) -> list[actions.Action]:
         """Start waiting requests for which there is room.
 
         Tokens are by far the most frequent events, and free no place: where
@@ -372,13 +416,13 @@
             return []
         self.admission.recheck_needed = False
         self.directory.room_changed = False
-        done = self.streams.recover_waiting(now)
-        done += self.calls.go_on_waiting(now)
+        planned = self.stream_supervisor.retry_recovering_streams(now)
+        planned += self.call_supervisor.dispatch_waiting_calls(now)
         for key in self.admission.queue_keys:
-            done += self.start_queue(key, now)
-        return done
+            planned += self.start_queued_requests(key, now)
+        return planned
 
-    def start_queue(
+    def start_queued_requests(
         self, key: admission.QueueKey, now: float
     ) -> list[actions.Action]:
         """Start requests of one queue until there is no room for its next.
@@ -386,20 +430,20 @@
         Accounts at their limit are set aside. Were they waited for, all
         others of the queue would wait with engines free.
         """
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         queue = self.admission.queues[key]
         while (ticket := queue.peek()) is not None:
-            account = self.accounts.get(ticket.account)
+            account = self.account_by_name.get(ticket.account)
             if account is not None and not self.admission.may_run(account):
                 self.admission.park_account(ticket)
                 continue
-            started = self.start(ticket, account, now)
+            started = self.start_request(ticket, account, now)
             if started is None:
                 break
-            done += started
-        return done
+            planned += started
+        return planned
 
-    def start(
+    def start_request(
         self,
         ticket: fair_queue.Ticket,
         account: configuration_state.ClientAccount | None,
@@ -407,15 +451,19 @@
     ) -> list[actions.Action] | None:
         """Start a request, or return None where there is no room."""
         pool = self.configuration.find_pool(ticket.pool)
-        event = self.waiting[ticket.exchange][1]
+        event = self.waiting_requests[ticket.exchange][1]
         service = arrivals.resolve_service(self.configuration, event.request)
         if account is None or pool is None or service is None:
-            return self.refuse_waiting(ticket, 'service-withdrawn', None)
+            return self.refuse_waiting_request(
+                ticket, 'service-withdrawn', None
+            )
         if now + self.admission.expected_run_seconds(ticket) > ticket.deadline:
-            wait = self.admission.expected_wait_seconds(ticket)
-            return self.refuse_waiting(ticket, 'deadline-too-near', wait)
+            wait_seconds = self.admission.expected_wait_seconds(ticket)
+            return self.refuse_waiting_request(
+                ticket, 'deadline-too-near', wait_seconds
+            )
         if ticket.priority is configuration_state.Priority.LONG and (
-            self.streams.recovers_in(pool)
+            self.stream_supervisor.has_recovering_stream_in(pool)
         ):
             return None
         start_by = min(ticket.deadline, ticket.start_by)
@@ -428,30 +476,36 @@
         )
         resumes = isinstance(event, events.GenerationResumed)
         if view is None and not resumes:
-            wait = self.wait_for_limits(ticket, 0, now)
-            if now + wait > start_by:
+            wait_seconds = self.limit_wait_seconds(ticket, 0, now)
+            if now + wait_seconds > start_by:
                 code = dispatching.LIMITED_CODE
-                return self.refuse_waiting(ticket, code, wait)
+                return self.refuse_waiting_request(ticket, code, wait_seconds)
             return None
-        del self.waiting[ticket.exchange]
+        del self.waiting_requests[ticket.exchange]
         self.admission.start_ticket(ticket, account.weight, now)
         timer = timers.timer_name(arrivals.QUEUE_TIMER, ticket.exchange)
-        done: list[actions.Action] = [actions.ClearTimer(timer)]
+        planned: list[actions.Action] = [actions.ClearTimer(timer)]
         if arrivals.needs_claim(event, service):
             if view is not None:
                 name, exchange = view.upstream.name, ticket.exchange
                 self.limits.reserve_permit(name, exchange, now)
-            return done + self.claims.begin(event.request)
+            return planned + self.claim_supervisor.start_claim(event.request)
         match event:
             case events.GenerationSubmitted(request):
-                done += self.streams.begin(request, service, pool, view, now)
+                planned += self.stream_supervisor.start_stream(
+                    request, service, pool, view, now
+                )
             case events.GenerationResumed():
-                done += self.streams.resume(event, service, pool, now)
+                planned += self.stream_supervisor.resume_stream(
+                    event, service, pool, now
+                )
             case events.CallSubmitted(call):
-                done += self.calls.begin(call, service, pool, now)
-        return done
+                planned += self.call_supervisor.start_call(
+                    call, service, pool, now
+                )
+        return planned
 
-    def begin_granted(
+    def start_granted_request(
         self, request: claims.Claimable | None, now: float
     ) -> list[actions.Action]:
         """Dispatch a request whose claim this instance holds now."""
@@ -468,48 +522,52 @@
             )
             return [actions.SendFailure(request.exchange, failure)]
         if isinstance(request, requests.CallRequest):
-            return self.calls.begin(request, service, pool, now)
+            return self.call_supervisor.start_call(request, service, pool, now)
         self.limits.set_retry_requester(request.request.account, now)
         pool = self.directory.serving_pool(pool, service.priority, now)
         view = self.directory.choose_upstream(
             pool, set(), now, service.priority
         )
         if view is None:
-            wait = self.claims.advice.record_failure()
+            wait_seconds = self.claim_supervisor.retry_advice.record_failure()
             failure = arrivals.not_run_failure(
-                'no-upstream', service.name, wait
+                'no-upstream', service.name, wait_seconds
             )
             return [actions.SendFailure(request.exchange, failure)]
-        return self.streams.begin(request, service, pool, view, now)
+        return self.stream_supervisor.start_stream(
+            request, service, pool, view, now
+        )
 
-    def refuse_waiting(
-        self, ticket: fair_queue.Ticket, code: str, wait: float | None
+    def refuse_waiting_request(
+        self, ticket: fair_queue.Ticket, code: str, wait_seconds: float | None
     ) -> list[actions.Action]:
         """Refuse a request that can't start any more."""
         self.admission.discard(ticket)
-        _, event = self.waiting.pop(ticket.exchange)
+        _, event = self.waiting_requests.pop(ticket.exchange)
         request = event.request
         service = arrivals.resolve_service(self.configuration, request)
         timer = timers.timer_name(arrivals.QUEUE_TIMER, ticket.exchange)
         failure = arrivals.not_run_failure(code, ticket.pool, None)
-        if wait is not None:
-            failure = self.admission.not_run_failure(code, ticket.pool, wait)
-        truthful = arrivals.truthful_answer(failure, event, service)
+        if wait_seconds is not None:
+            failure = self.admission.not_run_failure(
+                code, ticket.pool, wait_seconds
+            )
+        failure_to_send = arrivals.truthful_answer(failure, event, service)
         return [
             actions.ClearTimer(timer),
-            actions.SendFailure(ticket.exchange, truthful),
+            actions.SendFailure(ticket.exchange, failure_to_send),
         ]
 
     def is_in_progress(self, exchange: int) -> bool:
         """Return whether a request still waits for its final answer."""
         return (
-            exchange in self.streams.streams
-            or exchange in self.calls.calls
-            or self.claims.claiming(exchange) is not None
+            exchange in self.stream_supervisor.streams
+            or exchange in self.call_supervisor.calls
+            or self.claim_supervisor.find_pending_claim(exchange) is not None
         )
 
-    def release_finished(
-        self, event: events.Event, done: list[actions.Action], now: float
+    def release_ended_requests(
+        self, event: events.Event, planned: list[actions.Action], now: float
     ) -> None:
         """Give back the places of requests that have ended.
 
@@ -518,83 +576,97 @@
         as dear as relaying the tokens.
         """
         if isinstance(event, events.CallerGone):
-            self.abandoned.add(event.exchange)
-        for action in done:
+            self.abandoned_exchanges.add(event.exchange)
+        for action in planned:
             if isinstance(action, FinalAnswer):
-                self.release(action.exchange, tells_pace(action), now)
-        for exchange in list(self.abandoned):
+                self.release_request(
+                    action.exchange, has_typical_duration(action), now
+                )
+        for exchange in list(self.abandoned_exchanges):
             if not self.is_in_progress(exchange):
-                self.abandoned.discard(exchange)
-                self.release(exchange, False, now)
+                self.abandoned_exchanges.discard(exchange)
+                self.release_request(exchange, False, now)
 
-    def release(self, exchange: int, completed: bool, now: float) -> None:
+    def release_request(
+        self, exchange: int, is_completed: bool, now: float
+    ) -> None:
         """Give back the place of a request, if it has one and has ended."""
         if exchange not in self.running or self.is_in_progress(exchange):
             return
-        self.claims.leave_taken(exchange)
-        self.admission.finish_exchange(exchange, completed, now)
+        self.claim_supervisor.leave_row_taken(exchange)
+        self.admission.finish_exchange(exchange, is_completed, now)
 
     # -- other events -------------------------------------------------------
 
-    def caller_gone(self, exchange: int, now: float) -> list[actions.Action]:
+    def handle_caller_gone(
+        self, exchange: int, now: float
+    ) -> list[actions.Action]:
         """Stop what nobody waits for."""
-        if exchange in self.waiting:
-            ticket, _ = self.waiting.pop(exchange)
+        if exchange in self.waiting_requests:
+            ticket, _ = self.waiting_requests.pop(exchange)
             self.admission.discard(ticket)
             timer = timers.timer_name(arrivals.QUEUE_TIMER, exchange)
             return [actions.ClearTimer(timer)]
         return [
-            *self.claims.caller_gone(exchange, now),
-            *self.streams.caller_gone(exchange),
-            *self.calls.caller_gone(exchange),
+            *self.claim_supervisor.handle_caller_gone(exchange, now),
+            *self.stream_supervisor.handle_caller_gone(exchange),
+            *self.call_supervisor.handle_caller_gone(exchange),
         ]
 
-    def timer_fired(self, name: str, now: float) -> list[actions.Action]:
+    def handle_timer(self, name: str, now: float) -> list[actions.Action]:
         """Pass a timer to the object that set it."""
-        kind, _, rest = name.partition(':')
+        kind, _, timer_key = name.partition(':')
         match kind:
             case cancellations.CANCEL_TIMER:
-                return self.cancels.timer_fired(name)
+                return self.cancellation_supervisor.handle_timer(name)
             case upstream_limits.LIMITS_TIMER:
                 self.limits.handle_timer(now)
                 return []
             case crash_guard.PROBE_TIMER:
-                return self.guard.repeat_probe(rest)
+                return self.guard.repeat_probe(timer_key)
             case arrivals.QUEUE_TIMER:
-                return self.queued_too_long(int(rest), now)
+                return self.handle_queue_timeout(int(timer_key), now)
             case claims.DEADLINE_TIMER | claims.SETTLE_TIMER:
-                return self.claims.timer_fired(kind, rest, now)
+                return self.claim_supervisor.handle_timer(kind, timer_key, now)
             case dispatching.STALL_TIMER:
-                return self.calls.stalled(int(rest), now)
+                return self.call_supervisor.handle_stall(int(timer_key), now)
             case dispatching.PERMIT_TIMER:
-                return self.calls.permit_overdue(int(rest), now)
+                return self.call_supervisor.handle_permit_timeout(
+                    int(timer_key), now
+                )
             case dispatching.OUTCOME_TIMER:
-                return self.calls.outcome_ended(int(rest))
+                return self.call_supervisor.stop_awaiting_outcome(
+                    int(timer_key)
+                )
             case dispatching.DEADLINE_TIMER:
-                return self.call_overdue(int(rest))
+                return self.handle_call_deadline(int(timer_key))
             case _:
-                return self.streams.timer_fired(kind, int(rest), now)
+                return self.stream_supervisor.handle_timer(
+                    kind, int(timer_key), now
+                )
 
-    def call_overdue(self, exchange: int) -> list[actions.Action]:
+    def handle_call_deadline(self, exchange: int) -> list[actions.Action]:
         """Answer a caller at its deadline; its call may go on without it."""
-        done = self.calls.deadline_passed(exchange)
-        if self.calls.awaits_outcome(exchange):
-            self.abandoned.add(exchange)
-        return done
+        planned = self.call_supervisor.handle_deadline(exchange)
+        if self.call_supervisor.is_awaiting_outcome(exchange):
+            self.abandoned_exchanges.add(exchange)
+        return planned
 
-    def queued_too_long(
+    def handle_queue_timeout(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
         """Give a request that still waits its final answer."""
-        waiting = self.waiting.get(exchange)
+        waiting = self.waiting_requests.get(exchange)
         if waiting is None:
             return []
         ticket, _ = waiting
-        wait = self.admission.expected_wait_seconds(ticket)
+        wait_seconds = self.admission.expected_wait_seconds(ticket)
         code = 'deadline-passed' if now >= ticket.deadline else 'wait-too-long'
-        return self.refuse_waiting(ticket, code, wait)
+        return self.refuse_waiting_request(ticket, code, wait_seconds)
 
-    def check_same(self, offered: configuration_state.Configuration) -> None:
+    def check_confirmed_once(
+        self, offered: configuration_state.Configuration
+    ) -> None:
         """Raise where two plans claim to have won the same version.
 
         One conditional write decides; instances that follow two winners
@@ -609,7 +681,7 @@
                 f'{current.confirmed_by} and {offered.confirmed_by}'
             )
 
-    def configure(
+    def apply_configuration(
         self, event: events.ConfigurationOffered
     ) -> list[actions.Action]:
         """Apply a configuration, unless it is older than the one in force.
@@ -619,14 +691,14 @@
         """
         offered = event.configuration
         if offered.version <= self.configuration.version:
-            self.check_same(offered)
+            self.check_confirmed_once(offered)
             return []
         self.configuration = offered
-        self.lifecycle.configured()
-        self.accounts = {a.name: a for a in offered.accounts}
+        self.lifecycle.configuration_applied()
+        self.account_by_name = {a.name: a for a in offered.accounts}
         self.directory.apply_configuration(offered)
-        self.streams.apply(offered)
-        self.admission.keep_accounts(set(self.accounts))
+        self.stream_supervisor.apply_configuration(offered)
+        self.admission.keep_accounts(set(self.account_by_name))
         return [
             actions.Record(
                 'configuration-applied',
@@ -635,7 +707,7 @@
         ]
 
 
-def tells_pace(answer: FinalAnswer) -> bool:
+def has_typical_duration(answer: FinalAnswer) -> bool:
     """Return whether a request ran for as long as such requests take.
 
     Without those that ran into their deadline only the quick ones would be
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -269,5 +269,5 @@
     | PeerTold
     | events.CallerGone
     | events.TimerFired
-    | events.PauseNoticed
+    | events.PauseDetected
 )
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -253,7 +253,7 @@
                 return self.crashing.checked(event, now)
             case relay_events.CrashesListed(reports):
                 return self.crashing.listed(reports, now)
-            case events.PauseNoticed(seconds):
+            case events.PauseDetected(seconds):
                 return self.paused(seconds, now)
         return self.peers.hear(event, now)
 
--- a/src/greengagelb/coordination/relay/stopping.py
+++ b/src/greengagelb/coordination/relay/stopping.py
@@ -51,7 +51,7 @@
 
     def configured(self) -> None:
         """Serve from now on, unless a stop was asked for."""
-        self.lifecycle.configured()
+        self.lifecycle.configuration_applied()
 
     def asked(
         self, event: relay_events.StopBy, now: float
@@ -71,7 +71,7 @@
 
     def due(self, left: int) -> list[actions.Record | actions.FinishStopping]:
         """Begin to end; ``left`` requests are cut."""
-        self.lifecycle.emptied()
+        self.lifecycle.work_finished()
         return [
             actions.Record('stopped', f'{left} cut'),
             actions.FinishStopping(),
@@ -79,7 +79,7 @@
 
     def closed(self, left: int) -> list[actions.Record]:
         """Let the process end; ``left`` requests are cut with it."""
-        self.lifecycle.closed()
+        self.lifecycle.connections_closed()
         return [actions.Record('ended', f'{left} cut')]
 
     def too_short_for(
@@ -101,7 +101,7 @@
         self, exchange: exchanges.Exchange, ends_by: float, now: float
     ) -> list[actions.Record]:
         """Note that a request is taken; tell on what, while stopping."""
-        self.lifecycle.request_taken()
+        self.lifecycle.request_accepted()
         if self.serving:
             return []
         left = f'{self.stop_by - now:.3f} s left'
--- a/src/greengagelb/coordination/sharing/arrivals.py
+++ b/src/greengagelb/coordination/sharing/arrivals.py
@@ -119,7 +119,7 @@
     """
     if isinstance(event, events.GenerationResumed):
         return dataclasses.replace(failure, ran=requests.Ran.YES)
-    return claims.truthful(failure, event.request, service)
+    return claims.with_known_outcome(failure, event.request, service)
 
 
 def not_run_failure(
--- a/src/greengagelb/coordination/streams/attempts.py
+++ b/src/greengagelb/coordination/streams/attempts.py
@@ -25,19 +25,19 @@
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        cancels: cancellations.CancellationSupervisor,
-        watch: stalls.StallWatch,
+        cancellation_supervisor: cancellations.CancellationSupervisor,
+        stall_detector: stalls.StallDetector,
         incarnation: str,
     ) -> None:
         self.directory = directory
-        self.cancels = cancels
-        self.watch = watch
+        self.cancellation_supervisor = cancellation_supervisor
+        self.stall_detector = stall_detector
         self.incarnation = incarnation
-        self.exchanges: dict[identity.AttemptId, int] = {}
-        self.by_upstream: dict[str, set[identity.AttemptId]] = {}
-        self.counter = itertools.count(1)
+        self.exchange_by_attempt: dict[identity.AttemptId, int] = {}
+        self.attempts_by_upstream: dict[str, set[identity.AttemptId]] = {}
+        self.attempt_numbers = itertools.count(1)
 
-    def order(
+    def start_attempt(
         self,
         stream: stream_state.Stream,
         view: upstream_state.UpstreamView,
@@ -50,23 +50,27 @@
             identity.AttemptId(
                 stream.request.request,
                 stream.generation,
-                f'{self.incarnation}.{next(self.counter)}',
+                f'{self.incarnation}.{next(self.attempt_numbers)}',
             ),
             view.upstream,
             view.incarnation,
             ordered_at=now,
         )
-        where = f'at {stream.position}'
+        position_text = f'at {stream.position}'
         if spare:
             stream.spare = attempt
-            told = record(stream, attempt, 'spare-started', where)
+            started_event = record(
+                stream, attempt, 'spare-started', position_text
+            )
         else:
             stream.attempt = attempt
-            told = record(stream, attempt, 'attempt-started', where)
-        self.count(stream, attempt)
+            started_event = record(
+                stream, attempt, 'attempt-started', position_text
+            )
+        self.add_attempt(stream, attempt)
         self.directory.limits.spend_permit(attempt.upstream.name, now)
         return [
-            told,
+            started_event,
             actions.StartAttempt(
                 attempt.attempt_id,
                 view.upstream,
@@ -76,13 +80,13 @@
                 stream.request.prompt,
                 tuple(stream.tokens),
                 stream.request.most_tokens,
-                priority_of(stream),
+                attempt_priority(stream),
                 stream.request.deadline,
             ),
-            self.watch.rearm(stream, attempt, now),
+            self.stall_detector.reset_stall_timer(stream, attempt, now),
         ]
 
-    def attach(
+    def attach_attempt(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -100,10 +104,10 @@
             actions.AttachAttempt(
                 attempt.attempt_id, attempt.upstream, stream.position
             ),
-            self.watch.rearm(stream, attempt, now),
+            self.stall_detector.reset_stall_timer(stream, attempt, now),
         ]
 
-    def take_over(
+    def adopt_attempt(
         self,
         stream: stream_state.Stream,
         point: requests.ResumePoint,
@@ -119,59 +123,65 @@
             returned_to=True,
         )
         stream.attempt = attempt
-        self.count(stream, attempt)
+        self.add_attempt(stream, attempt)
         return attempt
 
-    def count(
+    def add_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> None:
         """Count an attempt as in flight, and as one of a stream."""
         name = attempt.upstream.name
-        self.exchanges[attempt.attempt_id] = stream.request.exchange
-        self.by_upstream.setdefault(name, set()).add(attempt.attempt_id)
+        self.exchange_by_attempt[attempt.attempt_id] = stream.request.exchange
+        self.attempts_by_upstream.setdefault(name, set()).add(
+            attempt.attempt_id
+        )
         self.directory.add_in_flight(name)
 
-    def release(
+    def remove_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> None:
         """Count an attempt no longer; its events are dropped from now on."""
         name = attempt.upstream.name
-        del self.exchanges[attempt.attempt_id]
-        self.by_upstream[name].discard(attempt.attempt_id)
-        if not self.by_upstream[name]:
-            del self.by_upstream[name]
+        del self.exchange_by_attempt[attempt.attempt_id]
+        self.attempts_by_upstream[name].discard(attempt.attempt_id)
+        if not self.attempts_by_upstream[name]:
+            del self.attempts_by_upstream[name]
         self.directory.remove_in_flight(name)
         if stream.attempt is attempt:
             stream.attempt = None
         if stream.spare is attempt:
             stream.spare = None
 
-    def drop(
+    def cancel_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> list[actions.Action]:
         """Release an attempt and have its engine stop it."""
-        self.release(stream, attempt)
-        return self.cancels.cancel(
+        self.remove_attempt(stream, attempt)
+        return self.cancellation_supervisor.request_cancellation(
             attempt.attempt_id,
             attempt.upstream,
             attempt.incarnation,
             stream.request.deadline,
         )
 
-    def drop_all(self, stream: stream_state.Stream) -> list[actions.Action]:
+    def cancel_all_attempts(
+        self, stream: stream_state.Stream
+    ) -> list[actions.Action]:
         """Drop whatever runs for a stream."""
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         for attempt in stream.own_attempts():
-            done += self.drop(stream, attempt)
-        return done
+            planned += self.cancel_attempt(stream, attempt)
+        return planned
 
-    def drop_spare(self, stream: stream_state.Stream) -> list[actions.Action]:
+    def cancel_spare(
+        self, stream: stream_state.Stream
+    ) -> list[actions.Action]:
         """Drop the spare, if there is one."""
         if stream.spare is None:
             return []
         return [
             clear_timer(stalls.SPARE_TIMER, stream),
-            *self.drop(stream, stream.spare),
+            *self.cancel_attempt(stream, stream.spare),
         ]
 
     def promote_spare(
@@ -184,11 +194,11 @@
         return [
             clear_timer(stalls.SPARE_TIMER, stream),
             record(stream, stream.attempt, 'spare-promoted', 'in its place'),
-            self.watch.rearm(stream, stream.attempt, now),
+            self.stall_detector.reset_stall_timer(stream, stream.attempt, now),
         ]
 
 
-def priority_of(
+def attempt_priority(
     stream: stream_state.Stream,
 ) -> configuration_state.Priority:
     """Return an attempt's priority: continuations go before new long work."""
--- a/src/greengagelb/coordination/streams/cancellations.py
+++ b/src/greengagelb/coordination/streams/cancellations.py
@@ -12,8 +12,8 @@
 from greengagelb.state import identity
 
 CANCEL_TIMER = 'cancel'
-FIRST_RETRY_SECONDS = 0.5
-MOST_RETRY_SECONDS = 8.0
+FIRST_RETRY_DELAY_SECONDS = 0.5
+MAX_RETRY_DELAY_SECONDS = 8.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -36,10 +36,10 @@
 
     def __init__(self) -> None:
         self.pending: dict[identity.AttemptId, PendingCancellation] = {}
-        self.by_timer: dict[str, identity.AttemptId] = {}
-        self.by_upstream: dict[str, set[identity.AttemptId]] = {}
+        self.attempt_by_timer: dict[str, identity.AttemptId] = {}
+        self.attempts_by_upstream: dict[str, set[identity.AttemptId]] = {}
 
-    def cancel(
+    def request_cancellation(
         self,
         attempt: identity.AttemptId,
         upstream: configuration_state.Upstream,
@@ -50,14 +50,16 @@
         self.pending[attempt] = PendingCancellation(
             upstream, incarnation, give_up_at
         )
-        self.by_upstream.setdefault(upstream.name, set()).add(attempt)
+        self.attempts_by_upstream.setdefault(upstream.name, set()).add(attempt)
         return [actions.CancelAttempt(attempt, upstream)]
 
-    def confirmed(self, attempt: identity.AttemptId) -> list[actions.Action]:
+    def handle_confirmation(
+        self, attempt: identity.AttemptId
+    ) -> list[actions.Action]:
         """Forget a cancellation that took effect."""
-        return self.forget(attempt)
+        return self.forget_cancellation(attempt)
 
-    def failed(
+    def schedule_retry(
         self, attempt: identity.AttemptId, now: float
     ) -> list[actions.Action]:
         """Ask again later, until the attempt's own deadline."""
@@ -74,24 +76,26 @@
                     attempt.attempt,
                     pending.upstream.name,
                 ),
-                *self.forget(attempt),
+                *self.forget_cancellation(attempt),
             ]
-        wait = FIRST_RETRY_SECONDS * 2 ** min(pending.tries - 1, 10)
+        delay_seconds = FIRST_RETRY_DELAY_SECONDS * 2 ** min(
+            pending.tries - 1, 10
+        )
         pending.tries += 1
-        timer = timer_of(attempt)
-        self.by_timer[timer] = attempt
-        deadline = now + min(wait, MOST_RETRY_SECONDS)
+        timer = retry_timer_name(attempt)
+        self.attempt_by_timer[timer] = attempt
+        deadline = now + min(delay_seconds, MAX_RETRY_DELAY_SECONDS)
         return [actions.SetTimer(timer, deadline)]
 
-    def timer_fired(self, name: str) -> list[actions.Action]:
+    def handle_timer(self, name: str) -> list[actions.Action]:
         """Ask again, if still unconfirmed."""
-        attempt = self.by_timer.pop(name, None)
+        attempt = self.attempt_by_timer.pop(name, None)
         pending = self.pending.get(attempt) if attempt else None
         if attempt is None or pending is None:
             return []
         return [actions.CancelAttempt(attempt, pending.upstream)]
 
-    def engine_reported(
+    def handle_engine_report(
         self, engine: identity.EngineId
     ) -> list[actions.Action]:
         """Settle what is pending at an engine that answers again.
@@ -102,36 +106,42 @@
         It is asked one last time all the same: the incarnation noted with
         the attempt may have been out of date already when it was ordered.
         """
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         for attempt in sorted(
-            self.by_upstream.get(engine.name, ()),
-            key=lambda found: found.attempt,
+            self.attempts_by_upstream.get(engine.name, ()),
+            key=lambda attempt_id: attempt_id.attempt,
         ):
             pending = self.pending[attempt]
-            known = pending.incarnation
-            if known and known != engine.incarnation:
-                done += self.forget(attempt)
-                done.append(actions.CancelAttempt(attempt, pending.upstream))
-            elif timer_of(attempt) in self.by_timer:
-                del self.by_timer[timer_of(attempt)]
-                done.append(actions.ClearTimer(timer_of(attempt)))
-                done.append(actions.CancelAttempt(attempt, pending.upstream))
-        return done
-
-    def forget(self, attempt: identity.AttemptId) -> list[actions.Action]:
+            known_incarnation = pending.incarnation
+            if known_incarnation and known_incarnation != engine.incarnation:
+                planned += self.forget_cancellation(attempt)
+                planned.append(
+                    actions.CancelAttempt(attempt, pending.upstream)
+                )
+            elif retry_timer_name(attempt) in self.attempt_by_timer:
+                del self.attempt_by_timer[retry_timer_name(attempt)]
+                planned.append(actions.ClearTimer(retry_timer_name(attempt)))
+                planned.append(
+                    actions.CancelAttempt(attempt, pending.upstream)
+                )
+        return planned
+
+    def forget_cancellation(
+        self, attempt: identity.AttemptId
+    ) -> list[actions.Action]:
         """Ask no more about an attempt."""
         pending = self.pending.pop(attempt, None)
         if pending is None:
             return []
         name = pending.upstream.name
-        self.by_upstream[name].discard(attempt)
-        if not self.by_upstream[name]:
-            del self.by_upstream[name]
-        if self.by_timer.pop(timer_of(attempt), None) is None:
+        self.attempts_by_upstream[name].discard(attempt)
+        if not self.attempts_by_upstream[name]:
+            del self.attempts_by_upstream[name]
+        if self.attempt_by_timer.pop(retry_timer_name(attempt), None) is None:
             return []
-        return [actions.ClearTimer(timer_of(attempt))]
+        return [actions.ClearTimer(retry_timer_name(attempt))]
 
 
-def timer_of(attempt: identity.AttemptId) -> str:
+def retry_timer_name(attempt: identity.AttemptId) -> str:
     """Return the name of the timer for the next try."""
     return f'{CANCEL_TIMER}:{attempt.attempt}'
--- a/src/greengagelb/coordination/streams/endings.py
+++ b/src/greengagelb/coordination/streams/endings.py
@@ -10,7 +10,7 @@
 
 RECOVERY_TIMER = 'recovery'
 DEADLINE_TIMER = 'deadline'
-ALL_TIMERS = (
+STREAM_TIMERS = (
     stalls.STALL_TIMER,
     stalls.SPARE_TIMER,
     RECOVERY_TIMER,
@@ -28,33 +28,33 @@
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        table: attempts.AttemptTable,
+        attempt_table: attempts.AttemptTable,
     ) -> None:
         self.directory = directory
-        self.table = table
+        self.attempt_table = attempt_table
         self.streams: dict[int, stream_state.Stream] = {}
-        self.recovering: dict[int, stream_state.Stream] = {}
+        self.recovering_streams: dict[int, stream_state.Stream] = {}
 
-    def end(
+    def complete_stream(
         self, stream: stream_state.Stream, reason: str
     ) -> list[actions.Action]:
         """Complete the answer."""
-        sent = actions.SendEnd(
+        end = actions.SendEnd(
             stream.request.exchange,
             stream.generation,
             stream.position,
             reason,
         )
-        ended = stream.attempt
-        if ended is not None:
-            self.table.release(stream, ended)
+        last_attempt = stream.attempt
+        if last_attempt is not None:
+            self.attempt_table.remove_attempt(stream, last_attempt)
         return [
-            attempts.record(stream, ended, 'stream-ended', reason),
-            sent,
-            *self.close(stream),
+            attempts.record(stream, last_attempt, 'stream-ended', reason),
+            end,
+            *self.close_stream(stream),
         ]
 
-    def fail(
+    def fail_stream(
         self,
         stream: stream_state.Stream,
         code: str,
@@ -76,17 +76,21 @@
         return [
             attempts.record(stream, stream.attempt, 'stream-failed', code),
             actions.SendFailure(stream.request.exchange, failure),
-            *self.close(stream),
+            *self.close_stream(stream),
         ]
 
-    def close(self, stream: stream_state.Stream) -> list[actions.Action]:
+    def close_stream(
+        self, stream: stream_state.Stream
+    ) -> list[actions.Action]:
         """Forget a stream, and stop what still runs for it."""
         exchange = stream.request.exchange
-        done = self.table.drop_all(stream)
+        planned = self.attempt_table.cancel_all_attempts(stream)
         self.streams.pop(exchange, None)
-        self.recovering.pop(exchange, None)
-        done += [attempts.clear_timer(kind, stream) for kind in ALL_TIMERS]
-        return done
+        self.recovering_streams.pop(exchange, None)
+        planned += [
+            attempts.clear_timer(kind, stream) for kind in STREAM_TIMERS
+        ]
+        return planned
 
 
 def deadline_timer(request: requests.GenerationRequest) -> actions.SetTimer:
--- a/src/greengagelb/coordination/streams/pinning.py
+++ b/src/greengagelb/coordination/streams/pinning.py
@@ -10,7 +10,7 @@
 from greengagelb.state import streams as stream_state
 
 
-def what_it_runs(pool: configuration_state.Pool) -> tuple[str, str, str]:
+def required_model(pool: configuration_state.Pool) -> tuple[str, str, str]:
     """Return what the engines of a pool have to run."""
     return (pool.model, pool.version, pool.adapter)
 
@@ -32,7 +32,7 @@
     )
 
 
-def pool_in_force(
+def replacement_pool(
     configuration: configuration_state.Configuration,
     stream: stream_state.Stream,
 ) -> configuration_state.Pool | None:
@@ -41,6 +41,6 @@
     if service is None:
         return None
     pool = configuration.find_pool(service.pool)
-    if pool is None or what_it_runs(pool) == what_it_runs(stream.pool):
+    if pool is None or required_model(pool) == required_model(stream.pool):
         return None
     return pool
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -22,31 +22,31 @@
 from greengagelb.state import streams as stream_state
 from greengagelb.state import upstreams as upstream_state
 
-RECOVERY_RETRY_SECONDS = 0.05
-RECOVERY_PATIENCE_SECONDS = 1.5
-ATTACH_AGAIN_SECONDS = 1.0
-MOST_GENERATIONS = 4
+RECOVERY_RETRY_DELAY_SECONDS = 0.05
+RECOVERY_TIMEOUT_SECONDS = 1.5
+MIN_ATTACH_INTERVAL_SECONDS = 1.0
+MAX_GENERATIONS = 4
 RETRY_AFTER_SECONDS = 2.0
 
 
-class RecoveryLadder(endings.StreamEndings):
+class StreamRecovery(endings.StreamEndings):
     """Replaces lost attempts, and gives the final answer where none helps."""
 
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        table: attempts.AttemptTable,
+        attempt_table: attempts.AttemptTable,
         guard: crash_guard.CrashGuard,
     ) -> None:
-        super().__init__(directory, table)
+        super().__init__(directory, attempt_table)
         self.guard = guard
         self.configuration = configuration_state.Configuration()
-        self.budgets = replay_budgets.ReplayBudgets()
-        self.exhausted = replay_budgets.ExhaustedRequests()
+        self.replay_budgets = replay_budgets.ReplayBudgets()
+        self.exhausted_requests = replay_budgets.ExhaustedRequests()
 
     # -- first step ---------------------------------------------------------
 
-    def lost(
+    def handle_lost_contact(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -55,12 +55,16 @@
     ) -> list[actions.Action]:
         """Take the next step after a loss of contact with an attempt."""
         stream.may_have_run = True
-        just_attached = now - attempt.attached_at < ATTACH_AGAIN_SECONDS
-        if attempt is stream.spare or attempt.suspected or just_attached:
-            return self.bury(stream, attempt, now, reason)
-        done = [attempts.record(stream, attempt, 'attempt-suspected', reason)]
-        done += self.table.attach(stream, attempt, now)
-        return done + self.start_spare(stream, attempt, now)
+        was_just_attached = (
+            now - attempt.attached_at < MIN_ATTACH_INTERVAL_SECONDS
+        )
+        if attempt is stream.spare or attempt.suspected or was_just_attached:
+            return self.replace_dead_engine(stream, attempt, now, reason)
+        planned = [
+            attempts.record(stream, attempt, 'attempt-suspected', reason)
+        ]
+        planned += self.attempt_table.attach_attempt(stream, attempt, now)
+        return planned + self.start_spare(stream, attempt, now)
 
     def start_spare(
         self,
@@ -73,8 +77,8 @@
         It costs a prompt read for nothing where the first still lives, and
         saves the time of asking where it is dead.
         """
-        wanted = stream.service.recovery.spare_attempt
-        if not wanted or stream.spare is not None or stream.is_whole:
+        is_spare_wanted = stream.service.recovery.spare_attempt
+        if not is_spare_wanted or stream.spare is not None or stream.is_whole:
             return []
         if stream.would_run_twice or self.guard.must_not_run(
             stream.request, now
@@ -83,13 +87,13 @@
         excluded = {suspected.upstream.name}
         pool = pinning.pinned_pool(self.configuration, stream)
         view = self.directory.choose_upstream(pool, excluded, now)
-        if view is None or self.budget_wait(stream, now):
+        if view is None or self.spend_resume_budget(stream, now):
             return []
-        return self.table.order(stream, view, now, spare=True)
+        return self.attempt_table.start_attempt(stream, view, now, spare=True)
 
     # -- second step --------------------------------------------------------
 
-    def bury(
+    def replace_dead_engine(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -100,9 +104,9 @@
         stream.engine_deaths += 1
         self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
-        return self.replace(stream, attempt, now, reason)
+        return self.replace_attempt(stream, attempt, now, reason)
 
-    def replace(
+    def replace_attempt(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -111,51 +115,55 @@
     ) -> list[actions.Action]:
         """Put the spare or another engine in an attempt's place."""
         is_current = attempt is stream.attempt
-        done = [attempts.record(stream, attempt, 'attempt-replaced', reason)]
-        done += self.table.drop(stream, attempt)
-        if self.has_killed_too_many(stream):
-            self.exhausted.add(stream.request.request)
-            return done + self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+        planned = [
+            attempts.record(stream, attempt, 'attempt-replaced', reason)
+        ]
+        planned += self.attempt_table.cancel_attempt(stream, attempt)
+        if self.exceeds_engine_deaths(stream):
+            self.exhausted_requests.add(stream.request.request)
+            return planned + self.fail_stream(
+                stream, crash_guard.BLOCKED_RAN_CODE, None
+            )
         if not is_current:
-            return done
+            return planned
         if stream.spare is not None:
-            return done + self.table.promote_spare(stream, now)
-        return done + self.recover(stream, now)
+            return planned + self.attempt_table.promote_spare(stream, now)
+        return planned + self.recover_stream(stream, now)
 
-    def has_killed_too_many(self, stream: stream_state.Stream) -> bool:
+    def exceeds_engine_deaths(self, stream: stream_state.Stream) -> bool:
         """Return whether more engines died than a request may be part of."""
-        most = stream.service.recovery.most_engine_deaths
-        return stream.engine_deaths > most
+        max_deaths = stream.service.recovery.most_engine_deaths
+        return stream.engine_deaths > max_deaths
 
-    def recover(
+    def recover_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
         """Find an engine for a stream that has none, or wait a little."""
         exchange = stream.request.exchange
-        self.recovering.pop(exchange, None)
+        self.recovering_streams.pop(exchange, None)
         if stream.recover_by is None:
-            stream.recover_by = now + RECOVERY_PATIENCE_SECONDS
+            stream.recover_by = now + RECOVERY_TIMEOUT_SECONDS
         if stream.is_whole:
             # The last token came and only the end event was lost; an engine
             # asked to continue would generate one token too many.
-            return self.end(stream, 'length')
+            return self.complete_stream(stream, 'length')
         if stream.would_run_twice:
-            return self.fail(stream, 'outcome-unknown', None)
+            return self.fail_stream(stream, 'outcome-unknown', None)
         if self.guard.is_blocked(stream.request, now):
-            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+            return self.fail_stream(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if self.guard.has_blocking_suspicions(stream.request, now):
-            return self.wait(stream, now)
+            return self.wait_for_engine(stream, now)
         account = stream.request.request.account
         self.directory.limits.set_retry_requester(account, now, urgent=True)
         pool = pinning.pinned_pool(self.configuration, stream)
         view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is not None:
-            return self.go_on(stream, pool, view, now)
+            return self.continue_stream(stream, pool, view, now)
         if not self.directory.can_ever_serve(pool, now):
-            return self.restart(stream, now)
-        return self.wait(stream, now)
+            return self.restart_stream(stream, now)
+        return self.wait_for_engine(stream, now)
 
-    def try_again(
+    def retry_all_engines(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
         """Look again, at the engines that refused or failed before too.
@@ -165,9 +173,9 @@
         as the network allows.
         """
         stream.excluded.clear()
-        return self.recover(stream, now)
+        return self.recover_stream(stream, now)
 
-    def go_on(
+    def continue_stream(
         self,
         stream: stream_state.Stream,
         pool: configuration_state.Pool,
@@ -175,24 +183,26 @@
         now: float,
     ) -> list[actions.Action]:
         """Continue a stream on an engine, within its account's budget."""
-        wait = self.budget_wait(stream, now)
-        if wait:
-            return self.fail(stream, 'replay-budget-spent', wait)
+        wait_seconds = self.spend_resume_budget(stream, now)
+        if wait_seconds:
+            return self.fail_stream(
+                stream, 'replay-budget-spent', wait_seconds
+            )
         stream.pool = pool
-        return self.table.order(stream, view, now)
+        return self.attempt_table.start_attempt(stream, view, now)
 
-    def wait(
+    def wait_for_engine(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
         """Try again soon, or give the final answer when patience is out."""
         exchange = stream.request.exchange
         if stream.recover_by is not None and now >= stream.recover_by:
-            return self.give_up(stream, now)
-        self.recovering[exchange] = stream
+            return self.restart_or_fail(stream, now)
+        self.recovering_streams[exchange] = stream
         timer = timers.timer_name(endings.RECOVERY_TIMER, exchange)
-        return [actions.SetTimer(timer, now + RECOVERY_RETRY_SECONDS)]
+        return [actions.SetTimer(timer, now + RECOVERY_RETRY_DELAY_SECONDS)]
 
-    def give_up(
+    def restart_or_fail(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
         """Restart or fail, when patience is out.
@@ -200,40 +210,42 @@
         An instance that does not watch the engines learns only from their
         refusals that none has the version any more.
         """
-        pool = pinning.pool_in_force(self.configuration, stream)
+        pool = pinning.replacement_pool(self.configuration, stream)
         if self.guard.must_not_run(stream.request, now):
-            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+            return self.fail_stream(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if pool is not None and self.directory.choose_upstream(
             pool, set(), now
         ):
             stream.excluded.clear()
-            return self.restart(stream, now)
-        return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
+            return self.restart_stream(stream, now)
+        return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
 
     # -- third step ---------------------------------------------------------
 
-    def restart(
+    def restart_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
         """Start afresh on the version in force, if the request may repeat."""
-        pool = pinning.pool_in_force(self.configuration, stream)
+        pool = pinning.replacement_pool(self.configuration, stream)
         if pool is None or not self.directory.can_ever_serve(pool, now):
-            return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
+            return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
         if not stream.service.idempotent and stream.may_have_run:
-            return self.fail(stream, 'version-withdrawn', None)
-        if stream.generation >= MOST_GENERATIONS:
-            return self.fail(stream, 'restarts-exceeded', None)
+            return self.fail_stream(stream, 'version-withdrawn', None)
+        if stream.generation >= MAX_GENERATIONS:
+            return self.fail_stream(stream, 'restarts-exceeded', None)
         view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is None:
-            return self.wait(stream, now)
+            return self.wait_for_engine(stream, now)
         if not stream.may_have_run:
-            return self.go_on(stream, pool, view, now)
-        wait = self.budget_wait(stream, now)
-        if wait:
-            return self.fail(stream, 'replay-budget-spent', wait)
+            return self.continue_stream(stream, pool, view, now)
+        wait_seconds = self.spend_resume_budget(stream, now)
+        if wait_seconds:
+            return self.fail_stream(
+                stream, 'replay-budget-spent', wait_seconds
+            )
         stream.start_afresh(pool)
-        started = self.table.order(stream, view, now)
-        told = actions.SendRestart(
+        started = self.attempt_table.start_attempt(stream, view, now)
+        restart = actions.SendRestart(
             stream.request.exchange,
             stream.generation,
             'version-withdrawn',
@@ -241,13 +253,15 @@
         )
         return [
             attempts.record(stream, None, 'stream-restarted', pool.version),
-            told,
+            restart,
             *started,
         ]
 
     # -- helpers ------------------------------------------------------------
 
-    def budget_wait(self, stream: stream_state.Stream, now: float) -> float:
+    def spend_resume_budget(
+        self, stream: stream_state.Stream, now: float
+    ) -> float:
         """Take a resume from the account's budget; return 0 or the wait."""
         if not stream.may_have_run:
             return 0.0
@@ -255,4 +269,6 @@
         account = self.configuration.find_account(name)
         if account is None:
             return 0.0
-        return self.budgets.take_replay(name, account.resume_budget, now)
+        return self.replay_budgets.take_replay(
+            name, account.resume_budget, now
+        )
--- a/src/greengagelb/coordination/streams/returning.py
+++ b/src/greengagelb/coordination/streams/resumption.py
@@ -21,15 +21,15 @@
 from greengagelb.state import upstreams as upstream_state
 
 
-class ReturningCallers:
+class StreamResumption:
     """Takes up streams that broke off elsewhere."""
 
-    def __init__(self, ladder: recovery.RecoveryLadder) -> None:
-        self.ladder = ladder
-        self.directory = ladder.directory
-        self.table = ladder.table
+    def __init__(self, stream_recovery: recovery.StreamRecovery) -> None:
+        self.stream_recovery = stream_recovery
+        self.directory = stream_recovery.directory
+        self.attempt_table = stream_recovery.attempt_table
 
-    def resume(
+    def resume_stream(
         self,
         event: events.GenerationResumed,
         service: configuration_state.Service,
@@ -37,16 +37,16 @@
         now: float,
     ) -> list[actions.Action]:
         """Go on where a caller's stream broke off."""
-        stream = self.rebuild(event, service, pool)
-        code = self.objection(event, stream)
+        stream = self.rebuild_stream(event, service, pool)
+        code = self.find_rejection_code(event, stream)
         if code:
-            return [refusal(event.request, code)]
-        done = self.supersede(event.point)
-        self.ladder.streams[event.request.exchange] = stream
-        done.append(endings.deadline_timer(event.request))
-        return done + self.find_attempt(stream, event.point, now)
+            return [already_ran_failure(event.request, code)]
+        planned = self.end_older_exchange(event.point)
+        self.stream_recovery.streams[event.request.exchange] = stream
+        planned.append(endings.deadline_timer(event.request))
+        return planned + self.attach_or_replace(stream, event.point, now)
 
-    def rebuild(
+    def rebuild_stream(
         self,
         event: events.GenerationResumed,
         service: configuration_state.Service,
@@ -72,7 +72,7 @@
         stream.accept(0, event.received)
         return stream
 
-    def objection(
+    def find_rejection_code(
         self, event: events.GenerationResumed, stream: stream_state.Stream
     ) -> str:
         """Return why a stream can't be taken up, or an empty text.
@@ -88,33 +88,46 @@
             return 'request-differs'
         if (stream.position, stream.chain) != (point.position, point.chain):
             return 'received-tokens-differ'
-        if point.request in self.ladder.exhausted:
+        if point.request in self.stream_recovery.exhausted_requests:
             return 'engine-deaths-exceeded'
         return ''
 
-    def supersede(self, point: requests.ResumePoint) -> list[actions.Action]:
+    def end_older_exchange(
+        self, point: requests.ResumePoint
+    ) -> list[actions.Action]:
         """End an older exchange that still follows the same attempt.
 
         Its caller has come back before its old connection was noticed to be
         broken. Two exchanges can't follow one attempt, and when the older
         one ends it must not cancel what the newer one reads.
         """
-        for attempt_id, exchange in self.table.exchanges.items():
-            mine = (attempt_id.request, attempt_id.generation)
-            if mine != (point.request, point.generation):
+        for (
+            attempt_id,
+            exchange,
+        ) in self.attempt_table.exchange_by_attempt.items():
+            owner = (attempt_id.request, attempt_id.generation)
+            if owner != (point.request, point.generation):
                 continue
             if attempt_id.attempt == point.attempt:
-                return self.leave(self.ladder.streams[exchange])
+                return self.detach_exchange(
+                    self.stream_recovery.streams[exchange]
+                )
         return []
 
-    def leave(self, older: stream_state.Stream) -> list[actions.Action]:
+    def detach_exchange(
+        self, older_stream: stream_state.Stream
+    ) -> list[actions.Action]:
         """End an exchange without stopping its attempt."""
-        done = self.table.drop_spare(older)
-        if older.attempt is not None:
-            self.table.release(older, older.attempt)
-        return done + self.ladder.fail(older, 'taken-over', None)
+        planned = self.attempt_table.cancel_spare(older_stream)
+        if older_stream.attempt is not None:
+            self.attempt_table.remove_attempt(
+                older_stream, older_stream.attempt
+            )
+        return planned + self.stream_recovery.fail_stream(
+            older_stream, 'taken-over', None
+        )
 
-    def find_attempt(
+    def attach_or_replace(
         self,
         stream: stream_state.Stream,
         point: requests.ResumePoint,
@@ -123,19 +136,21 @@
         """Attach to the attempt that the lost instance had started."""
         view = self.directory.views.get(point.engine.name)
         if view is None:
-            return self.ladder.recover(stream, now)
-        attempt = self.table.take_over(stream, point, view, now)
-        reason = self.why_gone(stream, attempt, view, now)
+            return self.stream_recovery.recover_stream(stream, now)
+        attempt = self.attempt_table.adopt_attempt(stream, point, view, now)
+        reason = self.find_loss_reason(stream, attempt, view, now)
         if reason:
-            return self.ladder.replace(stream, attempt, now, reason)
+            return self.stream_recovery.replace_attempt(
+                stream, attempt, now, reason
+            )
         return [
             attempts.record(
                 stream, attempt, 'stream-attached', 'caller came back'
             ),
-            *self.table.attach(stream, attempt, now),
+            *self.attempt_table.attach_attempt(stream, attempt, now),
         ]
 
-    def why_gone(
+    def find_loss_reason(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -147,21 +162,26 @@
         What was reported some time ago may be of another incarnation; the
         engine itself is asked then.
         """
-        if attempt.attempt_id in self.table.cancels.pending:
+        if (
+            attempt.attempt_id
+            in self.attempt_table.cancellation_supervisor.pending
+        ):
             return 'was cancelled here'
         if now - view.probed_at >= upstream_views.PROBE_TRUST_SECONDS:
             return ''
-        known = attempt.incarnation
-        if known and known != view.incarnation:
+        known_incarnation = attempt.incarnation
+        if known_incarnation and known_incarnation != view.incarnation:
             stream.engine_deaths += 1
             return 'engine restarted'
-        runs = (view.model, view.version, view.adapter)
-        if stream.pool.version and runs != pinning.what_it_runs(stream.pool):
+        reported = (view.model, view.version, view.adapter)
+        if stream.pool.version and reported != pinning.required_model(
+            stream.pool
+        ):
             return f'engine runs {view.version} now'
         return ''
 
 
-def refusal(
+def already_ran_failure(
     request: requests.GenerationRequest, code: str
 ) -> actions.SendFailure:
     """Return the final answer to a caller who can't be served."""
--- a/src/greengagelb/coordination/streams/stalls.py
+++ b/src/greengagelb/coordination/streams/stalls.py
@@ -12,41 +12,41 @@
 from greengagelb.state import pace
 from greengagelb.state import streams as stream_state
 
-FIRST_TOKEN_SECONDS = 2.0
-MOST_FIRST_TOKEN_SECONDS = 30.0
-PROBE_SECONDS = 0.5
-LATE_SECONDS = 0.1
-MOST_LATE_TIMERS = 3
+FIRST_TOKEN_TIMEOUT_SECONDS = 2.0
+MAX_FIRST_TOKEN_WAIT_SECONDS = 30.0
+PROBE_TIMEOUT_SECONDS = 0.5
+LATE_TIMER_SECONDS = 0.1
+MAX_LATE_TIMERS = 3
 STALL_TIMER = 'stall'
 SPARE_TIMER = 'spare'
 
 
-class StallWatch:
+class StallDetector:
     """Sets the stall deadlines of attempts and judges those that pass."""
 
     def __init__(self, directory: routing.UpstreamDirectory) -> None:
         self.directory = directory
-        self.paces: dict[str, pace.Pace] = {}
+        self.pace_by_upstream: dict[str, pace.Pace] = {}
 
-    def progressed(
+    def observe_tokens(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
         now: float,
     ) -> None:
         """Learn the pace of an upstream from tokens that have arrived."""
-        found = self.pace_of(attempt)
-        found.latest = now
+        observed_pace = self.upstream_pace(attempt)
+        observed_pace.latest = now
         if attempt.latest_arrival is not None:
             gap = now - attempt.latest_arrival
-            found.observe(min(gap, stream.service.recovery.most_stall))
+            observed_pace.observe(min(gap, stream.service.recovery.most_stall))
         attempt.latest_arrival = now
         attempt.has_progressed = True
         attempt.answered = True
         attempt.suspected = False
         attempt.late_timers = 0
 
-    def silence_allowed(
+    def stall_timeout_seconds(
         self, stream: stream_state.Stream, attempt: attempts.Attempt
     ) -> float:
         """Return the seconds of silence after which to look closer.
@@ -57,25 +57,25 @@
         """
         policy = stream.service.recovery
         view = self.directory.views.get(attempt.upstream.name)
-        reported = view.step_seconds if view is not None else 0.0
-        gap = max(reported, self.pace_of(attempt).gap)
-        steady = max(policy.least_stall, policy.stall_factor * gap)
-        steady = min(steady, policy.most_stall)
+        reported_gap = view.step_seconds if view is not None else 0.0
+        gap = max(reported_gap, self.upstream_pace(attempt).gap)
+        timeout = max(policy.least_stall, policy.stall_factor * gap)
+        timeout = min(timeout, policy.most_stall)
         if attempt.suspected and not attempt.answered:
-            return max(policy.least_stall, min(steady, PROBE_SECONDS))
+            return max(policy.least_stall, min(timeout, PROBE_TIMEOUT_SECONDS))
         if not attempt.has_progressed:
-            return max(steady, FIRST_TOKEN_SECONDS)
-        return steady
+            return max(timeout, FIRST_TOKEN_TIMEOUT_SECONDS)
+        return timeout
 
-    def pace_of(self, attempt: attempts.Attempt) -> pace.Pace:
+    def upstream_pace(self, attempt: attempts.Attempt) -> pace.Pace:
         """Return what is known of the pace of an attempt's upstream."""
         name = attempt.upstream.name
-        found = self.paces.get(name)
-        if found is None:
-            found = self.paces[name] = pace.Pace()
-        return found
+        observed_pace = self.pace_by_upstream.get(name)
+        if observed_pace is None:
+            observed_pace = self.pace_by_upstream[name] = pace.Pace()
+        return observed_pace
 
-    def rearm(
+    def reset_stall_timer(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
@@ -83,11 +83,11 @@
     ) -> actions.SetTimer:
         """Give an attempt its full time from now on."""
         attempt.confirming = False
-        allowed = self.silence_allowed(stream, attempt)
-        attempt.stall_deadline = now + allowed
-        return self.timer(stream, attempt)
+        timeout = self.stall_timeout_seconds(stream, attempt)
+        attempt.stall_deadline = now + timeout
+        return self.stall_timer(stream, attempt)
 
-    def timer(
+    def stall_timer(
         self, stream: stream_state.Stream, attempt: attempts.Attempt
     ) -> actions.SetTimer:
         """Return the timer of an attempt's stall deadline."""
@@ -95,7 +95,7 @@
         name = timers.timer_name(kind, stream.request.exchange)
         return actions.SetTimer(name, attempt.stall_deadline)
 
-    def judge(
+    def check_stall(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
@@ -110,20 +110,20 @@
         event loop, which reads the sockets first.
         """
         if now < attempt.stall_deadline:
-            return self.timer(stream, attempt)
-        is_late = now - attempt.stall_deadline > LATE_SECONDS
-        if is_late and attempt.late_timers < MOST_LATE_TIMERS:
+            return self.stall_timer(stream, attempt)
+        is_late = now - attempt.stall_deadline > LATE_TIMER_SECONDS
+        if is_late and attempt.late_timers < MAX_LATE_TIMERS:
             attempt.late_timers += 1
-            return self.rearm(stream, attempt, now)
+            return self.reset_stall_timer(stream, attempt, now)
         if not attempt.confirming:
             attempt.confirming = True
             attempt.stall_deadline = now
-            return self.timer(stream, attempt)
-        if self.waits_for_its_turn(attempt, now):
-            return self.rearm(stream, attempt, now)
+            return self.stall_timer(stream, attempt)
+        if self.is_queued_at_engine(attempt, now):
+            return self.reset_stall_timer(stream, attempt, now)
         return None
 
-    def waits_for_its_turn(
+    def is_queued_at_engine(
         self, attempt: attempts.Attempt, now: float
     ) -> bool:
         """Return whether an engine is busy with others, rather than dead.
@@ -134,7 +134,7 @@
         """
         if attempt.has_progressed or not attempt.answered:
             return False
-        if now - attempt.ordered_at > MOST_FIRST_TOKEN_SECONDS:
+        if now - attempt.ordered_at > MAX_FIRST_TOKEN_WAIT_SECONDS:
             return False
-        found = self.pace_of(attempt)
-        return now - found.latest < FIRST_TOKEN_SECONDS
+        observed_pace = self.upstream_pace(attempt)
+        return now - observed_pace.latest < FIRST_TOKEN_TIMEOUT_SECONDS
--- a/src/greengagelb/coordination/streams/continuing.py
+++ b/src/greengagelb/coordination/streams/supervisor.py
@@ -18,7 +18,7 @@
 from greengagelb.coordination.streams import endings
 from greengagelb.coordination.streams import pinning
 from greengagelb.coordination.streams import recovery
-from greengagelb.coordination.streams import returning
+from greengagelb.coordination.streams import resumption
 from greengagelb.coordination.streams import stalls
 from greengagelb.state import attempts as attempt_state
 from greengagelb.state import configuration as configuration_state
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Source:
+class StreamAttempt:
     """A stream and that attempt of its own which an event is about."""
 
     stream: stream_state.Stream
@@ -47,29 +47,38 @@
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        cancels: cancellations.CancellationSupervisor,
+        cancellation_supervisor: cancellations.CancellationSupervisor,
         incarnation: str,
         guard: crash_guard.CrashGuard,
     ) -> None:
         self.directory = directory
         self.guard = guard
-        self.watch = stalls.StallWatch(directory)
-        self.table = attempts.AttemptTable(
-            directory, cancels, self.watch, incarnation
+        self.stall_detector = stalls.StallDetector(directory)
+        self.attempt_table = attempts.AttemptTable(
+            directory,
+            cancellation_supervisor,
+            self.stall_detector,
+            incarnation,
         )
-        self.ladder = recovery.RecoveryLadder(directory, self.table, guard)
-        self.returns = returning.ReturningCallers(self.ladder)
-        self.streams = self.ladder.streams
-        self.exchanges = self.table.exchanges
+        self.stream_recovery = recovery.StreamRecovery(
+            directory, self.attempt_table, guard
+        )
+        self.stream_resumption = resumption.StreamResumption(
+            self.stream_recovery
+        )
+        self.streams = self.stream_recovery.streams
+        self.exchange_by_attempt = self.attempt_table.exchange_by_attempt
         self.dropped_events = 0
 
-    def apply(self, configuration: configuration_state.Configuration) -> None:
+    def apply_configuration(
+        self, configuration: configuration_state.Configuration
+    ) -> None:
         """Adopt a configuration; running streams keep their version."""
-        self.ladder.configuration = configuration
+        self.stream_recovery.configuration = configuration
 
     # -- beginning ----------------------------------------------------------
 
-    def begin(
+    def start_stream(
         self,
         request: requests.GenerationRequest,
         service: configuration_state.Service,
@@ -78,17 +87,21 @@
         now: float,
     ) -> list[actions.Action]:
         """Start a generation on an upstream that has room."""
-        if request.request in self.ladder.exhausted:
-            return [returning.refusal(request, 'engine-deaths-exceeded')]
+        if request.request in self.stream_recovery.exhausted_requests:
+            return [
+                resumption.already_ran_failure(
+                    request, 'engine-deaths-exceeded'
+                )
+            ]
         digest = stream_state.digest_of_request(request)
         stream = stream_state.Stream(request, service, pool, digest)
         self.streams[request.exchange] = stream
         return [
             endings.deadline_timer(request),
-            *self.table.order(stream, view, now),
+            *self.attempt_table.start_attempt(stream, view, now),
         ]
 
-    def resume(
+    def resume_stream(
         self,
         event: events.GenerationResumed,
         service: configuration_state.Service,
@@ -96,15 +109,15 @@
         now: float,
     ) -> list[actions.Action]:
         """Go on where a caller's stream broke off at another instance."""
-        return self.returns.resume(event, service, pool, now)
+        return self.stream_resumption.resume_stream(event, service, pool, now)
 
     # -- progress -----------------------------------------------------------
 
-    def answer_in(
+    def find_limit_answer(
         self, event: events.AttemptAccepted | events.AttemptRefused
     ) -> upstream_limits.UpstreamAnswer | None:
         """Return the answer of an engine that an event brings."""
-        source = self.find(event.attempt)
+        source = self.find_stream_attempt(event.attempt)
         if source is None:
             return None
         attempt = source.attempt
@@ -114,41 +127,47 @@
         name = attempt.upstream.name
         return upstream_limits.UpstreamAnswer(name, asked_at, event.said)
 
-    def accepted(
+    def handle_attempt_accepted(
         self, event: events.AttemptAccepted, now: float
     ) -> list[actions.Action]:
         """Note that the engine answers."""
-        source = self.source(event.attempt)
+        source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         source.attempt.answered = True
         if not source.attempt.suspected:
             source.attempt.accepted_at = now
         source.stream.may_have_run = True
-        return [self.watch.rearm(source.stream, source.attempt, now)]
+        return [
+            self.stall_detector.reset_stall_timer(
+                source.stream, source.attempt, now
+            )
+        ]
 
-    def arrived(
+    def handle_tokens(
         self, event: events.TokensArrived, now: float
     ) -> list[actions.Action]:
         """Pass on tokens of an attempt that counts, at the next position."""
-        source = self.source(event.attempt)
+        source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
         stream.may_have_run = True
-        already = stream.position - event.position
-        if already < 0:
-            return self.ladder.lost(stream, attempt, now, 'gap in positions')
-        tokens = event.tokens[already:]
+        already_sent = stream.position - event.position
+        if already_sent < 0:
+            return self.stream_recovery.handle_lost_contact(
+                stream, attempt, now, 'gap in positions'
+            )
+        tokens = event.tokens[already_sent:]
         if not tokens:
             return []
-        done = self.settle_spare(stream, attempt, now)
+        planned = self.keep_one_attempt(stream, attempt, now)
         position = stream.position
-        stream.accept(event.position + already, tokens)
+        stream.accept(event.position + already_sent, tokens)
         stream.recover_by = None
         stream.excluded.clear()
-        self.watch.progressed(stream, attempt, now)
-        done.append(
+        self.stall_detector.observe_tokens(stream, attempt, now)
+        planned.append(
             actions.SendTokens(
                 stream.request.exchange,
                 position,
@@ -156,10 +175,12 @@
                 stream.resume_point(),
             )
         )
-        done.append(self.watch.rearm(stream, attempt, now))
-        return done
+        planned.append(
+            self.stall_detector.reset_stall_timer(stream, attempt, now)
+        )
+        return planned
 
-    def settle_spare(
+    def keep_one_attempt(
         self,
         stream: stream_state.Stream,
         winner: attempt_state.Attempt,
@@ -173,15 +194,15 @@
         if stream.spare is None or stream.attempt is None:
             return []
         if winner is stream.attempt:
-            return self.table.drop_spare(stream)
-        done = self.table.drop(stream, stream.attempt)
-        return done + self.table.promote_spare(stream, now)
+            return self.attempt_table.cancel_spare(stream)
+        planned = self.attempt_table.cancel_attempt(stream, stream.attempt)
+        return planned + self.attempt_table.promote_spare(stream, now)
 
-    def ended(
+    def handle_attempt_ended(
         self, event: events.AttemptEnded, now: float
     ) -> list[actions.Action]:
         """Complete the answer, if no token of it is missing."""
-        source = self.source(event.attempt)
+        source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
@@ -189,21 +210,27 @@
         if event.reason == CANCELLED:
             # Another instance stopped it when it lost the caller, who is
             # here by now. The engine is well.
-            return self.ladder.replace(stream, attempt, now, CANCELLED)
+            return self.stream_recovery.replace_attempt(
+                stream, attempt, now, CANCELLED
+            )
         if event.position != stream.position:
             reason = f'ended at {event.position}'
-            return self.ladder.lost(stream, attempt, now, reason)
-        done = self.settle_spare(stream, attempt, now)
+            return self.stream_recovery.handle_lost_contact(
+                stream, attempt, now, reason
+            )
+        planned = self.keep_one_attempt(stream, attempt, now)
         self.guard.record_survival(stream.request, now)
-        return done + self.ladder.end(stream, event.reason)
+        return planned + self.stream_recovery.complete_stream(
+            stream, event.reason
+        )
 
     # -- trouble ------------------------------------------------------------
 
-    def refused(
+    def handle_attempt_refused(
         self, event: events.AttemptRefused, now: float
     ) -> list[actions.Action]:
         """Try another engine: this one is full, leaving or forgot."""
-        source = self.source(event.attempt)
+        source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
@@ -213,28 +240,34 @@
             stream.engine_deaths += 1
         elif not attempt.suspected:
             stream.excluded.add(attempt.upstream.name)
-        return self.ladder.replace(stream, attempt, now, event.code)
+        return self.stream_recovery.replace_attempt(
+            stream, attempt, now, event.code
+        )
 
-    def broken(
+    def handle_attempt_broken(
         self, event: events.AttemptBroken, now: float
     ) -> list[actions.Action]:
         """Look after an attempt whose connection ended too soon."""
-        source = self.source(event.attempt)
+        source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
-        ever_there = attempt.answered or attempt.suspected
-        if event.handed_over or ever_there:
-            asked: list[actions.Action] = []
+        has_reached_engine = attempt.answered or attempt.suspected
+        if event.handed_over or has_reached_engine:
+            crash_check: list[actions.Action] = []
             if event.handed_over and not attempt.suspected:
-                asked = self.suspect(stream, attempt, now)
-            lost = self.ladder.lost(stream, attempt, now, event.detail)
-            return asked + lost
+                crash_check = self.request_crash_check(stream, attempt, now)
+            recovered = self.stream_recovery.handle_lost_contact(
+                stream, attempt, now, event.detail
+            )
+            return crash_check + recovered
         self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
-        return self.ladder.replace(stream, attempt, now, event.detail)
+        return self.stream_recovery.replace_attempt(
+            stream, attempt, now, event.detail
+        )
 
-    def suspect(
+    def request_crash_check(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
@@ -245,16 +278,16 @@
         Engines accept at once, so one that dies as it begins may do so before
         its answer is out.
         """
-        accepted = attempt.accepted_at <= now
+        was_accepted = attempt.accepted_at <= now
         return self.guard.suspect_upstream(
             stream.request,
             attempt.upstream,
             attempt.incarnation,
-            attempt.accepted_at if accepted else attempt.ordered_at,
+            attempt.accepted_at if was_accepted else attempt.ordered_at,
             now,
         )
 
-    def block(self, fingerprint: str) -> list[actions.Action]:
+    def stop_blocked_streams(self, fingerprint: str) -> list[actions.Action]:
         """Stop what runs of a request that must not run any more.
 
         A stream that brings tokens is left alone: it may show that the
@@ -269,28 +302,31 @@
         return [
             action
             for stream in found
-            for action in self.ladder.fail(
+            for action in self.stream_recovery.fail_stream(
                 stream, crash_guard.BLOCKED_RAN_CODE, None
             )
         ]
 
-    def engine_reported(
+    def handle_engine_report(
         self, report: events.UpstreamReported, now: float
     ) -> list[actions.Action]:
         """Look after the attempts of an engine that is not what it was."""
-        done: list[actions.Action] = []
+        planned: list[actions.Action] = []
         name = report.engine.name
         for attempt_id in sorted(
-            self.table.by_upstream.get(name, ()),
-            key=lambda found: found.attempt,
+            self.attempt_table.attempts_by_upstream.get(name, ()),
+            key=lambda attempt_id: attempt_id.attempt,
         ):
-            source = self.source(attempt_id)
+            source = self.find_or_count_dropped(attempt_id)
             if source is not None:
-                done += self.compare(source, report, now)
-        return done
+                planned += self.check_reported_engine(source, report, now)
+        return planned
 
-    def compare(
-        self, source: Source, report: events.UpstreamReported, now: float
+    def check_reported_engine(
+        self,
+        source: StreamAttempt,
+        report: events.UpstreamReported,
+        now: float,
     ) -> list[actions.Action]:
         """Leave an engine that runs another version; ask one that restarted.
 
@@ -299,21 +335,28 @@
         """
         stream, attempt = source.stream, source.attempt
         reported = (report.model, report.version, report.adapter)
-        pinned = pinning.what_it_runs(stream.pool)
-        if stream.pool.version and reported != pinned:
+        required = pinning.required_model(stream.pool)
+        if stream.pool.version and reported != required:
             stream.may_have_run = True
             reason = f'engine runs {report.version} now'
-            return self.ladder.replace(stream, attempt, now, reason)
-        known = attempt.incarnation
-        if not known or known == report.engine.incarnation:
+            return self.stream_recovery.replace_attempt(
+                stream, attempt, now, reason
+            )
+        known_incarnation = attempt.incarnation
+        if (
+            not known_incarnation
+            or known_incarnation == report.engine.incarnation
+        ):
             return []
         if attempt.suspected:
             return []
-        return self.ladder.lost(stream, attempt, now, 'engine restarted')
+        return self.stream_recovery.handle_lost_contact(
+            stream, attempt, now, 'engine restarted'
+        )
 
     # -- timers -------------------------------------------------------------
 
-    def timer_fired(
+    def handle_timer(
         self, kind: str, exchange: int, now: float
     ) -> list[actions.Action]:
         """Handle one of the streams' timers."""
@@ -322,16 +365,18 @@
             return []
         match kind:
             case stalls.STALL_TIMER:
-                return self.silent(stream, stream.attempt, now)
+                return self.handle_stall_timer(stream, stream.attempt, now)
             case stalls.SPARE_TIMER:
-                return self.silent(stream, stream.spare, now)
+                return self.handle_stall_timer(stream, stream.spare, now)
             case endings.RECOVERY_TIMER if stream.attempt is None:
-                return self.ladder.try_again(stream, now)
+                return self.stream_recovery.retry_all_engines(stream, now)
             case endings.DEADLINE_TIMER:
-                return self.ladder.fail(stream, 'deadline-passed', None)
+                return self.stream_recovery.fail_stream(
+                    stream, 'deadline-passed', None
+                )
         return []
 
-    def silent(
+    def handle_stall_timer(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt | None,
@@ -340,12 +385,14 @@
         """Look after an attempt that makes no progress."""
         if attempt is None:
             return []
-        timer = self.watch.judge(stream, attempt, now)
+        timer = self.stall_detector.check_stall(stream, attempt, now)
         if timer is not None:
             return [timer]
-        return self.ladder.lost(stream, attempt, now, 'no progress')
+        return self.stream_recovery.handle_lost_contact(
+            stream, attempt, now, 'no progress'
+        )
 
-    def pause_noticed(self, now: float) -> list[actions.Action]:
+    def reset_stall_timers(self, now: float) -> list[actions.Action]:
         """Give every attempt its full time again.
 
         After a pause of this process all stall deadlines lie in the past,
@@ -353,56 +400,60 @@
         declare every engine dead at once.
         """
         return [
-            self.watch.rearm(stream, attempt, now)
+            self.stall_detector.reset_stall_timer(stream, attempt, now)
             for stream in self.streams.values()
             for attempt in stream.own_attempts()
         ]
 
     # -- others -------------------------------------------------------------
 
-    def recovers_in(self, pool: configuration_state.Pool) -> bool:
+    def has_recovering_stream_in(self, pool: configuration_state.Pool) -> bool:
         """Return whether a stream of a pool waits for an engine."""
-        waiting = self.ladder.recovering.values()
+        waiting = self.stream_recovery.recovering_streams.values()
         return any(stream.pool.name == pool.name for stream in waiting)
 
-    def recover_waiting(self, now: float) -> list[actions.Action]:
+    def retry_recovering_streams(self, now: float) -> list[actions.Action]:
         """Give streams that have no engine the places that came free.
 
         Were they to wait for their timers, new work would take each place
         first, and streams would be given up on for want of an engine.
         """
-        done: list[actions.Action] = []
-        for stream in list(self.ladder.recovering.values()):
-            done += self.ladder.recover(stream, now)
-        return done
+        planned: list[actions.Action] = []
+        for stream in list(self.stream_recovery.recovering_streams.values()):
+            planned += self.stream_recovery.recover_stream(stream, now)
+        return planned
 
-    def caller_gone(self, exchange: int) -> list[actions.Action]:
+    def handle_caller_gone(self, exchange: int) -> list[actions.Action]:
         """Stop work that nobody waits for."""
         stream = self.streams.get(exchange)
         if stream is None:
             return []
-        gone = attempts.record(
+        disconnected = attempts.record(
             stream, stream.attempt, 'caller-gone', 'connection lost'
         )
-        return [gone, *self.ladder.close(stream)]
+        return [disconnected, *self.stream_recovery.close_stream(stream)]
 
-    def source(self, attempt_id: identity.AttemptId) -> Source | None:
+    def find_or_count_dropped(
+        self, attempt_id: identity.AttemptId
+    ) -> StreamAttempt | None:
         """Return the stream for which this attempt counts, if any.
 
         An engine that was paused goes on sending for an attempt that has
         been replaced. Its tokens may differ from those of the new attempt,
         and would mix two answers if they were passed on.
         """
-        found = self.find(attempt_id)
+        found = self.find_stream_attempt(attempt_id)
         if found is None:
             self.dropped_events += 1
         return found
 
-    def find(self, attempt_id: identity.AttemptId) -> Source | None:
+    def find_stream_attempt(
+        self, attempt_id: identity.AttemptId
+    ) -> StreamAttempt | None:
         """Return the stream for which this attempt counts, if any."""
-        exchange = self.table.exchanges.get(attempt_id)
+        exchange = self.attempt_table.exchange_by_attempt.get(attempt_id)
         stream = self.streams.get(exchange or 0)
         attempt = stream.find_attempt(attempt_id) if stream else None
         if stream is None or attempt is None:
             return None
-        return Source(stream, attempt)
+        return StreamAttempt(stream, attempt)
--- a/src/greengagelb/measure/baselines.py
+++ b/src/greengagelb/measure/baselines.py
@@ -7,7 +7,7 @@
 from greengagelb.coordination.fleet import routing
 from greengagelb.coordination.sharing import admission
 from greengagelb.coordination.sharing import fair_queue
-from greengagelb.coordination.streams import continuing
+from greengagelb.coordination.streams import supervisor
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 from greengagelb.state import upstreams as upstream_state
@@ -121,10 +121,13 @@
 ) -> None:
     """Give a node that has no configuration yet another directory."""
     changed.directory = directory
-    changed.streams = continuing.StreamSupervisor(
-        directory, changed.cancels, changed.incarnation, changed.guard
+    changed.stream_supervisor = supervisor.StreamSupervisor(
+        directory,
+        changed.cancellation_supervisor,
+        changed.incarnation,
+        changed.guard,
     )
-    changed.calls.directory = directory
+    changed.call_supervisor.directory = directory
 
 
 def make_naive(changed: node.Node) -> None:
--- a/src/greengagelb/measure/load.py
+++ b/src/greengagelb/measure/load.py
@@ -445,7 +445,7 @@
                 number, identifier, 'draft', 'x', 10 * TOKEN_EVENTS, 1e9
             )
             measured.handle(events.GenerationSubmitted(request), 0.0)
-        attempt = measured.streams.streams[0].attempt.attempt_id
+        attempt = measured.stream_supervisor.streams[0].attempt.attempt_id
         begun = time.process_time()
         for position in range(TOKEN_EVENTS):
             event = events.TokensArrived(attempt, position, ('x',))
--- a/src/greengagelb/measure/virtual_fleet.py
+++ b/src/greengagelb/measure/virtual_fleet.py
@@ -350,7 +350,7 @@
             instance.handle(
                 events.ConfigurationOffered(self.configuration, 'start')
             )
-            instance.handle(events.FleetSized(len(self.instances)))
+            instance.handle(events.FleetSizeChanged(len(self.instances)))
         self.tick()
         self.report()
 
--- a/src/greengagelb/transport/instance.py
+++ b/src/greengagelb/transport/instance.py
@@ -115,7 +115,7 @@
         """Open the ports and begin to poll."""
         place = self.settings.instance
         health = caller_app.health_app(
-            lambda: self.node.ready, self.recorder.metrics.render
+            lambda: self.node.is_ready, self.recorder.metrics.render
         )
         self.callers.app.route('/', branch=True)(
             lambda request: health.resource()
@@ -169,14 +169,14 @@
         if late > PAUSE_SECONDS:
             self.peers.pause_noticed(late)
             self.orders.pause_noticed()
-            self.dispatch(events.PauseNoticed(late))
+            self.dispatch(events.PauseDetected(late))
         self.peers.own_changed(self.own_state())
 
     def own_state(self) -> fleet.OwnState:
         """Return what other instances should know of this one."""
         return fleet.OwnState(
             self.node.configuration.version,
-            self.node.stopping,
+            self.node.is_stopping,
             frozenset(
                 identity.EngineId(name, view.incarnation)
                 for name, view in self.node.directory.views.items()
@@ -258,10 +258,10 @@
             data_centre=self.settings.instance.data_centre,
             incarnation=self.incarnation,
             configuration_version=self.node.configuration.version,
-            stopping=self.node.stopping,
+            stopping=self.node.is_stopping,
             running=len(self.node.running),
-            waiting=len(self.node.waiting),
-            ready=self.node.ready,
+            waiting=len(self.node.waiting_requests),
+            ready=self.node.is_ready,
             in_force_on=own.in_force_on,
             instances_known=own.instances,
             missing=list(own.missing),
@@ -277,15 +277,15 @@
         place = self.settings.instance
         return metrics.Sample(
             identity=metrics.Identity(place.name, place.data_centre),
-            stopping=self.node.stopping,
+            stopping=self.node.is_stopping,
             settings_digest=settings_changes.digest(
                 self.settings, settings_changes.SERVE_EFFECTS
             ),
             settings_seconds=self.reactor.seconds() - self.settings_since,
             engines=len(self.node.directory.views),
             running=len(self.node.running),
-            waiting=len(self.node.waiting),
-            stale_events=self.node.streams.dropped_events,
+            waiting=len(self.node.waiting_requests),
+            stale_events=self.node.stream_supervisor.dropped_events,
             configuration_version=self.node.configuration.version,
             timeline_dropped=self.recorder.timeline.dropped,
             suspects=len(self.node.guard.records.histories),
@@ -346,7 +346,7 @@
                 self.services.call(action)
             case actions.AbandonCall(exchange):
                 self.services.abandon(exchange)
-            case actions.TellPeer():
+            case actions.SendPeerMessage():
                 self.peers.tell(action)
             case actions.Record():
                 self.recorder.record(action)
--- a/src/greengagelb/transport/order_keeper.py
+++ b/src/greengagelb/transport/order_keeper.py
@@ -57,7 +57,7 @@
             self.report_all(pool)
             chosen = rendezvous.highest_scoring(f'orders {name}', live)
             pool.is_lease_candidate = (
-                chosen == [self.node.incarnation] and not self.node.stopping
+                chosen == [self.node.incarnation] and not self.node.is_stopping
             )
             self.carry_out(name, pool.tick(self.reactor.seconds()))
         held = frozenset().union(
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -265,7 +265,7 @@
                 )
             case peer_api.LimitMessage(incarnation, wire):
                 told = limit_messages.read(wire)
-                self.dispatch(events.PeerTold(incarnation, told))
+                self.dispatch(events.PeerMessageReceived(incarnation, told))
             case peer_api.Introduction(pairs):
                 addresses = [fleet.PeerAddress(*pair) for pair in pairs]
                 self.carry_out(
@@ -314,7 +314,7 @@
                 case membership.Explain(kind, reason):
                     self.record(kind, reason)
 
-    def tell(self, action: actions.TellPeer) -> None:
+    def tell(self, action: actions.SendPeerMessage) -> None:
         """Send what is said about limits to one instance, or to all here."""
         members = self.membership
         addresses = {members.address_of(action.incarnation)}
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -224,7 +224,7 @@
         late = now - self.last_pulse - PULSE_SECONDS
         self.last_pulse = now
         if late > PAUSE_SECONDS:
-            self.loop.dispatch(events.PauseNoticed(late))
+            self.loop.dispatch(events.PauseDetected(late))
         if now >= self.next_beat and not self.relay.finished:
             self.next_beat = self.relay.fleet.next_beat(now, self.relay.rng)
             self.peers.beat(known=self.relay.digests)
--- a/tests/calls/test_at_most_once_machine.py
+++ b/tests/calls/test_at_most_once_machine.py
@@ -21,7 +21,7 @@
     return sequence[number % len(sequence)]
 
 
-class AtMostOnce(stateful.RuleBasedStateMachine):
+class AtMostOnceMachine(stateful.RuleBasedStateMachine):
     """Callers, faults and time in any order."""
 
     def __init__(self):
@@ -99,7 +99,7 @@
         self.world.retry_all()
 
 
-TestAtMostOnce = AtMostOnce.TestCase
+TestAtMostOnce = AtMostOnceMachine.TestCase
 TestAtMostOnce.settings = hypothesis.settings(
     max_examples=200,
     stateful_step_count=40,
@@ -109,7 +109,7 @@
 )
 
 
-def test_long_seeded_run():
+def test_long_random_run():
     """One process sees thousands of requests between two faults.
 
     What adds up only over a long run, such as claims that nobody settles,
--- a/tests/calls/test_claims.py
+++ b/tests/calls/test_claims.py
@@ -78,7 +78,7 @@
     assert second.answers[0].body in world.answer_of[first.key]
 
 
-def test_refusal_after_the_deadline_makes_way_for_a_retry():
+def test_refusal_after_the_deadline_releases_the_row():
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -89,7 +89,7 @@
     assert stage_of(world) is claim_state.ClaimStage.RELEASED
 
 
-def test_connection_lost_after_the_deadline_proves_nothing():
+def test_connection_lost_after_the_deadline_keeps_the_row_taken():
     """A charge outlasts its caller's deadline and then its connection.
 
     The service may go on with it. Released, the key would let a retry run
@@ -114,8 +114,8 @@
     runs a second time. Nobody can prevent it here, but somebody must be told.
     """
     world = call_world.World()
-    home, other = world.instances[:2]
-    world.submit(home, CHARGE)
+    instance, other = world.instances[:2]
+    world.submit(instance, CHARGE)
     answer_all_writes(world)
     world.rows.clear()
     world.may_run.clear()
@@ -134,23 +134,23 @@
     assert world.kinds['claim-overwritten'] == 1
 
 
-def test_silent_service_is_left_alone_in_the_end():
+def test_silent_service_does_not_hold_the_instance_for_ever():
     """A service takes a charge and never answers.
 
     Waited for without end, its calls would use up the account's places.
     """
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, CHARGE)
+    instance = world.instances[0]
+    world.submit(instance, CHARGE)
     answer_all_writes(world)
     world.advance(call_world.PATIENCE + 1)
-    assert home.node.running
+    assert instance.node.running
     world.advance(60.0)
-    assert home.node.idle
+    assert instance.node.is_idle
     assert not world.dispatches[0].awaited
 
 
-def test_large_answer_is_said_to_have_run_but_not_kept():
+def test_large_answer_is_reported_as_run_but_not_kept():
     """The answer to a charge is too large for a claim row.
 
     The retry can't be shown it, and must not run the charge again either.
@@ -160,7 +160,7 @@
     answer_all_writes(world)
     dispatch = world.dispatches[0]
     world.run(dispatch)
-    dispatch.answer = bytes(claims.MOST_KEPT_BODY_BYTES + 1)
+    dispatch.answer = bytes(claims.MAX_KEPT_BODY_BYTES + 1)
     world.answer_of[first.key].add(dispatch.answer)
     world.finish(dispatch)
     answer_all_writes(world)
@@ -170,7 +170,7 @@
     assert failure_of(second).ran is requests.Ran.YES
 
 
-def test_retry_that_finds_its_twin_running_is_not_told_not_run():
+def test_retry_while_the_first_send_runs_is_not_told_not_run():
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -244,7 +244,7 @@
     world.store_down = True
     first = world.submit(world.instances[0], CHARGE)
     assert failure_of(first).ran is requests.Ran.NO
-    assert not world.instances[0].node.claims.claims
+    assert not world.instances[0].node.claim_supervisor.claim_by_holder
 
 
 def test_claim_written_after_the_deadline_is_released_and_taken_over():
@@ -265,7 +265,7 @@
     assert len(world.dispatches) == 1
 
 
-def test_claim_that_lands_after_it_was_given_up_takes_nothing():
+def test_late_claim_write_fails_after_the_claim_was_given_up():
     """Both tries of a claim time out; the first reaches the store late.
 
     The release is already there by then, on the same version, so the late
@@ -295,7 +295,7 @@
     assert len(world.dispatches) == 1
 
 
-def test_release_is_tried_again_until_the_store_takes_it():
+def test_release_is_retried_until_the_store_accepts_it():
     """The store goes away just as a claim is given up."""
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -313,14 +313,14 @@
 def test_release_is_given_up_after_a_long_outage():
     """A store that stays away must not fill the instance with old claims."""
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, CHARGE)
+    instance = world.instances[0]
+    world.submit(instance, CHARGE)
     world.advance(call_world.PATIENCE + 1)
     world.time_out_write(world.writes[0])
     world.store_down = True
     for _ in range(40):
         world.advance(1.0)
-    assert not home.node.claims.claims
+    assert not instance.node.claim_supervisor.claim_by_holder
     assert world.kinds['claim-left-taken'] == 1
 
 
@@ -335,14 +335,14 @@
     timer wait side by side, in either order.
     """
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, service)
-    home.paused = True
+    instance = world.instances[0]
+    world.submit(instance, service)
+    instance.paused = True
     answer_all_writes(world)
     world.advance(60.0)
-    world.wake(home, timers_first)
+    world.wake(instance, timers_first)
     assert not world.dispatches
-    assert home.timers.keys() <= {'claim-settle:i0.1'}
+    assert instance.timers.keys() <= {'claim-settle:i0.1'}
     answer_all_writes(world)
     assert stage_of(world) is claim_state.ClaimStage.RELEASED
 
@@ -353,13 +353,13 @@
     Ended at once, it would leave the key taken for good.
     """
     world = call_world.World()
-    home = world.instances[0]
-    exchange = world.submit(home, CHARGE)
+    instance = world.instances[0]
+    exchange = world.submit(instance, CHARGE)
     world.leave(exchange)
-    done = home.node.handle(events.StopRequested(), world.now)
+    done = instance.node.handle(events.StopRequested(), world.now)
     assert actions.FinishStopping() not in done
     answer_all_writes(world)
-    assert home.node.idle
+    assert instance.node.is_idle
 
 
 def test_generation_that_may_not_be_repeated_is_started_once():
@@ -370,7 +370,7 @@
     assert len(world.dispatches) == 1
 
 
-def test_refused_service_makes_way_for_a_retry():
+def test_call_refused_by_every_upstream_releases_the_row():
     """All three processes of a service refuse a charge before it runs."""
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -402,9 +402,9 @@
     Unbounded, three tries for each would triple the load on what is left.
     """
     world = call_world.World()
-    home = world.instances[0]
+    instance = world.instances[0]
     for number in range(100):
-        world.submit(home, LOOKUP, key=f'{number}')
+        world.submit(instance, LOOKUP, key=f'{number}')
         while world.dispatches:
             world.refuse(world.dispatches[0])
         world.advance(3.0)
@@ -412,25 +412,25 @@
 
 
 def test_waits_grow_with_an_outage_and_are_spread():
-    keeper = claims.ClaimKeeper('i', random.Random(1))
-    waits = [keeper.advice.record_failure() for _ in range(40)]
+    supervisor = claims.ClaimSupervisor('i', random.Random(1))
+    waits = [supervisor.retry_advice.record_failure() for _ in range(40)]
     assert max(waits[:1]) <= 1.5
     assert min(waits[6:]) >= 16.0
     assert max(waits) <= 48.0
     assert len(set(waits)) == len(waits)
 
 
-def test_queue_refusal_of_a_possible_retry_is_not_not_run():
+def test_queue_refusal_of_a_possible_retry_is_outcome_unknown():
     """An account's queue is full when it sends a charge again.
 
     The first send may be running at another instance.
     """
     world = call_world.World()
-    home = world.instances[0]
-    home.node.lifecycle.stop_requested()
-    first = world.submit(home, CHARGE)
+    instance = world.instances[0]
+    instance.node.lifecycle.stop_requested()
+    first = world.submit(instance, CHARGE)
     assert failure_of(first).ran is requests.Ran.NO
-    again = world.submit(home, CHARGE)
+    again = world.submit(instance, CHARGE)
     assert failure_of(again).ran is requests.Ran.UNKNOWN
 
 
@@ -439,4 +439,4 @@
         1, identity.RequestId('a', 'k'), 's', 'op', b'body', 9.0
     )
     other = dataclasses.replace(request, operation='opb', body=b'ody')
-    assert claims.content_of(request) != claims.content_of(other)
+    assert claims.content_digest(request) != claims.content_digest(other)
--- a/tests/calls/test_silent_calls.py
+++ b/tests/calls/test_silent_calls.py
@@ -13,9 +13,9 @@
 DEADLINE = 60.0
 
 
-def calling(upstreams=2, idempotent=True):
+def node_with_call(upstreams=2, idempotent=True):
     """Return a node and what it did with one call."""
-    made = node.Node('i', random.Random(1))
+    instance = node.Node('i', random.Random(1))
     service = configuration.Service(
         'stop',
         configuration.ServiceKind.CALL,
@@ -36,11 +36,11 @@
         services=(service,),
         pools=(pool,),
     )
-    made.handle(events.ConfigurationOffered(offered, 'test'), 0.0)
+    instance.handle(events.ConfigurationOffered(offered, 'test'), 0.0)
     request = requests.CallRequest(
         1, identity.RequestId('karri', 'r'), 'stop', 'stop', b'', DEADLINE
     )
-    return made, made.handle(events.CallSubmitted(request), 0.0)
+    return instance, instance.handle(events.CallSubmitted(request), 0.0)
 
 
 def of_kind(kind, done):
@@ -53,44 +53,44 @@
     Waiting for the caller's deadline would leave the mower running beside a
     child's sandpit; the second try answers within seconds.
     """
-    made, done = calling()
+    instance, done = node_with_call()
     (first,) = of_kind(actions.DispatchCall, done)
     (timer,) = [a for a in done if a == actions.SetTimer(STALL, 2.0)]
-    done = made.handle(events.TimerFired(timer.name), timer.deadline)
+    done = instance.handle(events.TimerFired(timer.name), timer.deadline)
     (second,) = of_kind(actions.DispatchCall, done)
     assert second.upstream != first.upstream
     answer = events.CallAnswered(1, 200, b'stopped', second.try_number)
-    done = made.handle(answer, 2.1)
+    done = instance.handle(answer, 2.1)
     assert actions.SendAnswer(1, 200, b'stopped') in done
     assert actions.AbandonCall(1) in done
     late = events.CallAnswered(1, 200, b'late', first.try_number)
-    assert made.handle(late, 3.0) == []
-    silent = made.directory.views[first.upstream.name]
+    assert instance.handle(late, 3.0) == []
+    silent = instance.directory.views[first.upstream.name]
     assert silent.suspected_until > 2.1
-    assert made.directory.views['p0'].in_flight == 0
-    assert made.directory.views['p1'].in_flight == 0
+    assert instance.directory.views['p0'].in_flight == 0
+    assert instance.directory.views['p1'].in_flight == 0
 
 
 def test_only_upstream_is_asked_again_over_a_new_connection():
     """The connection has gone silent, the service itself is well."""
-    made, done = calling(upstreams=1)
-    done = made.handle(events.TimerFired(STALL), 2.0)
+    instance, done = node_with_call(upstreams=1)
+    done = instance.handle(events.TimerFired(STALL), 2.0)
     assert len(of_kind(actions.DispatchCall, done)) == 1
 
 
 def test_broken_try_leaves_the_other_one_running():
-    made, _ = calling()
-    made.handle(events.TimerFired(STALL), 2.0)
+    instance, _ = node_with_call()
+    instance.handle(events.TimerFired(STALL), 2.0)
     assert not of_kind(
         actions.SendFailure,
-        made.handle(events.CallBroken(1, 'reset', True, 1), 2.1),
+        instance.handle(events.CallBroken(1, 'reset', True, 1), 2.1),
     )
-    done = made.handle(events.CallAnswered(1, 200, b'', 2), 2.2)
+    done = instance.handle(events.CallAnswered(1, 200, b'', 2), 2.2)
     assert of_kind(actions.SendAnswer, done)
 
 
-def test_silent_call_that_may_not_repeat_is_left_alone():
+def test_silent_call_that_may_not_repeat_gets_no_second_try():
     """A charge takes long; a second try could charge twice."""
-    made, done = calling(idempotent=False)
+    instance, done = node_with_call(idempotent=False)
     assert STALL not in [a.name for a in of_kind(actions.SetTimer, done)]
-    assert made.handle(events.TimerFired(STALL), 2.0) == []
+    assert instance.handle(events.TimerFired(STALL), 2.0) == []
--- a/tests/calls/test_store_away.py
+++ b/tests/calls/test_store_unavailable.py
@@ -17,63 +17,65 @@
 SERVED = 'served'
 
 
-def cut_nothing(world):
+def keep_all_reachable(world):
     """Leave everything as it is."""
 
 
-def cut_store(world):
+def refuse_store_connections(world):
     """Have the store refuse connections."""
     world.store_down = True
 
 
-def silence_store(world):
+def withhold_store_answers(world):
     """Have the store take writes and never answer."""
     world.store_silent = True
 
 
-def lose_answers(world):
+def lose_store_answers(world):
     """Have the store carry out writes whose answers are lost."""
     world.store_loses_answers = True
 
 
-def cut_upstreams(world):
+def refuse_upstream_connections(world):
     """Have every upstream refuse connections."""
     world.upstreams_down = True
 
 
 ROWS = [
     # kind of request, key, first send, what is cut, what the caller gets
-    (LOOKUP, True, False, cut_nothing, SERVED),
-    (LOOKUP, True, False, cut_store, SERVED),
-    (LOOKUP, True, False, silence_store, SERVED),
-    (LOOKUP, True, False, cut_upstreams, NOT_RUN),
-    (CHARGE, False, False, cut_store, SERVED),
-    (CHARGE, False, False, cut_upstreams, NOT_RUN),
-    (CHARGE, True, False, cut_nothing, SERVED),
-    (CHARGE, True, True, cut_store, NOT_RUN),
-    (CHARGE, True, False, cut_store, UNKNOWN),
-    (CHARGE, True, True, silence_store, NOT_RUN),
-    (CHARGE, True, False, silence_store, UNKNOWN),
-    (CHARGE, True, False, lose_answers, SERVED),
-    (CHARGE, True, False, cut_upstreams, NOT_RUN),
-    (DIGEST, False, False, cut_store, SERVED),
-    (DIGEST, True, False, cut_nothing, SERVED),
-    (DIGEST, True, True, cut_store, NOT_RUN),
-    (DIGEST, True, False, cut_store, UNKNOWN),
+    (LOOKUP, True, False, keep_all_reachable, SERVED),
+    (LOOKUP, True, False, refuse_store_connections, SERVED),
+    (LOOKUP, True, False, withhold_store_answers, SERVED),
+    (LOOKUP, True, False, refuse_upstream_connections, NOT_RUN),
+    (CHARGE, False, False, refuse_store_connections, SERVED),
+    (CHARGE, False, False, refuse_upstream_connections, NOT_RUN),
+    (CHARGE, True, False, keep_all_reachable, SERVED),
+    (CHARGE, True, True, refuse_store_connections, NOT_RUN),
+    (CHARGE, True, False, refuse_store_connections, UNKNOWN),
+    (CHARGE, True, True, withhold_store_answers, NOT_RUN),
+    (CHARGE, True, False, withhold_store_answers, UNKNOWN),
+    (CHARGE, True, False, lose_store_answers, SERVED),
+    (CHARGE, True, False, refuse_upstream_connections, NOT_RUN),
+    (DIGEST, False, False, refuse_store_connections, SERVED),
+    (DIGEST, True, False, keep_all_reachable, SERVED),
+    (DIGEST, True, True, refuse_store_connections, NOT_RUN),
+    (DIGEST, True, False, refuse_store_connections, UNKNOWN),
 ]
 
 
 @pytest.mark.parametrize(('service', 'key', 'first', 'cut', 'expected'), ROWS)
-def test_what_a_caller_gets(service, key, first, cut, expected):
+def test_outcome_while_part_of_the_platform_is_unreachable(
+    service, key, first, cut, expected
+):
     """Part of the platform can't be reached when a request comes in."""
     world = call_world.World()
     cut(world)
-    asked = world.submit(
+    exchange = world.submit(
         world.instances[0], service, has_key=key, first_send=first
     )
     for _ in range(12):
         world.step_under_cut()
-    (answer,) = asked.answers
+    (answer,) = exchange.answers
     match answer:
         case actions.SendFailure(failure=failure):
             assert failure.ran is expected
--- a/tests/common/call_world.py
+++ b/tests/common/call_world.py
@@ -204,7 +204,9 @@
         self.may_run[exchange.key].append(dispatch)
 
     def attempt_started(self, home, attempt):
-        exchange = self.exchange(home, home.node.streams.exchanges[attempt])
+        exchange = self.exchange(
+            home, home.node.stream_supervisor.exchange_by_attempt[attempt]
+        )
         dispatch = Dispatch(home, exchange, attempt)
         others = [
             d for d in self.may_run[exchange.key] if d.exchange is not exchange
@@ -439,7 +441,9 @@
             if exchange.home.alive and not exchange.gone:
                 assert len(exchange.answers) == 1, exchange
         for home in self.alive:
-            assert home.node.idle, home.node.claims.claims
+            assert home.node.is_idle, (
+                home.node.claim_supervisor.claim_by_holder
+            )
 
     def step_to_rest(self):
         for write in list(self.writes):
@@ -449,7 +453,7 @@
                 self.finish(dispatch)
         if self.writes or self.dispatches:
             return True
-        busy = [h for h in self.alive if not h.node.idle]
+        busy = [h for h in self.alive if not h.node.is_idle]
         if busy:
             self.advance(0.5)
         return bool(busy)
--- a/tests/common/generations.py
+++ b/tests/common/generations.py
@@ -253,7 +253,7 @@
     def stream_of(self, caller: Caller) -> stream_state.Stream:
         """Return a caller's stream as its instance knows it."""
         instance = self.instances[caller.instance]
-        return instance.node.streams.streams[caller.exchange]
+        return instance.node.stream_supervisor.streams[caller.exchange]
 
     def serve(self, tokens: int) -> None:
         """Have every engine generate some tokens, and deliver them."""
@@ -474,7 +474,9 @@
             self.deliver_all()
             self.advance(0.1)
             nodes = [found.node for found in self.instances.values()]
-            if not any(found.running or found.waiting for found in nodes):
+            if not any(
+                found.running or found.waiting_requests for found in nodes
+            ):
                 break
         self.advance(20.0)
         self.deliver_all()
@@ -490,12 +492,12 @@
     """Check that no place and no bookkeeping outlives its stream."""
     found = instance.node
     assert not found.running
-    assert not found.waiting
-    assert not found.streams.streams
-    assert not found.streams.table.exchanges
+    assert not found.waiting_requests
+    assert not found.stream_supervisor.streams
+    assert not found.stream_supervisor.attempt_table.exchange_by_attempt
     assert not +found.admission.running_per_account
     assert not +found.admission.queued_per_account
-    assert not found.cancels.pending
+    assert not found.cancellation_supervisor.pending
     for view in found.directory.views.values():
         assert view.in_flight == 0
     assert not [name for name in instance.timers if 'cancel' not in name]
--- a/tests/common/limited_nodes.py
+++ b/tests/common/limited_nodes.py
@@ -102,13 +102,13 @@
         for instance in self.instances:
             offered = events.ConfigurationOffered(configured(), 'test')
             instance.handle(offered)
-            instance.handle(events.FleetSized(size))
+            instance.handle(events.FleetSizeChanged(size))
             others = tuple(
                 (other.name, 'kl-1')
                 for other in self.instances
                 if other is not instance
             )
-            instance.handle(events.PeersKnown(others))
+            instance.handle(events.PeersChanged(others))
         self.report()
         self.run(3.0)
 
@@ -222,8 +222,8 @@
             case actions.CancelAttempt(attempt):
                 gone = events.AttemptCancelled(attempt)
                 self.after(NETWORK_SECONDS, instance.handle, gone)
-            case actions.TellPeer(receiver, message):
-                told = events.PeerTold(instance.name, message)
+            case actions.SendPeerMessage(receiver, message):
+                told = events.PeerMessageReceived(instance.name, message)
                 for other in self.instances:
                     if other is not instance and receiver in ('', other.name):
                         self.after(NETWORK_SECONDS, other.handle, told)
--- a/tests/common/loaded_node.py
+++ b/tests/common/loaded_node.py
@@ -95,7 +95,7 @@
 
 def end(running, exchange, now):
     """Have the engine complete an exchange's answer."""
-    stream = running.streams.streams[exchange]
+    stream = running.stream_supervisor.streams[exchange]
     attempt = stream.attempt.attempt_id
     return running.handle(
         events.AttemptEnded(attempt, stream.position, 'length'), now
--- a/tests/coordination/test_lifecycle.py
+++ b/tests/coordination/test_lifecycle.py
@@ -6,7 +6,7 @@
 from greengagelb.coordination import lifecycle
 
 
-def moved(*names):
+def phase_after(*names):
     progress = lifecycle.Progress()
     machine = lifecycle.new_lifecycle(progress)
     for name in names:
@@ -14,48 +14,65 @@
     return progress.phase
 
 
-def test_configuration_starts_the_serving_and_changes_nothing_later():
-    assert moved('configured') is lifecycle.Phase.SERVING
-    assert moved('configured', 'configured') is lifecycle.Phase.SERVING
+def test_first_configuration_starts_serving():
+    assert phase_after('configuration_applied') is lifecycle.Phase.SERVING
+    assert (
+        phase_after('configuration_applied', 'configuration_applied')
+        is lifecycle.Phase.SERVING
+    )
 
 
-def test_configuration_does_not_bring_a_stopping_instance_back():
+def test_configuration_does_not_return_a_stopping_instance_to_service():
     """A plan is confirmed while an instance is being replaced.
 
     Ready again, it would be sent requests that its end then cuts off.
     """
-    phase = moved('configured', 'stop_requested', 'configured')
+    phase = phase_after(
+        'configuration_applied', 'stop_requested', 'configuration_applied'
+    )
     assert phase is lifecycle.Phase.STOPPING
 
 
 def test_instance_may_be_stopped_before_it_has_a_configuration():
-    assert moved('stop_requested', 'emptied') is lifecycle.Phase.FINISHED
-
-
-def test_request_may_be_taken_until_the_instance_begins_to_end():
-    assert moved('configured', 'request_taken') is lifecycle.Phase.SERVING
-    phase = moved('configured', 'stop_requested', 'request_taken')
+    assert (
+        phase_after('stop_requested', 'work_finished')
+        is lifecycle.Phase.FINISHED
+    )
+
+
+def test_request_may_be_accepted_until_the_instance_finishes():
+    assert (
+        phase_after('configuration_applied', 'request_accepted')
+        is lifecycle.Phase.SERVING
+    )
+    phase = phase_after(
+        'configuration_applied', 'stop_requested', 'request_accepted'
+    )
     assert phase is lifecycle.Phase.STOPPING
 
 
-@pytest.mark.parametrize('closing', [[], ['closed']])
-def test_no_request_is_taken_once_the_instance_has_begun_to_end(closing):
+@pytest.mark.parametrize('closing', [[], ['connections_closed']])
+def test_no_request_is_accepted_once_the_instance_has_finished(closing):
     """A call comes in the last milliseconds of a planned stop.
 
     Sent to an engine, it would be cut with the process, and its caller could
     not know whether it has run.
     """
     with pytest.raises(automat.NoTransition):
-        moved('stop_requested', 'emptied', *closing, 'request_taken')
+        phase_after(
+            'stop_requested', 'work_finished', *closing, 'request_accepted'
+        )
 
 
-def test_process_does_not_end_before_the_instance_is_empty():
+def test_process_does_not_end_while_requests_are_in_flight():
     """The ports are closed while callers still wait for their answers."""
     with pytest.raises(automat.NoTransition):
-        moved('configured', 'stop_requested', 'closed')
+        phase_after(
+            'configuration_applied', 'stop_requested', 'connections_closed'
+        )
 
 
-def test_instance_that_serves_does_not_end_for_lack_of_requests():
+def test_idle_serving_instance_does_not_finish():
     """All requests of a quiet night are answered."""
     with pytest.raises(automat.NoTransition):
-        moved('configured', 'emptied')
+        phase_after('configuration_applied', 'work_finished')
--- a/tests/fleet/test_membership.py
+++ b/tests/fleet/test_membership.py
@@ -158,7 +158,7 @@
     network.run(80)
     assert found[2].own_id.incarnation not in found[0].peers
     sizes = network.reports[found[0].own_id.incarnation]
-    assert sizes[-1] == events.FleetSized(2)
+    assert sizes[-1] == events.FleetSizeChanged(2)
 
 
 def test_list_that_shows_an_older_start_does_not_replace_the_new_one():
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -296,7 +296,7 @@
     found = [
         report
         for event in network.reports[who.incarnation]
-        if isinstance(event, events.CrashesHeard)
+        if isinstance(event, events.CrashReportsReceived)
         for report in event.reports
     ]
     return found[-1] if found else None
--- a/tests/load/test_fair_start.py
+++ b/tests/load/test_fair_start.py
@@ -71,10 +71,10 @@
     node.handle(loaded_node.draft(1, 'a'), 1.0)
     node.handle(loaded_node.draft(2, 'a'), 1.0)
     node.handle(loaded_node.draft(3, 'a'), 1.0)
-    lost = node.streams.streams[1].attempt.attempt_id
+    lost = node.stream_supervisor.streams[1].attempt.attempt_id
     for _ in range(2):
         node.handle(events.AttemptBroken(lost, 'killed', True), 1.1)
-    assert node.streams.streams[1].attempt is None
+    assert node.stream_supervisor.streams[1].attempt is None
     done = loaded_node.end(node, 2, 1.2)
     assert loaded_node.started(done) == ['r1']
 
@@ -88,7 +88,7 @@
     node = loaded_node.new_node([loaded_node.account('a')])
     for exchange in (1, 2):
         node.handle(loaded_node.draft(exchange, 'a'), 1.0)
-    attempt = node.streams.streams[1].attempt.attempt_id
+    attempt = node.stream_supervisor.streams[1].attempt.attempt_id
     monkeypatch.setattr(node.directory, 'choose_upstream', None)
     done = node.handle(events.TokensArrived(attempt, 0, ('x',)), 1.0)
     assert loaded_node.only(actions.SendTokens, done)
--- a/tests/load/test_limits.py
+++ b/tests/load/test_limits.py
@@ -33,11 +33,11 @@
     node = loaded_node.new_node(
         [loaded_node.account('a', most_running=4)], slots=8
     )
-    node.handle(events.FleetSized(4), 1.0)
+    node.handle(events.FleetSizeChanged(4), 1.0)
     node.handle(loaded_node.draft(1, 'a'), 1.0)
     done = node.handle(loaded_node.draft(2, 'a'), 1.0)
     assert not loaded_node.started(done)
-    done = node.handle(events.FleetSized(2), 2.0)
+    done = node.handle(events.FleetSizeChanged(2), 2.0)
     assert loaded_node.started(done) == ['r2']
 
 
--- a/tests/load/test_measured_policies.py
+++ b/tests/load/test_measured_policies.py
@@ -65,13 +65,13 @@
 
 def check_in_flight_counts(node):
     """Check that the counts of running requests match the streams."""
-    assert set(node.running) == set(node.streams.streams)
+    assert set(node.running) == set(node.stream_supervisor.streams)
     for queue in node.admission.queues.values():
         queue.check_invariants()
     for name, view in node.directory.views.items():
         held = [
             stream
-            for stream in node.streams.streams.values()
+            for stream in node.stream_supervisor.streams.values()
             if stream.upstream is not None and stream.upstream.name == name
         ]
         assert view.in_flight == len(held)
@@ -113,7 +113,7 @@
     for instance in fleet.instances:
         node = instance.node
         assert not node.running
-        assert not node.waiting
+        assert not node.waiting_requests
         assert not +node.admission.running_per_account
         assert not any(
             view.in_flight for view in node.directory.views.values()
--- a/tests/relay/test_promises.py
+++ b/tests/relay/test_promises.py
@@ -201,7 +201,7 @@
     @stateful.rule(seconds=st.sampled_from([0.5, 3.0]))
     def process_stands_still(self, seconds):
         self.world.now += seconds
-        self.world.handle(common_events.PauseNoticed(seconds))
+        self.world.handle(common_events.PauseDetected(seconds))
         self.take_actions()
 
     @stateful.rule(
--- a/tests/seam/test_whole_request.py
+++ b/tests/seam/test_whole_request.py
@@ -27,12 +27,12 @@
     )
 
 
-def configured_node():
-    found = node.Node('i1', random.Random(1))
-    found.handle(
+def configured_instance():
+    instance = node.Node('i1', random.Random(1))
+    instance.handle(
         events.ConfigurationOffered(small_configuration(), 'test'), 0.0
     )
-    return found
+    return instance
 
 
 def draft(exchange=1, most_tokens=3):
@@ -46,22 +46,24 @@
     )
 
 
-def only(kind, done):
+def only_action(kind, done):
     (found,) = [action for action in done if isinstance(action, kind)]
     return found
 
 
 def test_request_runs_from_submission_to_its_end():
-    found = configured_node()
+    instance = configured_instance()
     submitted = events.GenerationSubmitted(draft())
-    started = only(actions.StartAttempt, found.handle(submitted, 1.0))
+    started = only_action(
+        actions.StartAttempt, instance.handle(submitted, 1.0)
+    )
     arrived = events.TokensArrived(started.attempt, 0, ('a', 'b', 'c'))
-    sent = only(actions.SendTokens, found.handle(arrived, 1.1))
+    sent = only_action(actions.SendTokens, instance.handle(arrived, 1.1))
     assert (sent.position, sent.tokens) == (0, ('a', 'b', 'c'))
     ended = events.AttemptEnded(started.attempt, 3, 'length')
-    end = only(actions.SendEnd, found.handle(ended, 1.2))
+    end = only_action(actions.SendEnd, instance.handle(ended, 1.2))
     assert end.position == 3
-    assert not found.running
+    assert not instance.running
 
 
 def test_lost_engine_is_replaced_from_the_next_position():
@@ -69,35 +71,35 @@
 
     The caller sees a pause, then the third token.
     """
-    found = configured_node()
+    instance = configured_instance()
     submitted = events.GenerationSubmitted(draft())
-    first = only(actions.StartAttempt, found.handle(submitted, 1.0))
-    found.handle(events.TokensArrived(first.attempt, 0, ('a', 'b')), 1.1)
+    first = only_action(actions.StartAttempt, instance.handle(submitted, 1.0))
+    instance.handle(events.TokensArrived(first.attempt, 0, ('a', 'b')), 1.1)
     broken = events.AttemptBroken(first.attempt, 'reset', True)
-    attach = only(actions.AttachAttempt, found.handle(broken, 1.2))
+    attach = only_action(actions.AttachAttempt, instance.handle(broken, 1.2))
     assert attach.position == 2
     broken = events.AttemptBroken(first.attempt, 'refused', False)
-    second = only(actions.StartAttempt, found.handle(broken, 1.3))
+    second = only_action(actions.StartAttempt, instance.handle(broken, 1.3))
     assert second.upstream.name != first.upstream.name
     assert second.received == ('a', 'b')
     assert second.attempt.generation == first.attempt.generation
 
 
-def test_late_tokens_of_a_replaced_attempt_reach_nobody():
+def test_late_tokens_of_a_replaced_attempt_are_dropped():
     """A paused engine wakes after it was replaced and sends on.
 
     Its tokens may differ from those of its successor; passed on, they would
     put words of two answers into one.
     """
-    found = configured_node()
+    instance = configured_instance()
     submitted = events.GenerationSubmitted(draft())
-    first = only(actions.StartAttempt, found.handle(submitted, 1.0))
+    first = only_action(actions.StartAttempt, instance.handle(submitted, 1.0))
     for _ in range(2):
         broken = events.AttemptBroken(first.attempt, 'reset', True)
-        done = found.handle(broken, 1.1)
-    only(actions.StartAttempt, done)
+        done = instance.handle(broken, 1.1)
+    only_action(actions.StartAttempt, done)
     late = events.TokensArrived(first.attempt, 0, ('x',))
-    assert found.handle(late, 1.2) == []
+    assert instance.handle(late, 1.2) == []
 
 
 def test_older_configuration_is_refused():
@@ -105,7 +107,7 @@
 
     An operator would see a drained engine get work again.
     """
-    found = configured_node()
+    instance = configured_instance()
     older = configuration.Configuration(version=0)
-    found.handle(events.ConfigurationOffered(older, 'platform'), 1.0)
-    assert found.configuration == small_configuration()
+    instance.handle(events.ConfigurationOffered(older, 'platform'), 1.0)
+    assert instance.configuration == small_configuration()
