--- a/tests/streams/test_cancellations.py
+++ b/tests/streams/test_cancellations.py
@@ -10,38 +10,40 @@
 DEADLINE = 100.0
 
 
-def cancelled(incarnation='e0#1'):
-    found = cancellations.CancellationSupervisor()
-    found.cancel(ATTEMPT, UPSTREAM, incarnation, DEADLINE)
-    return found
+def supervisor_with_cancellation(incarnation='e0#1'):
+    supervisor = cancellations.CancellationSupervisor()
+    supervisor.request_cancellation(ATTEMPT, UPSTREAM, incarnation, DEADLINE)
+    return supervisor
 
 
-def retry(found, now):
-    (timer,) = found.failed(ATTEMPT, now)
+def schedule_retry(supervisor, now):
+    (timer,) = supervisor.schedule_retry(ATTEMPT, now)
     return timer
 
 
-def test_unreachable_engine_is_asked_until_the_deadline_of_the_attempt():
+def test_unreachable_engine_is_asked_until_the_attempt_deadline():
     """An engine is out of reach for longer than any short series of tries.
 
     When it comes back it would generate for nobody.
     """
-    found = cancelled()
+    supervisor = supervisor_with_cancellation()
     now, asked = 0.0, 0
     while now < DEADLINE:
-        timer = retry(found, now)
+        timer = schedule_retry(supervisor, now)
         now = timer.deadline
-        asked += len(found.timer_fired(timer.name))
+        asked += len(supervisor.handle_timer(timer.name))
     assert asked > 12
-    found.failed(ATTEMPT, now)
-    assert not found.pending
+    supervisor.schedule_retry(ATTEMPT, now)
+    assert not supervisor.pending
 
 
 def test_confirmed_cancellation_is_forgotten():
-    found = cancelled()
-    timer = retry(found, 1.0)
-    assert found.confirmed(ATTEMPT) == [actions.ClearTimer(timer.name)]
-    assert found.timer_fired(timer.name) == []
+    supervisor = supervisor_with_cancellation()
+    timer = schedule_retry(supervisor, 1.0)
+    assert supervisor.handle_confirmation(ATTEMPT) == [
+        actions.ClearTimer(timer.name)
+    ]
+    assert supervisor.handle_timer(timer.name) == []
 
 
 def test_engine_that_answers_again_is_asked_at_once():
@@ -49,19 +51,19 @@
 
     Each second until the next try costs tokens that nobody reads.
     """
-    found = cancelled()
-    retry(found, 1.0)
-    done = found.engine_reported(identity.EngineId('e0', 'e0#1'))
+    supervisor = supervisor_with_cancellation()
+    schedule_retry(supervisor, 1.0)
+    done = supervisor.handle_engine_report(identity.EngineId('e0', 'e0#1'))
     assert actions.CancelAttempt(ATTEMPT, UPSTREAM) in done
-    assert ATTEMPT in found.pending
+    assert ATTEMPT in supervisor.pending
 
 
-def test_new_incarnation_ends_the_tries():
+def test_new_incarnation_ends_the_retries():
     """The engine has died meanwhile, and its attempts with it."""
-    found = cancelled()
-    retry(found, 1.0)
-    done = found.engine_reported(identity.EngineId('e0', 'e0#2'))
+    supervisor = supervisor_with_cancellation()
+    schedule_retry(supervisor, 1.0)
+    done = supervisor.handle_engine_report(identity.EngineId('e0', 'e0#2'))
     assert done[-1] == actions.CancelAttempt(ATTEMPT, UPSTREAM)
-    assert not found.pending
-    assert not found.by_upstream
-    assert not found.by_timer
+    assert not supervisor.pending
+    assert not supervisor.attempts_by_upstream
+    assert not supervisor.attempt_by_timer
--- a/tests/streams/test_stalls.py
+++ b/tests/streams/test_stalls.py
@@ -8,7 +8,7 @@
 from tests.common import generations
 
 
-def several_streams(count=6):
+def start_streams(count=6):
     world = generations.World()
     world.report()
     callers = [world.submit() for _ in range(count)]
@@ -17,13 +17,13 @@
 
 
 @given(st.floats(0.2, 60.0), st.booleans())
-def test_own_pause_kills_no_engine(seconds, timers_first):
+def test_own_pause_marks_no_engine_dead(seconds, timers_first):
     """An instance is stopped for a while and goes on.
 
     Every stall timer is due, and the tokens wait unread. Judged by its
     timers, all engines would be dead and all drafts moved at once.
     """
-    world, callers = several_streams()
+    world, callers = start_streams()
     world.stand_still(seconds)
     for engine in world.engines.values():
         engine.generate(1)
@@ -35,9 +35,9 @@
     assert all(len(caller.tokens) == 4 for caller in callers)
 
 
-def test_timer_in_time_still_lets_the_sockets_be_read_first():
+def test_punctual_timer_lets_sockets_be_read_first():
     """A pause ends just when a stall timer is due, so it is not late."""
-    world, callers = several_streams(1)
+    world, callers = start_streams(1)
     deadline = world.stream_of(callers[0]).attempt.stall_deadline
     for engine in world.engines.values():
         engine.generate(1)
@@ -52,9 +52,9 @@
     assert len(callers[0].tokens) == 4
 
 
-def test_starved_instance_still_finds_a_dead_engine():
+def test_delayed_event_loop_still_detects_a_dead_engine():
     """A loop that is always late must not wait for ever."""
-    world, callers = several_streams(1)
+    world, callers = start_streams(1)
     engine = world.engine_of(callers[0])
     engine.pause()
     for _ in range(30):
@@ -64,7 +64,7 @@
     assert world.engine_of(callers[0]) is not engine
 
 
-def test_slow_engine_is_given_its_own_pace():
+def test_stall_timeout_follows_the_pace_of_the_engine():
     """An engine under load brings a token every 80 ms.
 
     A constant fit for a fast engine would take it for dead again and again.
@@ -83,7 +83,7 @@
     assert 'attempt-suspected' not in world.kinds()
 
 
-def test_attempt_that_waits_in_a_busy_engine_is_not_dead():
+def test_attempt_queued_at_a_busy_engine_is_not_replaced():
     """An engine accepts more than it runs at once.
 
     The later request gets no token while the engine serves others. Moved
@@ -105,14 +105,14 @@
             busy = world.submit()
         world.serve(1)
         world.pass_time(0.2)
-    assert world.now > stalls.FIRST_TOKEN_SECONDS * 2
+    assert world.now > stalls.FIRST_TOKEN_TIMEOUT_SECONDS * 2
     assert world.stream_of(queued).engine_deaths == 0
     assert 'attempt-replaced' not in world.kinds()
 
 
 @given(st.lists(st.floats(0.001, 2.0), min_size=1))
 def test_observed_pace_stays_within_what_was_observed(gaps):
-    found = pace.Pace()
+    observed = pace.Pace()
     for gap in gaps:
-        found.observe(gap)
-    assert min(gaps) * 0.999 <= found.gap <= max(gaps) * 1.001
+        observed.observe(gap)
+    assert min(gaps) * 0.999 <= observed.gap <= max(gaps) * 1.001
--- a/tests/streams/test_promises_of_streams.py
+++ b/tests/streams/test_stream_machine.py
@@ -110,7 +110,7 @@
         self.world.stand_still(seconds)
         if told:
             for instance in self.world.instances.values():
-                self.world.tell(instance, events.PauseNoticed(seconds))
+                self.world.tell(instance, events.PauseDetected(seconds))
 
     @stateful.rule(name=ENGINES, version=st.sampled_from(['1', '2']))
     def load_another_version(self, name, version):
--- a/tests/streams/test_recovery_ladder.py
+++ b/tests/streams/test_stream_recovery.py
@@ -9,7 +9,7 @@
 from tests.common import generations
 
 
-def started(service='draft', tokens=3, engines=3):
+def start_stream(service='draft', tokens=3, engines=3):
     world = generations.World(engines)
     world.report()
     caller = world.submit(service)
@@ -18,7 +18,7 @@
     return world, caller
 
 
-def finish(world, caller):
+def finish_stream(world, caller):
     world.serve(generations.MOST_TOKENS + 2)
     (end,) = caller.finals
     return end
@@ -29,18 +29,18 @@
     return found.failure
 
 
-def test_silent_connection_is_replaced_by_a_new_one_to_the_same_engine():
+def test_silent_connection_is_reattached_to_the_same_engine():
     """A middlebox forgets a connection; nothing closes it.
 
     The draft stands still for a moment and goes on, from the same engine.
     """
-    world, caller = started()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     engine.silence()
     world.pass_time(0.4)
     world.serve(1)
     assert world.engine_of(caller) is engine
-    assert finish(world, caller).position == generations.MOST_TOKENS
+    assert finish_stream(world, caller).position == generations.MOST_TOKENS
 
 
 def test_second_silence_of_one_attempt_costs_no_engine_death():
@@ -48,7 +48,7 @@
 
     Taken for a death, it would move a healthy generation elsewhere.
     """
-    world, caller = started()
+    world, caller = start_stream()
     for _ in range(2):
         assert caller.waits
         world.engine_of(caller).silence()
@@ -61,12 +61,12 @@
     assert world.stream_of(caller).engine_deaths == 0
 
 
-def test_paused_engine_that_comes_back_adds_nothing():
+def test_tokens_of_a_resumed_engine_are_dropped():
     """An engine stands still, is replaced, and goes on as if nothing was.
 
     Its tokens differ from those of its successor.
     """
-    world, caller = started()
+    world, caller = start_stream()
     paused = world.engine_of(caller)
     paused.pause()
     for _ in range(4):
@@ -77,15 +77,15 @@
     world.come_back(paused.name)
     paused.generate(3)
     world.deliver_late(world.instances[caller.instance])
-    assert finish(world, caller).position == generations.MOST_TOKENS
+    assert finish_stream(world, caller).position == generations.MOST_TOKENS
 
 
-def test_engine_that_reports_another_version_is_left_at_once():
+def test_engine_that_reports_another_version_is_replaced_at_once():
     """An engine loads another version while it generates.
 
     What it writes from then on belongs to another model's answer.
     """
-    world, caller = started()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     engine.version = '2'
     held = list(caller.tokens)
@@ -97,29 +97,29 @@
     assert world.stream_of(caller).engine_deaths == 0
 
 
-def test_batch_lost_on_the_way_is_asked_for_again():
+def test_lost_batch_is_requested_again():
     """A batch is missing, and the next one comes.
 
     Passed on, it would leave a hole in the draft.
     """
-    world, caller = started()
+    world, caller = start_stream()
     world.engine_of(caller).generate(2)
     world.lose_batches(world.instances['i1'])
     world.serve(1)
-    assert finish(world, caller).position == generations.MOST_TOKENS
+    assert finish_stream(world, caller).position == generations.MOST_TOKENS
 
 
-def test_end_is_not_believed_while_tokens_are_missing():
+def test_end_is_not_accepted_while_tokens_are_missing():
     """The last batch is lost, but not the end event after it."""
-    world, caller = started()
+    world, caller = start_stream()
     world.engine_of(caller).generate(generations.MOST_TOKENS)
     world.lose_batches(world.instances['i1'])
-    assert finish(world, caller).position == generations.MOST_TOKENS
+    assert finish_stream(world, caller).position == generations.MOST_TOKENS
 
 
 def test_lost_end_event_does_not_add_a_token():
     """The engine dies between the last token and the end event."""
-    world, caller = started()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     engine.generate(generations.MOST_TOKENS)
     (connection,) = engine.connections
@@ -130,47 +130,47 @@
     broken = events.AttemptBroken(connection.attempt, 'reset', True)
     for _ in range(2):
         world.tell(world.instances['i1'], broken)
-    assert finish(world, caller).reason == 'length'
+    assert finish_stream(world, caller).reason == 'length'
 
 
-def test_withdrawn_version_restarts_what_may_be_repeated():
+def test_withdrawn_version_restarts_an_idempotent_request():
     """The pool has moved to another version and the old engine dies.
 
     The caller is told to discard what it holds; it never gets the end of
     another generation.
     """
-    world, caller = started()
+    world, caller = start_stream()
     for engine in world.engines.values():
         engine.version = '2'
     world.configure('2')
     world.report()
     assert (caller.generation, caller.tokens) == (2, [])
-    assert finish(world, caller).generation == 2
+    assert finish_stream(world, caller).generation == 2
 
 
-def test_caller_lost_right_after_a_restart_comes_back_to_it():
+def test_caller_disconnected_after_a_restart_can_resume():
     """The connection breaks between the restart and the next token.
 
     The caller has discarded its tokens by then. Its old cursor would no
     longer fit, and it could never come back.
     """
-    world, caller = started()
+    world, caller = start_stream()
     for engine in world.engines.values():
         engine.version = '2'
     world.configure('2')
     world.report()
     world.leave(caller, noticed=True)
     world.ask(caller, 'i2')
-    assert finish(world, caller).generation == 2
+    assert finish_stream(world, caller).generation == 2
 
 
-def test_withdrawn_version_is_learnt_from_refusals_too():
+def test_withdrawn_version_is_detected_from_refusals():
     """The instance does not watch the engines, which have all moved on.
 
     No report tells it so. It must not give up on a draft that could start
     afresh at once.
     """
-    world, caller = started()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     for other in world.engines.values():
         other.version = '2'
@@ -179,14 +179,14 @@
         view.probed_at = float('-inf')
     engine.kill()
     engine.come_back()
-    world.pass_time(recovery.RECOVERY_PATIENCE_SECONDS + 0.5)
+    world.pass_time(recovery.RECOVERY_TIMEOUT_SECONDS + 0.5)
     assert caller.generation == 2
-    assert finish(world, caller).generation == 2
+    assert finish_stream(world, caller).generation == 2
 
 
 def test_withdrawn_version_ends_what_may_not_be_repeated():
     """As before, but the request must not run again."""
-    world, caller = started('once')
+    world, caller = start_stream('once')
     for engine in world.engines.values():
         engine.version = '2'
     world.configure('2')
@@ -196,13 +196,13 @@
 
 def test_request_that_may_not_repeat_is_not_started_twice():
     """The engine dies before the first token of a non-idempotent request."""
-    world, caller = started('once', tokens=0)
+    world, caller = start_stream('once', tokens=0)
     world.engine_of(caller).kill()
     world.deliver_all()
     assert failure_of(caller).ran is requests.Ran.UNKNOWN
 
 
-def test_refused_everywhere_is_told_at_once_as_not_run():
+def test_request_refused_by_every_engine_is_reported_as_not_run():
     """Every engine is full; the request is refused by each of them.
 
     The caller is told within seconds, and may believe that nothing ran. The
@@ -214,16 +214,16 @@
     caller = world.submit()
     for _ in range(40):
         world.deliver_all()
-        world.advance(recovery.RECOVERY_RETRY_SECONDS)
+        world.advance(recovery.RECOVERY_RETRY_DELAY_SECONDS)
     assert failure_of(caller).ran is requests.Ran.NO
     assert failure_of(caller).retry_after
-    tries = recovery.RECOVERY_PATIENCE_SECONDS / 0.05 + 2
+    tries = recovery.RECOVERY_TIMEOUT_SECONDS / 0.05 + 2
     assert world.kinds().count('attempt-started') <= 3 * tries
 
 
-def test_nothing_that_can_help_is_waited_for():
+def test_stream_fails_at_once_when_no_engine_can_serve_it():
     """The last engine of a pool is lost while the others are drained."""
-    world, caller = started()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     views = world.instances['i1'].node.directory.views
     for name, view in views.items():
@@ -242,7 +242,7 @@
     Resumed for ever, it would take the whole pool from all accounts. Sent
     again, with an older cursor or none, it begins no new series.
     """
-    world, caller = started(service)
+    world, caller = start_stream(service)
     for _ in range(50):
         if not caller.waits:
             break
@@ -262,12 +262,12 @@
     assert not caller.waits
 
 
-def test_spare_runs_while_the_first_is_still_asked():
+def test_spare_starts_while_the_first_attempt_is_suspected():
     """An engine stands still under a service that values latency.
 
     Its successor has begun before the first is taken for dead.
     """
-    world, caller = started('hasty')
+    world, caller = start_stream('hasty')
     world.engine_of(caller).pause()
     while 'attempt-suspected' not in world.kinds():
         world.advance(0.05)
@@ -279,9 +279,9 @@
     assert len(caller.tokens) == 4
 
 
-def test_first_attempt_that_goes_on_ends_its_spare():
+def test_spare_is_cancelled_when_the_first_attempt_goes_on():
     """The first engine was merely slow: its token comes before any other."""
-    world, caller = started('hasty')
+    world, caller = start_stream('hasty')
     slow = world.engine_of(caller)
     slow.silence()
     while 'spare-started' not in world.kinds():
@@ -290,10 +290,10 @@
     world.deliver_all()
     assert world.engine_of(caller) is slow
     assert world.stream_of(caller).spare is None
-    assert finish(world, caller).position == generations.MOST_TOKENS
+    assert finish_stream(world, caller).position == generations.MOST_TOKENS
 
 
-def test_lost_streams_go_before_new_work():
+def test_recovering_streams_take_precedence_over_new_requests():
     """One of two engines dies while new requests wait for a place.
 
     Each place that comes free would go to a new request, and the drafts
@@ -314,4 +314,4 @@
     assert not waiting.tokens
     served = [c for c in hit if world.stream_of(c).attempt]
     assert len(served) == 1
-    assert waiting.exchange in world.instances['i1'].node.waiting
+    assert waiting.exchange in world.instances['i1'].node.waiting_requests
--- a/tests/streams/test_returning_callers.py
+++ b/tests/streams/test_stream_resumption.py
@@ -13,7 +13,7 @@
 from tests.common import generations
 
 
-def broken_off(service='draft'):
+def start_stream(service='draft'):
     world = generations.World()
     world.report()
     caller = world.submit(service, 'i1')
@@ -25,9 +25,9 @@
     return caller.finals[-1].failure.code
 
 
-def test_same_attempt_goes_on_after_its_instance_died():
+def test_same_attempt_continues_after_its_instance_died():
     """The instance dies; the engine has not noticed and goes on."""
-    world, caller = broken_off()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     world.replace_instance('i1')
     world.ask(caller, 'i2')
@@ -37,9 +37,9 @@
     assert caller.finals[-1].position == generations.MOST_TOKENS
 
 
-def test_engine_and_instance_lost_together():
+def test_stream_resumes_after_engine_and_instance_die_together():
     """A rack goes. What the caller holds is all that is left of its draft."""
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     world.replace_instance('i1')
     world.ask(caller, 'i2')
@@ -52,7 +52,7 @@
 
     To wait for an answer about the old attempt would be time lost.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     engine.kill()
     engine.come_back()
@@ -64,7 +64,7 @@
     assert world.stream_of(caller).engine_deaths == 1
 
 
-def test_old_report_does_not_make_a_running_attempt_gone():
+def test_outdated_report_does_not_replace_a_running_attempt():
     """The instance last heard of the engine before that restarted.
 
     It does not watch the engine. To believe the old report would read the
@@ -89,12 +89,12 @@
     assert world.stream_of(caller).engine_deaths == 0
 
 
-def test_older_exchange_does_not_cancel_what_the_newer_one_reads():
+def test_older_exchange_does_not_cancel_the_attempt_of_the_newer_one():
     """The caller is back before its instance notices the old connection.
 
     When it does, it must not stop the attempt that is read again.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     older = caller.exchange
     world.leave(caller, noticed=False)
     world.ask(caller, 'i1')
@@ -109,7 +109,7 @@
 
     One engine still runs the old one, and the draft must end on it.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     survivor = next(
         engine
@@ -129,7 +129,7 @@
 
 def test_tokens_of_another_answer_are_refused():
     """A client's store mixes up two drafts, and it sends the wrong one."""
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.tokens[0] = 'other'
     world.ask(caller, 'i2')
@@ -141,7 +141,7 @@
 
     It would get the start of one answer and the end of another.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.prompt = 'another prompt'
     world.ask(caller, 'i2')
@@ -150,19 +150,19 @@
 
 def test_cursor_of_another_request_is_refused():
     """Event ids of two drafts are swapped on the way."""
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.request = identity.RequestId('teratak', 'another')
     world.ask(caller, 'i2')
     assert failure_code(caller) == 'bad-cursor'
 
 
-def test_deaths_ride_in_the_cursor():
+def test_engine_deaths_are_kept_in_the_cursor():
     """A request that killed engines comes back elsewhere.
 
     Its count goes on there; from nought it could kill as many again.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     world.serve(1)
     assert caller.point.engine_deaths == 1
@@ -176,14 +176,18 @@
 
 
 @pytest.mark.parametrize('with_old_cursor', [True, False])
-def test_stopped_request_does_not_begin_again(with_old_cursor):
+def test_request_stopped_for_engine_deaths_is_not_started_again(
+    with_old_cursor,
+):
     """A request was stopped for the engines that it killed.
 
     Its caller tries again, with an older cursor or as if for the first time.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     instance = world.instances['i2']
-    instance.node.streams.ladder.exhausted.add(caller.request)
+    instance.node.stream_supervisor.stream_recovery.exhausted_requests.add(
+        caller.request
+    )
     world.leave(caller, noticed=True)
     if not with_old_cursor:
         caller.point = None
@@ -191,7 +195,7 @@
     assert failure_code(caller) == 'engine-deaths-exceeded'
 
 
-def test_account_beyond_its_budget_is_told_when_to_come_back():
+def test_account_over_its_resume_budget_gets_retry_after():
     """Callers of one account come back in a loop.
 
     Each time an engine reads a prompt again, which all accounts pay for.
@@ -210,7 +214,7 @@
 
 
 @given(st.integers(1, 200), st.floats(0.0, 1e6))
-def test_who_waits_as_long_as_told_may_resume(per_minute, now):
+def test_caller_that_waits_for_retry_after_may_resume(per_minute, now):
     """A caller comes back exactly when Retry-After says."""
     found = replay_budgets.ReplayBudgets()
     for _ in range(per_minute):
--- a/tests/transport/test_decision_loop.py
+++ b/tests/transport/test_decision_loop.py
@@ -45,11 +45,11 @@
     def carry_out(action):
         seen.append(action.kind)
         if len(seen) == 1:
-            loop.dispatch(events.PauseNoticed(1.0))
+            loop.dispatch(events.PauseDetected(1.0))
             seen.append('first action done')
 
     loop = new_loop(carry_out)
-    loop.dispatch(events.PauseNoticed(2.0))
+    loop.dispatch(events.PauseDetected(2.0))
     assert seen == ['own-pause', 'first action done', 'own-pause']
 
 
@@ -63,5 +63,5 @@
         raise RuntimeError('no such thing')
 
     loop = new_loop(carry_out)
-    loop.dispatch(events.PauseNoticed(2.0))
+    loop.dispatch(events.PauseDetected(2.0))
     assert loop.recorder.metrics.decision_errors == 1
