--- a/src/greengagelb/coordination/actions.py
+++ b/src/greengagelb/coordination/actions.py
@@ -1,4 +1,4 @@
-"""What a decision wants done, as typed actions carried out with ``match``."""
+"""Typed actions that decisions return; the transport carries them out."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Have an engine generate, on a fresh or idle connection of its own."""
+    """Start an attempt at an engine, on a connection used for it alone."""
 
     attempt: identity.AttemptId
     upstream: configuration_state.Upstream
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttachAttempt:
-    """Stream an attempt that already runs, over a new connection."""
+    """Stream a running attempt over a new connection, from ``position``."""
 
     attempt: identity.AttemptId
     upstream: configuration_state.Upstream
@@ -54,11 +54,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendRestart:
-    """Tell the caller that its answer starts afresh.
+    """Tell the caller that its answer starts again from the beginning.
 
-    ``point`` stands before the first token of the new generation: a caller
-    that loses its connection right here has discarded the old tokens, and
-    its old cursor would no longer fit what it holds.
+    ``point`` is before the first token of the new generation. A caller that
+    loses its connection at this moment has discarded the old tokens, so its
+    old cursor would no longer match what it holds.
     """
 
     exchange: int
@@ -79,7 +79,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendFailure:
-    """Give the caller its final answer at once."""
+    """Send the caller a final failure."""
 
     exchange: int
     failure: requests.Failure
@@ -87,7 +87,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendAnswer:
-    """Pass a plain service's answer to the caller."""
+    """Send a plain service's answer to the caller."""
 
     exchange: int
     status: int
@@ -96,10 +96,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteClaim:
-    """Write a claim row if it still has ``expected_version``.
+    """Write a claim row if its version is still ``expected_version``.
 
-    Version 0 stands for a row that is not there. ``holder`` names the claim
-    in the event that answers this, of which there is exactly one.
+    Version 0 stands for a missing row. ``holder`` identifies the claim in the
+    one event that reports the result.
     """
 
     holder: str
@@ -111,10 +111,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DispatchCall:
-    """Hand a call to a plain service, on a connection used for it alone.
+    """Send a call to a plain service, on a connection used for it alone.
 
     ``try_number`` counts from 1; only an idempotent call has several tries
-    under way at a time.
+    in flight.
     """
 
     exchange: int
@@ -125,23 +125,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbandonCall:
-    """Close all connections of a call that nobody waits for any more."""
+    """Close all connections of a call whose answer is no longer needed."""
 
     exchange: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeUpstream:
-    """Ask an upstream for its report over a fresh connection."""
+    """Request an upstream's report over a new connection."""
 
     upstream: configuration_state.Upstream
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendPeerMessage:
-    """Tell another instance something about limits.
+    """Send another instance a message about limits.
 
-    All instances of the data centre where ``incarnation`` is empty.
+    An empty ``incarnation`` addresses all instances of the data centre.
     """
 
     incarnation: str
@@ -150,7 +150,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Fire ``TimerFired`` at a monotonic time; replaces one of that name."""
+    """Schedule ``TimerFired`` at ``deadline``, in monotonic seconds.
+
+    Replaces a timer of the same name.
+    """
 
     name: str
     deadline: float
@@ -158,14 +161,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClearTimer:
-    """Forget a timer; harmless where there is none."""
+    """Cancel a timer; no effect if there is none."""
 
     name: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """Put an event on the time line; the transport adds stamp and process."""
+    """Add an event to the time line; the transport adds stamp and process."""
 
     kind: str
     reason: str
@@ -177,7 +180,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishStopping:
-    """Nothing is in flight any more: the process may exit."""
+    """Exit the process, as nothing is in flight any more."""
 
 
 Action = (
--- a/src/greengagelb/coordination/calls/claims.py
+++ b/src/greengagelb/coordination/calls/claims.py
@@ -1,18 +1,18 @@
-"""Claims requests that may not be repeated, before they are dispatched.
+"""Claims non-idempotent requests before they are dispatched.
 
-Instances share nothing but the platform's table service. Whoever gets the
-row of (client account, idempotency key) written, on top of the version it
-expected, is the holder, and only the holder dispatches. Nothing lapses: a
-holder that was paused is still the only one who may, and one that is gone
-leaves its row taken for good, since nobody can tell how far it came.
+Instances share only the platform's table service. The holder of a claim is
+whoever wrote the row of (client account, idempotency key) by a conditional
+write on the version it expected; only the holder dispatches. Claims do not
+expire: a paused holder remains the only one that may dispatch, and a dead
+holder's row stays taken for good, since its progress can't be known.
 
-What the caller is told rests on who holds the row:
+The answer to the caller depends on who holds the row:
 
-* the holder that did not dispatch says "not run" and gives the row up, so
-  that a later retry may take it over;
-* everybody else says "outcome unknown", for a twin of the request may run
-  or have run elsewhere. The one exception is a request that its caller has
-  marked as the first send of its key: no twin of it was sent before.
+* a holder that did not dispatch answers "not run" and releases the row, so
+  that a later retry may claim it;
+* any other instance answers "outcome unknown", because the same request may
+  be running or have run elsewhere. The exception is a request marked by its
+  caller as the first send of its key, which can't have run before.
 """
 
 from collections.abc import Iterable
@@ -44,12 +44,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """One holder's part in a claim.
+    """One holder's state of a claim.
 
-    ``record`` is what the row should say next and ``version`` the version
-    that it is to be written on. ``writing`` is the write under way; there is
-    never more than one. ``may_be_written`` is false as long as it is certain
-    that the table service has nothing of this holder.
+    ``record`` is the next content of the row and ``version`` the row version
+    that the write expects. ``pending_write`` is the record being written;
+    there is at most one write at a time. ``may_be_written`` is false as long
+    as the table service certainly has no write of this holder.
+    ``settle_deadline`` (monotonic seconds) ends the retries of settling.
     """
 
     request: Claimable
@@ -66,9 +67,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimStep:
-    """What an event about a claim leads to.
+    """The outcome of an event about a claim.
 
-    ``granted`` is the request that its holder may dispatch now, once.
+    ``granted_request`` is the request that the holder may now dispatch once.
     """
 
     actions: list[actions.Action]
@@ -78,29 +79,29 @@
 def claim_key(request: identity.RequestId) -> str:
     """Return the key of a request's claim row.
 
-    Both parts are hashed apart: joined as they are, ``a/b`` and ``c`` would
-    share a row with ``a`` and ``b/c``, and one account's charge would keep
-    another account's from running.
+    Both parts are hashed separately. If they were just joined, ``a/b`` and
+    ``c`` would share a row with ``a`` and ``b/c``, and one account's charge
+    would prevent another account's from running.
     """
     return f'{text_digest(request.account)}.{text_digest(request.request)}'
 
 
 def text_digest(text: str) -> str:
-    """Return a short digest of a text of any length."""
+    """Return a 128 bit digest of a text, in hexadecimal."""
     encoded = text.encode('utf-8', 'surrogatepass')
     return hashlib.blake2b(encoded, digest_size=16).hexdigest()
 
 
 def content_digest(request: Claimable) -> str:
-    """Return the digest of what a request asks for."""
+    """Return the digest of a request's operation and content."""
     return fingerprints.digest_parts(fingerprints.content_parts(request))
 
 
 class ClaimSupervisor:
-    """All claims of this instance that are not settled yet.
+    """Holds all claims of this instance that are not settled yet.
 
-    Invariant: a holder has at most one write under way, is granted at most
-    once, and never after the final answer of its exchange.
+    Invariant: a holder has at most one write at a time. It is granted its
+    request at most once, and never after the final answer of its exchange.
     """
 
     def __init__(self, incarnation: str, rng: random.Random) -> None:
@@ -110,10 +111,8 @@
         self.holder_by_exchange: dict[int, str] = {}
         self.holder_numbers = itertools.count(1)
 
-    # -- claiming -----------------------------------------------------------
-
     def start_claim(self, request: Claimable) -> list[actions.Action]:
-        """Try to become the holder of a request's row."""
+        """Write the first claim on a request's row."""
         holder = f'{self.incarnation}.{next(self.holder_numbers)}'
         record = claims.ClaimRecord(
             holder, claims.ClaimStage.CLAIMED, content_digest(request)
@@ -128,9 +127,11 @@
         ]
 
     def write_claim(self, claim: Claim) -> actions.WriteClaim:
-        """Return the write of what the row should say next."""
+        """Return the write of the claim's record; mark it as pending."""
         if claim.pending_write is not None:
-            raise errors.InvariantViolated('two writes of one claim at once')
+            raise errors.InvariantViolated(
+                'a claim has two writes at the same time'
+            )
         claim.pending_write = claim.record
         return actions.WriteClaim(
             claim.record.holder,
@@ -147,7 +148,7 @@
         | events.ClaimWriteFailed,
         now: float,
     ) -> ClaimStep:
-        """Handle the answer to a write, or that there is none."""
+        """Handle the result of a write, or its failure."""
         claim = self.claim_by_holder.get(event.holder)
         if claim is None or claim.pending_write is None:
             return ClaimStep([])
@@ -175,20 +176,22 @@
         found_record: claims.ClaimRecord,
         now: float,
     ) -> ClaimStep:
-        """Go on as the owner of a row that says ``found``."""
+        """Continue as the owner of a row that holds ``found_record``."""
         self.retry_advice.record_success()
         claim.version = version
         claim.may_be_written = True
         match claim.phase:
             case claims.ClaimPhase.HELD:
-                raise errors.InvariantViolated('a held claim was granted')
+                raise errors.InvariantViolated(
+                    'a held claim was granted again'
+                )
             case claims.ClaimPhase.SETTLING:
                 if found_record.stage is claim.record.stage:
                     return ClaimStep(self.forget_claim(claim))
                 return ClaimStep([self.write_claim(claim)])
         if now >= claim.request.deadline:
-            # A holder that was paused reads the answer to its write before
-            # its own deadline timer fires. Nobody waits for the call then.
+            # After a pause, the result of the write may be read before the
+            # deadline timer fires. The caller no longer waits then.
             return ClaimStep(
                 self.give_up_claim(
                     claim, 'deadline-passed', requests.Ran.NO, now
@@ -202,10 +205,10 @@
     def handle_foreign_row(
         self, claim: Claim, row: claims.ClaimRow, now: float
     ) -> list[actions.Action]:
-        """Give the answer of the row's holder, as far as it is known.
+        """Answer from a row that another holder owns.
 
-        While settling there is nothing left to do: versions only grow, so no
-        delayed write of this holder can take effect on this row any more.
+        While settling nothing is left to do: versions only grow, so no
+        delayed write of this holder can take effect on the row any more.
         """
         self.retry_advice.record_success()
         if claim.phase is claims.ClaimPhase.SETTLING:
@@ -241,11 +244,11 @@
     def report_overwritten_claim(
         self, claim: Claim, row: claims.ClaimRow
     ) -> list[actions.Action]:
-        """Report a row that was taken from a holder that kept it.
+        """Record that the row of a held claim has another holder.
 
-        Nothing in here does that. It happens when rows are deleted too early
-        or the store is restored from an old copy, and shows only here: the
-        request may then have run twice.
+        No instance overwrites a held row. It happens when rows are deleted
+        too early or the store is restored from an old copy, and can be
+        detected only here: the request may then have run twice.
         """
         if not claim.was_held:
             return []
@@ -254,11 +257,11 @@
     def handle_write_failure(
         self, claim: Claim, handed_over: bool, now: float
     ) -> list[actions.Action]:
-        """Write again, or give up at once where that promises nothing.
+        """Retry the write, or give up if a retry can't help.
 
-        The lost write may take effect at any time. Writing the same record
-        on the same version again is harmless, and its answer tells whose the
-        row is.
+        The failed write may still take effect at any time. Writing the same
+        record on the same version again is harmless, and its result shows
+        who owns the row.
         """
         claim.may_be_written = claim.may_be_written or handed_over
         if claim.phase is claims.ClaimPhase.SETTLING:
@@ -277,7 +280,7 @@
     def handle_timer(
         self, kind: str, timer_key: str, now: float
     ) -> list[actions.Action]:
-        """Handle one of this object's timers."""
+        """Handle a deadline or settle timer of a claim."""
         if kind == SETTLE_TIMER:
             claim = self.claim_by_holder.get(timer_key)
             if claim is None or claim.pending_write is not None:
@@ -291,7 +294,7 @@
         )
 
     def find_pending_claim(self, exchange: int) -> Claim | None:
-        """Return the claim that an exchange waits for, if any."""
+        """Return the claim whose first write an exchange awaits, if any."""
         claim = self.claim_by_holder.get(
             self.holder_by_exchange.get(exchange, '')
         )
@@ -302,22 +305,20 @@
     def handle_caller_gone(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Give up a claim that nobody waits for."""
+        """Release the pending claim of a caller that has disconnected."""
         claim = self.find_pending_claim(exchange)
         if claim is None:
             return []
         return self.release_claim(claim, now)
 
-    # -- ends ---------------------------------------------------------------
-
     def settle_answered_claims(
         self, planned: Iterable[actions.Action], now: float
     ) -> list[actions.Action]:
-        """Settle the claims whose exchanges get their final answer here.
+        """Settle the claims of exchanges whose final answer is planned.
 
-        A "not run" comes from a holder that did not dispatch, so its row is
-        given up. After any other failure the row stays taken, unless the
-        outcome comes in after all: the request may run even now, and a retry
+        "Not run" comes from a holder that did not dispatch, so its row is
+        released. After any other failure the row stays taken unless the
+        outcome arrives later: the request may still be running, and a retry
         must not run it again.
         """
         settled: list[actions.Action] = []
@@ -336,7 +337,7 @@
         return settled
 
     def find_held_claim(self, exchange: int) -> Claim | None:
-        """Return the claim under which an exchange is served, if any."""
+        """Return the held claim of an exchange, if any."""
         claim = self.claim_by_holder.get(
             self.holder_by_exchange.get(exchange, '')
         )
@@ -347,7 +348,7 @@
     def settle_with_answer(
         self, exchange: int, status: int, body: bytes | None, now: float
     ) -> list[actions.Action]:
-        """Keep the answer for a retry that comes later."""
+        """Store the answer in the row, for later retries."""
         claim = self.find_held_claim(exchange)
         if claim is None:
             return []
@@ -364,7 +365,7 @@
     def handle_failure(
         self, exchange: int, failure: requests.Failure, now: float
     ) -> list[actions.Action]:
-        """Release the row of a request that provably did not run."""
+        """Release the row if the request provably did not run."""
         claim = self.find_held_claim(exchange)
         if claim is None:
             return []
@@ -375,12 +376,12 @@
     def release_unrun_request(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Release the row of a request that turned out not to have run."""
+        """Release the row of a request now known not to have run."""
         claim = self.find_held_claim(exchange)
         return self.release_claim(claim, now) if claim is not None else []
 
     def leave_row_taken(self, exchange: int) -> None:
-        """Forget a claim whose request ended without a final answer."""
+        """Remove an unanswered request's claim; its row stays taken."""
         claim = self.find_held_claim(exchange)
         if claim is not None:
             self.forget_claim(claim)
@@ -392,7 +393,7 @@
         ran: requests.Ran,
         now: float,
     ) -> list[actions.Action]:
-        """Answer a caller whose request this holder won't dispatch."""
+        """Fail a request that this holder won't dispatch; release its row."""
         wait_seconds = self.retry_advice.record_failure()
         failure = self.build_failure(claim, code, ran, wait_seconds)
         answer = actions.SendFailure(claim.request.exchange, failure)
@@ -409,7 +410,7 @@
         ran: requests.Ran,
         wait_seconds: float | None,
     ) -> list[actions.Action]:
-        """Answer a caller whose row belongs to another holder."""
+        """Fail a request whose row belongs to another holder."""
         failure = self.build_failure(claim, code, ran, wait_seconds)
         return [
             self.record(claim, 'claim-taken', code),
@@ -424,14 +425,12 @@
         ran: requests.Ran,
         wait_seconds: float | None,
     ) -> requests.Failure:
-        """Return a final answer about a claim."""
+        """Return a final failure for a claim's request."""
         detail = f'service {claim.request.service}'
         return requests.Failure(code, ran, detail, wait_seconds)
 
-    # -- settling -----------------------------------------------------------
-
     def release_claim(self, claim: Claim, now: float) -> list[actions.Action]:
-        """Give the row up: this holder never dispatches from here on."""
+        """Release the row; this holder never dispatches after this."""
         record = dataclasses.replace(
             claim.record, stage=claims.ClaimStage.RELEASED
         )
@@ -440,12 +439,12 @@
     def settle_claim(
         self, claim: Claim, record: claims.ClaimRecord, now: float
     ) -> list[actions.Action]:
-        """Have the row say how the request ended.
+        """Write the outcome of the request to the row.
 
-        A write of the claim may still be on its way, and would leave the row
-        taken by a holder that has given up. The settling write goes on top
-        of the same version: whichever of the two comes first, the other one
-        fails, and its conflict shows the row.
+        A write of the claim may still be in flight and would leave the row
+        taken by a holder that has given up. The settling write expects the
+        same version: whichever of the two arrives first, the other one
+        fails, and its conflict returns the row.
         """
         exchange = claim.request.exchange
         self.holder_by_exchange.pop(exchange, None)
@@ -462,18 +461,20 @@
     def retry_settlement(
         self, claim: Claim, now: float
     ) -> list[actions.Action]:
-        """Write again after a while, unless it has taken too long."""
+        """Schedule another settling write, or give up at its deadline."""
         if not claim.may_be_written:
             return self.forget_claim(claim)
         if now >= claim.settle_deadline:
-            left_taken = self.record(claim, 'claim-left-taken', 'store away')
+            left_taken = self.record(
+                claim, 'claim-left-taken', 'store unavailable'
+            )
             return [left_taken, *self.forget_claim(claim)]
         wait_seconds = self.retry_advice.add_jitter(SETTLE_RETRY_DELAY_SECONDS)
         name = f'{SETTLE_TIMER}:{claim.record.holder}'
         return [actions.SetTimer(name, now + wait_seconds)]
 
     def forget_claim(self, claim: Claim) -> list[actions.Action]:
-        """Drop a claim that needs nothing more from this holder."""
+        """Remove a claim that this holder is done with, and its timers."""
         exchange = claim.request.exchange
         self.claim_by_holder.pop(claim.record.holder, None)
         if self.holder_by_exchange.get(exchange) == claim.record.holder:
@@ -494,11 +495,11 @@
 
 
 def unclaimed_outcome(request: Claimable) -> requests.Ran:
-    """Return what may be said of a request whose row nobody here holds.
+    """Return what is known of a request whose claim is not held here.
 
-    This instance has not run it. But the same request may have come in
-    before, at an instance that dispatched it and died: "not run" would then
-    make the owner of a cottage book, and pay, a second time.
+    This instance has not run it, but an earlier send of it may have been
+    dispatched by an instance that died. "Not run" would then lead the caller
+    to repeat it, and for instance pay for a booking twice.
     """
     if request.has_idempotency_key and not request.first_send:
         return requests.Ran.UNKNOWN
@@ -510,7 +511,7 @@
     request: Claimable,
     service: configuration_state.Service | None,
 ) -> requests.Failure:
-    """Return a refusal that says "not run" only where that is known."""
+    """Return a failure that says "not run" only if that is known."""
     is_repeatable = service is None or service.idempotent
     if is_repeatable or failure.ran is not requests.Ran.NO:
         return failure
--- a/src/greengagelb/coordination/calls/dispatching.py
+++ b/src/greengagelb/coordination/calls/dispatching.py
@@ -1,11 +1,11 @@
-"""Runs calls to plain services, a non-idempotent one at most once.
+"""Dispatches calls to plain services, non-idempotent ones at most once.
 
-A non-idempotent call with an idempotency key comes here only after its claim
-was granted (see :mod:`greengagelb.coordination.calls.claims`). From then on it
-is dispatched a second time only where the first is proved not to have run.
+A non-idempotent call with an idempotency key gets here only after its claim
+was granted (see :mod:`greengagelb.coordination.calls.claims`). It is
+dispatched again only if the previous dispatch is known not to have run.
 
-An idempotent call that stays without an answer is tried once more beside the
-first try, whose connection may have gone silent; the first answer counts.
+An idempotent call without an answer is hedged by another try in parallel,
+since the connection of the first may be dead; the first answer is used.
 """
 
 import dataclasses
@@ -22,7 +22,6 @@
 from greengagelb.state import requests
 
 MAX_DISPATCHES = 3
-# The code of what limits leave no room for.
 LIMITED_CODE = 'upstreams-limited'
 DEADLINE_TIMER = 'call-deadline'
 OUTCOME_TIMER = 'call-outcome'
@@ -35,14 +34,15 @@
 class Call:
     """A call in progress.
 
-    ``under_way`` holds the upstream of each try that has not ended, and
-    ``began_at`` when each try was begun.
+    ``tries_in_flight`` holds the upstream of each try that has not ended,
+    ``began_at`` the start of each try in monotonic seconds.
     ``may_have_run`` stays true once bytes of any dispatch may have reached a
-    service, whatever becomes of later dispatches. ``told`` is set once the
-    caller has its final answer and only the outcome is still awaited.
-    ``permit_by`` is when it waits no longer for an upstream with a limit.
+    service, whatever happens to later dispatches. ``is_caller_answered`` is
+    set once the caller has its final answer and only the outcome is awaited.
+    ``permit_deadline`` (monotonic seconds) ends the wait for an upstream whose
+    limit is reached.
     Invariant: a non-idempotent call that may have run is not dispatched
-    again, nor is one whose caller was told.
+    again, nor is one whose caller was answered.
     """
 
     request: requests.CallRequest
@@ -60,16 +60,17 @@
 
     @property
     def ran(self) -> requests.Ran:
-        """Return what may be said of a call that brought no answer."""
+        """Return what is known of a call without an answer."""
         if self.may_have_run or self.tries_in_flight:
             return requests.Ran.UNKNOWN
         return requests.Ran.NO
 
 
 class CallSupervisor:
-    """Decides what happens to every call in progress of an instance.
+    """Makes the decisions about all calls in progress of an instance.
 
-    ``waiting`` are the calls that no upstream's limit leaves room for.
+    ``waiting_calls`` holds calls that wait because the limits of all
+    upstreams are reached.
     """
 
     def __init__(
@@ -92,7 +93,7 @@
         pool: configuration_state.Pool,
         now: float,
     ) -> list[actions.Action]:
-        """Dispatch a call that may run now."""
+        """Register a call, set its deadline timer and dispatch it."""
         call = Call(request, service, pool)
         self.calls[request.exchange] = call
         self.retry_budget.count_first_attempt(request.request.account)
@@ -105,7 +106,7 @@
     def find_limit_answer(
         self, event: events.Event
     ) -> upstream_limits.UpstreamAnswer | None:
-        """Return the answer of an upstream that an event brings, if any."""
+        """Return what an event says about its upstream's limit, if any."""
         match event:
             case events.CallAnswered(said=said) | events.CallBroken(said=said):
                 call = self.calls.get(event.exchange)
@@ -124,11 +125,13 @@
         )
 
     def dispatch_call(self, call: Call, now: float) -> list[actions.Action]:
-        """Hand the call to an upstream."""
+        """Start a try at a suitable upstream, or wait for one, or fail."""
         if call.is_caller_answered or (
             call.may_have_run and not call.service.idempotent
         ):
-            raise errors.InvariantViolated('a second dispatch could run twice')
+            raise errors.InvariantViolated(
+                'a second dispatch could run the call twice'
+            )
         if now >= call.request.deadline:
             return self.fail_call(call, 'deadline-passed', None)
         account = call.request.request.account
@@ -141,7 +144,7 @@
         return self.start_try(call, view.upstream, now)
 
     def wait_for_permit(self, call: Call, now: float) -> list[actions.Action]:
-        """Wait for an upstream whose limit has no room now, or give up."""
+        """Wait for an upstream whose limit is reached now, or fail."""
         exchange = call.request.exchange
         limited = self.directory.upstreams_if_all_limited(call.pool, now)
         names = [name for name in limited if name not in call.excluded]
@@ -168,7 +171,7 @@
         return [actions.SetTimer(timer, call.permit_deadline)]
 
     def dispatch_waiting_calls(self, now: float) -> list[actions.Action]:
-        """Dispatch the calls whose upstreams may have room by now."""
+        """Dispatch the waiting calls again, as limits may allow them now."""
         waiting, self.waiting_calls = self.waiting_calls, {}
         planned: list[actions.Action] = []
         for call in waiting.values():
@@ -178,7 +181,7 @@
     def handle_permit_timeout(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Look a last time for an upstream with room."""
+        """Make a last attempt to dispatch a waiting call."""
         call = self.waiting_calls.pop(exchange, None)
         return self.dispatch_call(call, now) if call is not None else []
 
@@ -188,7 +191,7 @@
         upstream: configuration_state.Upstream,
         now: float,
     ) -> list[actions.Action]:
-        """Begin one more try at an upstream."""
+        """Start one more try at an upstream."""
         exchange = call.request.exchange
         call.dispatches += 1
         try_number = call.dispatches
@@ -209,11 +212,11 @@
         return planned
 
     def handle_stall(self, exchange: int, now: float) -> list[actions.Action]:
-        """Try a silent call once more, beside the tries that are under way.
+        """Start a hedging try of a silent idempotent call.
 
-        A connection can go silent for good while new ones work, and nothing
-        tells that from a service that takes long. The first try is therefore
-        not given up: its answer may still be the first to come.
+        A connection can be dead while new ones work, which can't be told
+        from a slow service. The earlier tries are therefore kept: one of
+        them may still answer first.
         """
         call = self.calls.get(exchange)
         if (
@@ -244,10 +247,10 @@
     def handle_answer(
         self, event: events.CallAnswered, now: float
     ) -> list[actions.Action]:
-        """Pass the answer on.
+        """Send the answer to the caller and close the call.
 
-        An upstream that is still silent when another has answered is
-        suspected: without that every later call would wait for it as long.
+        Upstreams still silent when another one answers are suspected;
+        otherwise every later call would wait for them as long.
         """
         call = self.calls.get(event.exchange)
         upstream = self.end_try(call, event.try_number) if call else None
@@ -266,7 +269,7 @@
     def handle_broken_try(
         self, event: events.CallBroken, now: float
     ) -> list[actions.Action]:
-        """Repeat the call elsewhere where that is safe; else say so."""
+        """Repeat the call elsewhere if that is safe; otherwise fail it."""
         call = self.calls.get(event.exchange)
         upstream = self.end_try(call, event.try_number) if call else None
         if call is None or upstream is None:
@@ -298,7 +301,7 @@
         try_number: int,
         now: float,
     ) -> list[actions.Action]:
-        """Have an upstream asked whether it has crashed."""
+        """Have the crash guard check whether an upstream has crashed."""
         view = self.directory.views.get(upstream.name)
         incarnation = view.incarnation if view else ''
         return self.guard.suspect_upstream(
@@ -306,7 +309,7 @@
         )
 
     def spend_retry(self, call: Call) -> bool:
-        """Return whether a broken call may be dispatched once more."""
+        """Return whether a retry is allowed, spending it from the budget."""
         if call.may_have_run and not call.service.idempotent:
             return False
         if call.dispatches >= MAX_DISPATCHES:
@@ -314,11 +317,11 @@
         return self.retry_budget.take_retry(call.request.request.account)
 
     def handle_deadline(self, exchange: int) -> list[actions.Action]:
-        """Give the final answer at the caller's deadline.
+        """Fail the call at the caller's deadline.
 
-        A claimed call goes on without its caller for a while. Abandoned now,
-        its outcome would never be known, and every retry of a call that ran
-        to its end would be told "outcome unknown".
+        A claimed call in flight is kept for ``OUTCOME_TIMEOUT_SECONDS`` more.
+        If it were abandoned now, its outcome would never be known, and every
+        retry of a completed call would get "outcome unknown".
         """
         call = self.calls.get(exchange)
         if call is None or call.is_caller_answered:
@@ -338,22 +341,22 @@
         ]
 
     def is_awaiting_outcome(self, exchange: int) -> bool:
-        """Return whether a call only waits for its outcome."""
+        """Return whether only the outcome of a call is awaited."""
         call = self.calls.get(exchange)
         return call is not None and call.is_caller_answered
 
     def stop_awaiting_outcome(self, exchange: int) -> list[actions.Action]:
-        """Stop waiting for an outcome, known by now or not."""
+        """Stop waiting for the outcome of a call and close it."""
         call = self.calls.get(exchange)
         if call is None:
             return []
         return [actions.AbandonCall(exchange), *self.close_call(call)]
 
     def handle_caller_gone(self, exchange: int) -> list[actions.Action]:
-        """Let a dispatched call end by itself; drop one that waits.
+        """Close a call that was not dispatched; let others run to the end.
 
         A call that may have run is not abandoned: its outcome still has to be
-        recorded for the retry that is likely to come.
+        stored for the retry that is likely to follow.
         """
         call = self.calls.get(exchange)
         if call is None or call.dispatches:
@@ -366,7 +369,7 @@
         code: str,
         retry_after: float | None,
     ) -> list[actions.Action]:
-        """Give the caller its final answer, and forget the call."""
+        """Send the caller a final failure and close the call."""
         return [
             *self.send_failure(call, code, retry_after),
             *self.close_call(call),
@@ -375,7 +378,7 @@
     def send_failure(
         self, call: Call, code: str, retry_after: float | None
     ) -> list[actions.Action]:
-        """Give the caller its final answer."""
+        """Return the actions that send the caller a final failure."""
         failure = requests.Failure(
             code, call.ran, f'service {call.service.name}', retry_after
         )
@@ -385,7 +388,7 @@
         ]
 
     def close_call(self, call: Call) -> list[actions.Action]:
-        """Forget a call that has had its final answer."""
+        """Remove a call, its tries and its timers."""
         exchange = call.request.exchange
         planned: list[actions.Action] = []
         if call.tries_in_flight:
@@ -405,7 +408,7 @@
     def end_try(
         self, call: Call, try_number: int
     ) -> configuration_state.Upstream | None:
-        """Count a try as ended and return its upstream, if it had not."""
+        """End a try and return its upstream, unless it had ended before."""
         upstream = call.tries_in_flight.pop(try_number, None)
         if upstream is not None:
             self.directory.remove_in_flight(upstream.name)
--- a/src/greengagelb/coordination/events.py
+++ b/src/greengagelb/coordination/events.py
@@ -1,7 +1,7 @@
-"""What can happen to an instance, as typed events.
+"""Typed events that an instance decides on.
 
-Times are monotonic seconds of this process. Where bytes came from outside,
-the protocol layer has validated them before they become an event.
+Times are monotonic seconds of this process. The protocol layer validates
+external input before it becomes an event.
 """
 
 import dataclasses
@@ -17,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GenerationSubmitted:
-    """A caller asks for a generation."""
+    """A caller requests a generation."""
 
     request: requests.GenerationRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GenerationResumed:
-    """A caller comes back with a cursor and the tokens that it holds."""
+    """A caller resumes a stream with its cursor and the tokens received."""
 
     request: requests.GenerationRequest
     point: requests.ResumePoint
@@ -33,21 +33,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallSubmitted:
-    """A caller asks for a call to a plain service."""
+    """A caller requests a call to a plain service."""
 
     request: requests.CallRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller's connection is gone; nobody waits for the answer."""
+    """The caller has disconnected and no longer waits for the answer."""
 
     exchange: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptAccepted:
-    """The engine has begun to answer with an event stream."""
+    """The engine has started to answer with an event stream."""
 
     attempt: identity.AttemptId
     said: limits.Said = limits.NOTHING_SAID
@@ -64,7 +64,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """The engine says that the generation is complete."""
+    """The engine reports that the generation is complete."""
 
     attempt: identity.AttemptId
     position: int
@@ -73,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptRefused:
-    """The engine said no before it started; nothing ran."""
+    """The engine refused the attempt before it started; nothing ran."""
 
     attempt: identity.AttemptId
     code: str
@@ -85,8 +85,8 @@
 class AttemptBroken:
     """The attempt's connection ended before the generation did.
 
-    ``handed_over`` is false only where no byte of the order was ever given
-    to a transport.
+    ``handed_over`` is false only if no byte of the order was ever written to
+    a transport.
     """
 
     attempt: identity.AttemptId
@@ -110,7 +110,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamReported:
-    """An upstream answered a probe on a fresh connection."""
+    """An upstream answered a probe over a new connection."""
 
     engine: identity.EngineId
     model: str
@@ -125,9 +125,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerLoadsReceived:
-    """Another instance passes on the loads of upstreams that it watches.
+    """Another instance reports the loads of upstreams that it watches.
 
-    The indices are those of the configuration in force here.
+    The indices refer to the configuration in force here.
     """
 
     loads: tuple[fleet.UpstreamLoad, ...]
@@ -137,7 +137,7 @@
 class UpstreamUnreachable:
     """An upstream did not answer a probe in time.
 
-    ``refused`` tells that nobody listened at its address.
+    ``refused`` is true if no process listened at its address.
     """
 
     name: str
@@ -146,16 +146,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReportsReceived:
-    """Another instance tells of requests that crash engines."""
+    """Another instance reports requests that crash engines."""
 
     reports: tuple[crashes.CrashReport, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineCacheChanged:
-    """An engine stored and dropped prefixes, named by their digests.
+    """An engine stored and evicted prefixes, identified by their digests.
 
-    Events come late and some are lost: ``sequence`` counts them from 1 for
+    Events may arrive late or be lost: ``sequence`` numbers them from 1 within
     each incarnation.
     """
 
@@ -167,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLeaving:
-    """Some source says that an upstream is leaving; final per incarnation."""
+    """An upstream is reported to be leaving; final for its incarnation."""
 
     engine: identity.EngineId
     source: str
@@ -175,7 +175,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWritten:
-    """The table service carried a write of a claim row out."""
+    """The table service applied a write of a claim row."""
 
     holder: str
     version: int
@@ -183,9 +183,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimConflicted:
-    """The claim row had another version; ``row`` is what stands there.
+    """The claim row had another version; ``row`` is its current content.
 
-    It may be the holder's own: an earlier write took effect and its answer
+    It may be the holder's own, if an earlier write took effect and its answer
     was lost.
     """
 
@@ -197,8 +197,8 @@
 class ClaimWriteFailed:
     """The table service gave no answer to a write of a claim row.
 
-    ``handed_over`` is false only where no byte of the write ever left;
-    otherwise the write may have taken effect, or may yet.
+    ``handed_over`` is false only if no byte of the write was sent; otherwise
+    the write may have taken effect or may still do so.
     """
 
     holder: str
@@ -220,7 +220,8 @@
 class CallBroken:
     """One try of a call ended without an answer.
 
-    ``said`` is None where nothing was heard, and else from a refusal.
+    ``said`` is None if there was no answer, and comes from a refusal
+    otherwise.
     """
 
     exchange: int
@@ -232,7 +233,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationOffered:
-    """Some source has a configuration, perhaps an old one."""
+    """A source offers a configuration, which may be outdated."""
 
     configuration: configuration_state.Configuration
     source: str
@@ -240,9 +241,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamsHeld:
-    """An instance that orders engines says which get no new work meanwhile.
+    """An instance that sends orders to engines excludes some from new work.
 
-    ``source`` is its incarnation; the names replace those it gave before.
+    ``source`` is its incarnation; ``upstreams`` replaces its previous set.
     """
 
     source: str
@@ -251,21 +252,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetSizeChanged:
-    """How many instances of this data centre may be serving, this one too."""
+    """The number of instances of this data centre that may be serving.
+
+    This instance is included.
+    """
 
     live_instances: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeersChanged:
-    """Which other instances may be serving, and their data centres."""
+    """The other instances that may be serving, with their data centres."""
 
     peers: tuple[tuple[str, str], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerMessageReceived:
-    """Another instance says something about limits."""
+    """A message of another instance about limits."""
 
     incarnation: str
     message: limits.Message
@@ -273,15 +277,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The platform asks this instance to stop."""
+    """The platform requests this instance to stop."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PauseDetected:
     """The event loop woke ``seconds`` later than planned.
 
-    The process was stopped or starved. Timers fire before sockets are read
-    then, so silence until now proves nothing about any upstream.
+    The process was stopped or got too little processor time. Timers then fire
+    before sockets are read, so silence until now proves nothing about any
+    upstream.
     """
 
     seconds: float
@@ -289,7 +294,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that was set by a ``SetTimer`` action is due."""
+    """A timer set by a ``SetTimer`` action has fired."""
 
     name: str
 
--- a/src/greengagelb/coordination/lifecycle.py
+++ b/src/greengagelb/coordination/lifecycle.py
@@ -1,9 +1,9 @@
-"""Life cycle of an instance, from its start to its planned stop.
+"""State machine of an instance, from its start to its planned stop.
 
-An instance takes no request before it has a configuration, and none once it
-has begun to end. It begins to end when nothing is in flight, and the process
-ends when all that was written is out. A move that is not listed here is a
-fault of this program and raises.
+An instance accepts no request before it has a configuration, and none once it
+is finished. It finishes when nothing is in flight any more, and the process
+ends when all output is written. Any other transition is a bug and raises
+``automat.NoTransition``.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class Phase(enum.Enum):
-    """Where an instance is in its life."""
+    """The phases of an instance's life cycle."""
 
     STARTING = 'starting'
     SERVING = 'serving'
@@ -28,28 +28,28 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What the machine tells; only its own moves change it."""
+    """The current phase; only transitions of the machine change it."""
 
     phase: Phase = Phase.STARTING
 
 
 class Lifecycle(Protocol):
-    """What can happen to an instance as a whole."""
+    """The inputs of an instance's life cycle."""
 
     def configuration_applied(self) -> None:
         """A configuration was applied."""
 
     def stop_requested(self) -> None:
-        """The platform asks the instance to stop; asking twice is harmless."""
+        """The platform requests a stop; repeating that has no effect."""
 
     def request_accepted(self) -> None:
-        """A request is about to be sent on, or to wait for that."""
+        """A request is about to be forwarded or queued."""
 
     def work_finished(self) -> None:
-        """Nothing is in flight, and nothing new is taken."""
+        """Nothing is in flight, and no new request is accepted."""
 
     def connections_closed(self) -> None:
-        """All that was written is out, and nobody can connect any more."""
+        """All output is written, and no new connection is possible."""
 
 
 builder = automat.TypeMachineBuilder(Lifecycle, Progress)
@@ -62,29 +62,29 @@
 
 @starting.upon(Lifecycle.configuration_applied).to(serving)
 def start_serving(machine: Lifecycle, progress: Progress) -> None:
-    """Take requests from now on."""
+    """Accept requests from now on."""
     progress.phase = Phase.SERVING
 
 
 @starting.upon(Lifecycle.stop_requested).to(stopping)
 def stop_before_serving(machine: Lifecycle, progress: Progress) -> None:
-    """Take no request any more, though there was none yet."""
+    """Stop before any request was accepted."""
     progress.phase = Phase.STOPPING
 
 
 @serving.upon(Lifecycle.stop_requested).to(stopping)
 def start_stopping(machine: Lifecycle, progress: Progress) -> None:
-    """Take no new request; what is in flight goes on."""
+    """Begin a planned stop; requests in flight continue."""
     progress.phase = Phase.STOPPING
 
 
 @stopping.upon(Lifecycle.work_finished).to(finished)
 def finish_stopping(machine: Lifecycle, progress: Progress) -> None:
-    """Take nothing any more, and let the process end once that is told.
+    """Accept no request any more; the process may end after that.
 
-    A request that were sent to an engine from now on would be cut with the
-    process. Its caller would get no answer, and one that must not repeat could
-    not be sent again by anybody.
+    A request sent to an engine from now on would be cut off when the process
+    ends. Its caller would get no answer, and a non-idempotent one could never
+    be sent again.
     """
     progress.phase = Phase.FINISHED
 
@@ -105,7 +105,7 @@
 @finished.upon(Lifecycle.stop_requested).loop()
 @ended.upon(Lifecycle.stop_requested).loop()
 def change_nothing(machine: Lifecycle, progress: Progress) -> None:
-    """Stay where the instance is."""
+    """Keep the phase."""
 
 
 build_machine = builder.build()
@@ -114,7 +114,7 @@
 def new_lifecycle(progress: Progress) -> Lifecycle:
     """Return the life cycle of an instance that has just started.
 
-    ``progress`` is kept up to date; reading it costs less than asking the
-    machine, and it is read for every token.
+    The machine keeps ``progress`` up to date. It is read for every token, and
+    reading it is cheaper than querying the machine.
     """
     return build_machine(progress)
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -1,9 +1,9 @@
-"""All decisions of one instance behind one method.
+"""The deterministic decision core of an instance.
 
-``Node.handle`` takes an event and the monotonic time and returns actions. It
-does no I/O, reads no clock and draws random numbers only from the generator
-it was given, so the running process, the property-based tests and any other
-harness drive the very same object.
+``Node.handle`` takes an event and the monotonic time in seconds and returns
+actions. It does no I/O, reads no clock and draws random numbers only from the
+generator passed in, so the running process, the property-based tests and other
+harnesses use the same object.
 """
 
 import random
@@ -31,10 +31,11 @@
 
 
 class Node:
-    """The decisions of one instance.
+    """The decision core of one instance.
 
-    Invariants: the version of ``configuration`` never falls; each exchange
-    is either waiting, running or gone, and is counted once in admission.
+    Invariants: the version of ``configuration`` never decreases; each
+    exchange is either waiting, running or ended, and is counted once in
+    admission control.
     """
 
     def __init__(
@@ -69,21 +70,21 @@
 
     @property
     def running(self) -> dict[int, admission.RunningRequest]:
-        """Return the requests that upstreams have, by exchange."""
+        """Return the requests sent to upstreams, by exchange."""
         return self.admission.running
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the platform's balancer may send callers here."""
+        """Return whether the load balancer may send callers here."""
         return self.progress.phase is lifecycle.Phase.SERVING
 
     @property
     def is_stopping(self) -> bool:
-        """Return whether this instance was asked to stop."""
+        """Return whether this instance is stopping or has stopped."""
         return self.progress.phase in lifecycle.ENDING_PHASES
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Decide what an event leads to."""
+        """Return the actions that an event leads to at time ``now``."""
         planned = self.decide_event(event, now)
         planned += self.claim_supervisor.settle_answered_claims(planned, now)
         self.release_ended_requests(event, planned, now)
@@ -108,7 +109,7 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether nothing is in flight, claims to settle included."""
+        """Return whether no request is in flight and no claim unsettled."""
         return not (
             self.running
             or self.waiting_requests
@@ -118,7 +119,7 @@
     def apply_limit_answer(
         self, answer: upstream_limits.UpstreamAnswer | None, now: float
     ) -> list[actions.Action]:
-        """Take in what an answer says of its upstream."""
+        """Apply what an answer says about its upstream's limit."""
         if answer is None:
             return []
         view = self.directory.views.get(answer.upstream)
@@ -128,7 +129,7 @@
     def decide_event(
         self, event: events.Event, now: float
     ) -> list[actions.Action]:
-        """Pass an event to the object that it concerns."""
+        """Pass an event to the component that decides on it."""
         match event:
             case (
                 events.GenerationSubmitted()
@@ -219,7 +220,7 @@
     def decide_fleet_event(
         self, event: events.Event, now: float
     ) -> list[actions.Action]:
-        """Handle what concerns no single request."""
+        """Decide on an event that concerns no single request."""
         match event:
             case events.UpstreamReported():
                 crashed = self.guard.handle_report(event, now)
@@ -281,7 +282,7 @@
     def handle_peer_message(
         self, incarnation: str, message: limits.Message, now: float
     ) -> list[actions.Action]:
-        """Take in what another instance says about limits."""
+        """Apply a message of another instance about limits."""
         known_incarnation = ''
         if isinstance(message, limits.LimitNews):
             name = upstream_limits.upstream_of_life(message.life)
@@ -291,12 +292,10 @@
             incarnation, message, known_incarnation, now
         )
 
-    # -- requests that crash engines ----------------------------------------
-
     def report_crashes(
         self, fingerprints_found: list[str], upstream: str, now: float
     ) -> list[actions.Action]:
-        """Put crashes on the time line; stop what must not run any more."""
+        """Record engine crashes; stop requests that are blocked for them."""
         recorded: list[actions.Action] = [
             actions.Record(
                 'engine-crashed',
@@ -310,7 +309,7 @@
     def stop_blocked_requests(
         self, fingerprints_found: list[str], now: float
     ) -> list[actions.Action]:
-        """Stop what runs of requests that must not run any more."""
+        """Stop the streams of those requests that are now blocked."""
         planned: list[actions.Action] = []
         for fingerprint in fingerprints_found:
             if self.guard.records.is_blocked(fingerprint, now):
@@ -321,12 +320,10 @@
                 )
         return planned
 
-    # -- arrivals -----------------------------------------------------------
-
     def admit_request(
         self, event: arrivals.Arrival, now: float
     ) -> list[actions.Action]:
-        """Admit a request, let it wait, or refuse it at once."""
+        """Queue a request, or refuse it at once."""
         request = event.request
         account = self.account_by_name.get(request.request.account)
         service = arrivals.resolve_service(self.configuration, request)
@@ -357,7 +354,7 @@
     def find_limit_refusal(
         self, ticket: fair_queue.Ticket, now: float
     ) -> requests.Failure | None:
-        """Return why the limits of upstreams leave no place for a request."""
+        """Return a refusal if upstream limits delay a request too long."""
         ahead_count = self.admission.waiting_before(ticket)
         wait_seconds = self.limit_wait_seconds(ticket, ahead_count, now)
         if now + wait_seconds <= min(ticket.deadline, ticket.start_by):
@@ -370,7 +367,7 @@
     def limit_wait_seconds(
         self, ticket: fair_queue.Ticket, ahead_count: int, now: float
     ) -> float:
-        """Return how long limits keep a request with others ahead of it."""
+        """Return the seconds that limits delay a request behind others."""
         pool = self.configuration.find_pool(ticket.pool)
         names = (
             self.directory.upstreams_if_all_limited(pool, now) if pool else []
@@ -387,7 +384,7 @@
         account: configuration_state.ClientAccount | None,
         service: configuration_state.Service | None,
     ) -> requests.Failure | None:
-        """Return why a request can't be taken now, or None."""
+        """Return why a request can't be accepted now, or None."""
         if self.is_stopping:
             detail = 'this instance is stopping'
             return arrivals.not_run_failure('stopping', detail, 0.0)
@@ -396,8 +393,8 @@
     def queue_timer(self, exchange: int) -> list[actions.Action]:
         """Return the timer that ends the wait of a request, if it waits.
 
-        Without it a caller would hear nothing past its deadline for as long
-        as the upstreams stay busy.
+        Without it a caller would get no answer at its deadline while the
+        upstreams are busy.
         """
         if exchange not in self.waiting_requests:
             return []
@@ -407,10 +404,10 @@
         return [actions.SetTimer(name, give_up_at)]
 
     def start_waiting_requests(self, now: float) -> list[actions.Action]:
-        """Start waiting requests for which there is room.
+        """Start the waiting requests for which there is capacity.
 
-        Tokens are by far the most frequent events, and free no place: where
-        nothing has changed nothing is looked at.
+        Tokens are by far the most frequent events and free no capacity, so
+        nothing is checked unless admission or the directory has changed.
         """
         if not (self.admission.recheck_needed or self.directory.room_changed):
             return []
@@ -425,10 +422,10 @@
     def start_queued_requests(
         self, key: admission.QueueKey, now: float
     ) -> list[actions.Action]:
-        """Start requests of one queue until there is no room for its next.
+        """Start requests of one queue until the next one does not fit.
 
-        Accounts at their limit are set aside. Were they waited for, all
-        others of the queue would wait with engines free.
+        Accounts at their limit are parked. If the queue waited for them, all
+        other accounts would wait although engines are free.
         """
         planned: list[actions.Action] = []
         queue = self.admission.queues[key]
@@ -449,7 +446,7 @@
         account: configuration_state.ClientAccount | None,
         now: float,
     ) -> list[actions.Action] | None:
-        """Start a request, or return None where there is no room."""
+        """Start a request, or return None if there is no capacity for it."""
         pool = self.configuration.find_pool(ticket.pool)
         event = self.waiting_requests[ticket.exchange][1]
         service = arrivals.resolve_service(self.configuration, event.request)
@@ -508,7 +505,7 @@
     def start_granted_request(
         self, request: claims.Claimable | None, now: float
     ) -> list[actions.Action]:
-        """Dispatch a request whose claim this instance holds now."""
+        """Start a request whose claim this instance now holds."""
         if request is None:
             return []
         reserved_at = self.limits.unreserve_permit(request.exchange)
@@ -541,7 +538,7 @@
     def refuse_waiting_request(
         self, ticket: fair_queue.Ticket, code: str, wait_seconds: float | None
     ) -> list[actions.Action]:
-        """Refuse a request that can't start any more."""
+        """Refuse a queued request that can no longer start."""
         self.admission.discard(ticket)
         _, event = self.waiting_requests.pop(ticket.exchange)
         request = event.request
@@ -569,11 +566,11 @@
     def release_ended_requests(
         self, event: events.Event, planned: list[actions.Action], now: float
     ) -> None:
-        """Give back the places of requests that have ended.
+        """Release the capacity of requests that have ended.
 
         A request ends with a final answer, or without one after its caller
-        has gone. Only these are looked at: a look at all that runs would be
-        as dear as relaying the tokens.
+        has disconnected. Only these are checked: checking all running
+        requests would cost as much as forwarding the tokens.
         """
         if isinstance(event, events.CallerGone):
             self.abandoned_exchanges.add(event.exchange)
@@ -590,18 +587,16 @@
     def release_request(
         self, exchange: int, is_completed: bool, now: float
     ) -> None:
-        """Give back the place of a request, if it has one and has ended."""
+        """Release a request's capacity, if it holds any and has ended."""
         if exchange not in self.running or self.is_in_progress(exchange):
             return
         self.claim_supervisor.leave_row_taken(exchange)
         self.admission.finish_exchange(exchange, is_completed, now)
 
-    # -- other events -------------------------------------------------------
-
     def handle_caller_gone(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Stop what nobody waits for."""
+        """Stop the work for a caller that has disconnected."""
         if exchange in self.waiting_requests:
             ticket, _ = self.waiting_requests.pop(exchange)
             self.admission.discard(ticket)
@@ -614,7 +609,7 @@
         ]
 
     def handle_timer(self, name: str, now: float) -> list[actions.Action]:
-        """Pass a timer to the object that set it."""
+        """Pass a timer to the component that set it."""
         kind, _, timer_key = name.partition(':')
         match kind:
             case cancellations.CANCEL_TIMER:
@@ -646,7 +641,7 @@
                 )
 
     def handle_call_deadline(self, exchange: int) -> list[actions.Action]:
-        """Answer a caller at its deadline; its call may go on without it."""
+        """Fail a call at its deadline; it may run on to get its outcome."""
         planned = self.call_supervisor.handle_deadline(exchange)
         if self.call_supervisor.is_awaiting_outcome(exchange):
             self.abandoned_exchanges.add(exchange)
@@ -655,7 +650,7 @@
     def handle_queue_timeout(
         self, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Give a request that still waits its final answer."""
+        """Refuse a request that has waited in the queue for too long."""
         waiting = self.waiting_requests.get(exchange)
         if waiting is None:
             return []
@@ -667,10 +662,11 @@
     def check_confirmed_once(
         self, offered: configuration_state.Configuration
     ) -> None:
-        """Raise where two plans claim to have won the same version.
+        """Raise InvariantViolated if two plans confirmed the same version.
 
-        One conditional write decides; instances that follow two winners
-        would apply two configurations for as long as that version lasts.
+        A single conditional write confirms a version. If two plans won, the
+        instances would apply different configurations as long as that
+        version is in force.
         """
         current = self.configuration
         if offered.version != current.version:
@@ -686,8 +682,8 @@
     ) -> list[actions.Action]:
         """Apply a configuration, unless it is older than the one in force.
 
-        A restored or lagging store hands out old copies; applying one would
-        bring back what operators have already replaced.
+        A restored or lagging store returns old copies; applying one would
+        revert changes that operators have made since.
         """
         offered = event.configuration
         if offered.version <= self.configuration.version:
@@ -708,11 +704,11 @@
 
 
 def has_typical_duration(answer: FinalAnswer) -> bool:
-    """Return whether a request ran for as long as such requests take.
+    """Return whether a request's duration is a valid sample for estimates.
 
-    Without those that ran into their deadline only the quick ones would be
-    seen, and too many would be let in. One that has brought no token tells
-    nothing: it may have failed everywhere, and kept no engine busy.
+    Requests that reached their deadline count, since otherwise only quick ones
+    would be sampled and too many requests admitted. One that delivered no
+    token does not: it may have failed everywhere and kept no engine busy.
     """
     if not isinstance(answer, actions.SendFailure):
         return True
--- a/src/greengagelb/coordination/streams/__init__.py
+++ b/src/greengagelb/coordination/streams/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions that keep streams going while engines fail."""
+"""Decisions that keep generations running while engines fail."""
--- a/src/greengagelb/coordination/streams/attempts.py
+++ b/src/greengagelb/coordination/streams/attempts.py
@@ -1,4 +1,4 @@
-"""Orders, attaches and drops attempts, and knows whose each one is."""
+"""Starts, attaches and cancels attempts, and maps each to its exchange."""
 
 import itertools
 
@@ -16,10 +16,11 @@
 
 
 class AttemptTable:
-    """All attempts that count, as in flight and as sources of tokens.
+    """The current and spare attempts of all streams of an instance.
 
-    Invariant: ``exchanges`` names exactly the current attempt and the spare
-    of every stream, and each of them is counted once at its upstream.
+    Invariant: ``exchange_by_attempt`` holds exactly the current attempt and
+    the spare of every stream, and each is counted once as in flight at its
+    upstream.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         *,
         spare: bool = False,
     ) -> list[actions.Action]:
-        """Give the generation, from its position on, to an upstream."""
+        """Start an attempt at an upstream from the stream's position on."""
         attempt = attempt_state.Attempt(
             identity.AttemptId(
                 stream.request.request,
@@ -92,7 +93,7 @@
         attempt: attempt_state.Attempt,
         now: float,
     ) -> list[actions.Action]:
-        """Ask for a running attempt over a fresh connection."""
+        """Request a running attempt's stream over a new connection."""
         attempt.suspected = True
         attempt.answered = False
         attempt.attached_at = now
@@ -114,7 +115,7 @@
         view: upstream_state.UpstreamView,
         now: float,
     ) -> attempt_state.Attempt:
-        """Count an attempt that another exchange had started."""
+        """Add an attempt that another exchange started; return it."""
         attempt = attempt_state.Attempt(
             identity.AttemptId(point.request, point.generation, point.attempt),
             view.upstream,
@@ -129,7 +130,7 @@
     def add_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> None:
-        """Count an attempt as in flight, and as one of a stream."""
+        """Register an attempt of a stream and count it as in flight."""
         name = attempt.upstream.name
         self.exchange_by_attempt[attempt.attempt_id] = stream.request.exchange
         self.attempts_by_upstream.setdefault(name, set()).add(
@@ -140,7 +141,7 @@
     def remove_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> None:
-        """Count an attempt no longer; its events are dropped from now on."""
+        """Unregister an attempt; its later events are dropped."""
         name = attempt.upstream.name
         del self.exchange_by_attempt[attempt.attempt_id]
         self.attempts_by_upstream[name].discard(attempt.attempt_id)
@@ -155,7 +156,7 @@
     def cancel_attempt(
         self, stream: stream_state.Stream, attempt: attempt_state.Attempt
     ) -> list[actions.Action]:
-        """Release an attempt and have its engine stop it."""
+        """Unregister an attempt and tell its engine to stop it."""
         self.remove_attempt(stream, attempt)
         return self.cancellation_supervisor.request_cancellation(
             attempt.attempt_id,
@@ -167,7 +168,7 @@
     def cancel_all_attempts(
         self, stream: stream_state.Stream
     ) -> list[actions.Action]:
-        """Drop whatever runs for a stream."""
+        """Cancel the current attempt and the spare of a stream."""
         planned: list[actions.Action] = []
         for attempt in stream.own_attempts():
             planned += self.cancel_attempt(stream, attempt)
@@ -176,7 +177,7 @@
     def cancel_spare(
         self, stream: stream_state.Stream
     ) -> list[actions.Action]:
-        """Drop the spare, if there is one."""
+        """Cancel the spare, if there is one."""
         if stream.spare is None:
             return []
         return [
@@ -201,7 +202,7 @@
 def attempt_priority(
     stream: stream_state.Stream,
 ) -> configuration_state.Priority:
-    """Return an attempt's priority: continuations go before new long work."""
+    """Return an attempt's priority; continuations precede new long work."""
     priority = stream.service.priority
     if stream.position and priority is configuration_state.Priority.LONG:
         return configuration_state.Priority.RESUME
@@ -209,7 +210,7 @@
 
 
 def clear_timer(kind: str, stream: stream_state.Stream) -> actions.ClearTimer:
-    """Return the action that forgets a timer of a stream."""
+    """Return the action that clears a timer of a stream."""
     return actions.ClearTimer(timers.timer_name(kind, stream.request.exchange))
 
 
--- a/src/greengagelb/coordination/streams/cancellations.py
+++ b/src/greengagelb/coordination/streams/cancellations.py
@@ -1,8 +1,8 @@
-"""Repeats a cancellation until the engine confirms it.
+"""Retries each cancellation until the engine confirms it.
 
-An engine that was paused comes back as if nothing happened and goes on
-generating for an attempt that has been replaced, at the users' cost. One
-unanswered cancellation is therefore not enough.
+An engine that resumes after a pause continues to generate for an attempt that
+has been replaced, at the users' cost. One unanswered cancellation is therefore
+not enough.
 """
 
 import dataclasses
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingCancellation:
-    """A cancellation that its engine has not confirmed.
+    """A cancellation that the engine has not confirmed yet.
 
-    ``incarnation`` is that of the engine, empty where it is not known.
-    ``give_up_at`` is the monotonic time of the attempt's own deadline, after
-    which its engine stops it unasked.
+    ``incarnation`` is that of the engine, empty if unknown.
+    ``give_up_at`` is the attempt's deadline in monotonic seconds; the engine
+    stops the attempt by itself then.
     """
 
     upstream: configuration_state.Upstream
@@ -32,7 +32,7 @@
 
 
 class CancellationSupervisor:
-    """Keeps the cancellations that are not confirmed."""
+    """Holds and retries the cancellations that are not confirmed."""
 
     def __init__(self) -> None:
         self.pending: dict[identity.AttemptId, PendingCancellation] = {}
@@ -46,7 +46,7 @@
         incarnation: str,
         give_up_at: float,
     ) -> list[actions.Action]:
-        """Cancel an attempt and remember to ask again."""
+        """Cancel an attempt and track it until confirmed."""
         self.pending[attempt] = PendingCancellation(
             upstream, incarnation, give_up_at
         )
@@ -56,13 +56,13 @@
     def handle_confirmation(
         self, attempt: identity.AttemptId
     ) -> list[actions.Action]:
-        """Forget a cancellation that took effect."""
+        """Remove a cancellation that the engine has confirmed."""
         return self.forget_cancellation(attempt)
 
     def schedule_retry(
         self, attempt: identity.AttemptId, now: float
     ) -> list[actions.Action]:
-        """Ask again later, until the attempt's own deadline."""
+        """Schedule the next try, with backoff until the attempt's deadline."""
         pending = self.pending.get(attempt)
         if pending is None:
             return []
@@ -70,7 +70,7 @@
             return [
                 actions.Record(
                     'cancel-given-up',
-                    'engine never confirmed, deadline passed',
+                    'not confirmed by the engine before the deadline',
                     attempt.request,
                     attempt.generation,
                     attempt.attempt,
@@ -88,7 +88,7 @@
         return [actions.SetTimer(timer, deadline)]
 
     def handle_timer(self, name: str) -> list[actions.Action]:
-        """Ask again, if still unconfirmed."""
+        """Repeat the cancellation, if still unconfirmed."""
         attempt = self.attempt_by_timer.pop(name, None)
         pending = self.pending.get(attempt) if attempt else None
         if attempt is None or pending is None:
@@ -98,13 +98,13 @@
     def handle_engine_report(
         self, engine: identity.EngineId
     ) -> list[actions.Action]:
-        """Settle what is pending at an engine that answers again.
+        """Repeat the cancellations pending at an engine that reports again.
 
-        The same incarnation was merely out of reach and may still generate:
-        it is asked at once, as each second until the next try costs tokens
-        that nobody reads. A new incarnation holds no attempt of the old one.
-        It is asked one last time all the same: the incarnation noted with
-        the attempt may have been out of date already when it was ordered.
+        An unchanged incarnation was only unreachable and may still generate,
+        so its retries are sent at once: each second until the next try costs
+        tokens that nobody reads. A new incarnation runs no attempt of the
+        old one. It still gets one last cancellation, because the incarnation
+        recorded with the attempt may have been outdated when it started.
         """
         planned: list[actions.Action] = []
         for attempt in sorted(
@@ -129,7 +129,7 @@
     def forget_cancellation(
         self, attempt: identity.AttemptId
     ) -> list[actions.Action]:
-        """Ask no more about an attempt."""
+        """Remove a pending cancellation and clear its timer."""
         pending = self.pending.pop(attempt, None)
         if pending is None:
             return []
--- a/src/greengagelb/coordination/streams/endings.py
+++ b/src/greengagelb/coordination/streams/endings.py
@@ -1,4 +1,4 @@
-"""How a stream ends: whole, or with its final answer, and nothing left."""
+"""Completes or fails streams and releases what they hold."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import timers
@@ -19,10 +19,11 @@
 
 
 class StreamEndings:
-    """Ends streams and gives back what they had.
+    """Ends streams and releases their attempts and timers.
 
-    ``streams`` holds the running streams by exchange; ``recovering`` those
-    without an attempt, in the order in which they lost it.
+    ``streams`` holds the running streams by exchange;
+    ``recovering_streams`` those without an attempt, in the order in which
+    they lost it.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
     def complete_stream(
         self, stream: stream_state.Stream, reason: str
     ) -> list[actions.Action]:
-        """Complete the answer."""
+        """Tell the caller that the answer is complete; close the stream."""
         end = actions.SendEnd(
             stream.request.exchange,
             stream.generation,
@@ -60,10 +61,11 @@
         code: str,
         retry_after: float | None,
     ) -> list[actions.Action]:
-        """Give the caller its final answer.
+        """Send the caller a failure and close the stream.
 
-        The time to come back is jittered: all streams of a lost pool fail
-        at one moment, and would all return at one moment.
+        ``retry_after`` (seconds) is jittered up to twofold: all streams of a
+        lost pool fail at the same moment, and their callers would all retry
+        at the same moment.
         """
         if retry_after is not None:
             retry_after *= self.directory.rng.uniform(1.0, 2.0)
@@ -82,7 +84,7 @@
     def close_stream(
         self, stream: stream_state.Stream
     ) -> list[actions.Action]:
-        """Forget a stream, and stop what still runs for it."""
+        """Remove a stream, its attempts and its timers."""
         exchange = stream.request.exchange
         planned = self.attempt_table.cancel_all_attempts(stream)
         self.streams.pop(exchange, None)
@@ -94,6 +96,6 @@
 
 
 def deadline_timer(request: requests.GenerationRequest) -> actions.SetTimer:
-    """Return the timer of the caller's own deadline."""
+    """Return the timer of the caller's deadline."""
     timer = timers.timer_name(DEADLINE_TIMER, request.exchange)
     return actions.SetTimer(timer, request.deadline)
--- a/src/greengagelb/coordination/streams/pinning.py
+++ b/src/greengagelb/coordination/streams/pinning.py
@@ -1,7 +1,7 @@
-"""Which engines may go on with a generation: those of its own version.
+"""Restricts a generation to engines of the version that it started on.
 
-A generation that went from one model version to another would be a mixture
-of two answers, whatever the operators have put in force meanwhile.
+Continuing on another model version would mix two answers in one, whichever
+configuration is in force meanwhile.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 def required_model(pool: configuration_state.Pool) -> tuple[str, str, str]:
-    """Return what the engines of a pool have to run."""
+    """Return the model, version and adapter that a pool's engines run."""
     return (pool.model, pool.version, pool.adapter)
 
 
@@ -19,7 +19,7 @@
     configuration: configuration_state.Configuration,
     stream: stream_state.Stream,
 ) -> configuration_state.Pool:
-    """Return the pool's upstreams of now, at the stream's own version."""
+    """Return the pool's current upstreams at the stream's version."""
     pinned = stream.pool
     current = configuration.find_pool(pinned.name)
     if current is None:
@@ -36,7 +36,7 @@
     configuration: configuration_state.Configuration,
     stream: stream_state.Stream,
 ) -> configuration_state.Pool | None:
-    """Return the service's pool of now, if its version has changed."""
+    """Return the service's current pool, if it runs another model now."""
     service = configuration.find_service(stream.service.name)
     if service is None:
         return None
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -1,12 +1,11 @@
-"""What is done for a stream whose attempt is lost, cheapest step first.
+"""Recovers streams that lost their attempt, trying the cheapest step first.
 
-1. Attach to the same attempt over a new connection, since the old one may
-   merely have gone silent and the engine still has its cache.
-2. Continue on another engine of the same model version and adapter, given
-   the prompt and the exact tokens so far.
-3. Start a new generation, told to the caller as a restart, if the service is
-   idempotent and no engine of the version can be had; else give the final
-   answer.
+1. Attach to the same attempt over a new connection, since only the connection
+   may be lost and the engine still has its cache.
+2. Continue on another engine of the same model version and adapter, with the
+   prompt and the exact tokens so far.
+3. If no engine of the version is available: start a new generation, announced
+   to the caller as a restart, if the service is idempotent; otherwise fail.
 """
 
 from greengagelb.coordination import actions
@@ -30,7 +29,7 @@
 
 
 class StreamRecovery(endings.StreamEndings):
-    """Replaces lost attempts, and gives the final answer where none helps."""
+    """Replaces lost attempts; fails streams that can't be recovered."""
 
     def __init__(
         self,
@@ -44,8 +43,6 @@
         self.replay_budgets = replay_budgets.ReplayBudgets()
         self.exhausted_requests = replay_budgets.ExhaustedRequests()
 
-    # -- first step ---------------------------------------------------------
-
     def handle_lost_contact(
         self,
         stream: stream_state.Stream,
@@ -53,7 +50,7 @@
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Take the next step after a loss of contact with an attempt."""
+        """Re-attach to a silent attempt, or replace it if that was tried."""
         stream.may_have_run = True
         was_just_attached = (
             now - attempt.attached_at < MIN_ATTACH_INTERVAL_SECONDS
@@ -72,10 +69,10 @@
         suspected: attempt_state.Attempt,
         now: float,
     ) -> list[actions.Action]:
-        """Have a second engine continue while the first is asked.
+        """Start a hedging attempt on a second engine, if the service wants it.
 
-        It costs a prompt read for nothing where the first still lives, and
-        saves the time of asking where it is dead.
+        It wastes a prompt evaluation if the first engine is alive, and saves
+        the probe's waiting time if it is dead.
         """
         is_spare_wanted = stream.service.recovery.spare_attempt
         if not is_spare_wanted or stream.spare is not None or stream.is_whole:
@@ -91,8 +88,6 @@
             return []
         return self.attempt_table.start_attempt(stream, view, now, spare=True)
 
-    # -- second step --------------------------------------------------------
-
     def replace_dead_engine(
         self,
         stream: stream_state.Stream,
@@ -100,7 +95,7 @@
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Take an attempt's engine for dead."""
+        """Count an attempt's engine as dead and replace the attempt."""
         stream.engine_deaths += 1
         self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
@@ -113,7 +108,7 @@
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Put the spare or another engine in an attempt's place."""
+        """Cancel an attempt; continue with the spare or another engine."""
         is_current = attempt is stream.attempt
         planned = [
             attempts.record(stream, attempt, 'attempt-replaced', reason)
@@ -131,21 +126,21 @@
         return planned + self.recover_stream(stream, now)
 
     def exceeds_engine_deaths(self, stream: stream_state.Stream) -> bool:
-        """Return whether more engines died than a request may be part of."""
+        """Return whether more engines died under a request than allowed."""
         max_deaths = stream.service.recovery.most_engine_deaths
         return stream.engine_deaths > max_deaths
 
     def recover_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Find an engine for a stream that has none, or wait a little."""
+        """Find an engine for a stream without one, or wait for one."""
         exchange = stream.request.exchange
         self.recovering_streams.pop(exchange, None)
         if stream.recover_by is None:
             stream.recover_by = now + RECOVERY_TIMEOUT_SECONDS
         if stream.is_whole:
-            # The last token came and only the end event was lost; an engine
-            # asked to continue would generate one token too many.
+            # All tokens arrived and only the end event was lost; continuing
+            # would generate one token too many.
             return self.complete_stream(stream, 'length')
         if stream.would_run_twice:
             return self.fail_stream(stream, 'outcome-unknown', None)
@@ -166,11 +161,11 @@
     def retry_all_engines(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Look again, at the engines that refused or failed before too.
+        """Look for an engine again, including those that refused or failed.
 
-        Only time gives them another chance. Were they asked again whenever
-        a place comes free, a refusal would bring about the next one, as fast
-        as the network allows.
+        Excluded engines are retried only on this timer. If they were also
+        retried whenever capacity becomes free, each refusal would cause the
+        next one, as fast as the network allows.
         """
         stream.excluded.clear()
         return self.recover_stream(stream, now)
@@ -182,7 +177,7 @@
         view: upstream_state.UpstreamView,
         now: float,
     ) -> list[actions.Action]:
-        """Continue a stream on an engine, within its account's budget."""
+        """Continue a stream on an engine, within the resume budget."""
         wait_seconds = self.spend_resume_budget(stream, now)
         if wait_seconds:
             return self.fail_stream(
@@ -194,7 +189,7 @@
     def wait_for_engine(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Try again soon, or give the final answer when patience is out."""
+        """Schedule the next try, or end the wait at ``recover_by``."""
         exchange = stream.request.exchange
         if stream.recover_by is not None and now >= stream.recover_by:
             return self.restart_or_fail(stream, now)
@@ -205,10 +200,10 @@
     def restart_or_fail(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Restart or fail, when patience is out.
+        """Restart or fail a stream whose recovery time is up.
 
         An instance that does not watch the engines learns only from their
-        refusals that none has the version any more.
+        refusals that none runs the version any more.
         """
         pool = pinning.replacement_pool(self.configuration, stream)
         if self.guard.must_not_run(stream.request, now):
@@ -220,12 +215,10 @@
             return self.restart_stream(stream, now)
         return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
 
-    # -- third step ---------------------------------------------------------
-
     def restart_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Start afresh on the version in force, if the request may repeat."""
+        """Start a new generation on the version in force, if repeatable."""
         pool = pinning.replacement_pool(self.configuration, stream)
         if pool is None or not self.directory.can_ever_serve(pool, now):
             return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
@@ -257,12 +250,13 @@
             *started,
         ]
 
-    # -- helpers ------------------------------------------------------------
-
     def spend_resume_budget(
         self, stream: stream_state.Stream, now: float
     ) -> float:
-        """Take a resume from the account's budget; return 0 or the wait."""
+        """Spend one resume of the account's budget.
+
+        Returns 0, or the seconds until the budget allows a resume.
+        """
         if not stream.may_have_run:
             return 0.0
         name = stream.request.request.account
--- a/src/greengagelb/coordination/streams/resumption.py
+++ b/src/greengagelb/coordination/streams/resumption.py
@@ -1,8 +1,8 @@
-"""Callers who come back after they lost the instance that served them.
+"""Resumes streams of callers that lost the instance serving them.
 
-Nothing about a stream is kept outside the instance that serves it. What
-another instance needs comes with the caller: a sealed cursor, and the tokens
-that the caller holds.
+The state of a stream is kept only by the instance that serves it. Another
+instance gets what it needs from the caller: a sealed cursor and the tokens
+received so far.
 """
 
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 class StreamResumption:
-    """Takes up streams that broke off elsewhere."""
+    """Continues streams that were interrupted at another instance."""
 
     def __init__(self, stream_recovery: recovery.StreamRecovery) -> None:
         self.stream_recovery = stream_recovery
@@ -36,7 +36,7 @@
         pool: configuration_state.Pool,
         now: float,
     ) -> list[actions.Action]:
-        """Go on where a caller's stream broke off."""
+        """Continue a caller's stream from its cursor, or refuse it."""
         stream = self.rebuild_stream(event, service, pool)
         code = self.find_rejection_code(event, stream)
         if code:
@@ -52,7 +52,7 @@
         service: configuration_state.Service,
         pool: configuration_state.Pool,
     ) -> stream_state.Stream:
-        """Return the stream as the lost instance knew it."""
+        """Return the stream as the previous instance held it."""
         point = event.point
         pinned = dataclasses.replace(
             pool,
@@ -75,11 +75,11 @@
     def find_rejection_code(
         self, event: events.GenerationResumed, stream: stream_state.Stream
     ) -> str:
-        """Return why a stream can't be taken up, or an empty text.
+        """Return the code of why a stream can't be resumed, or ''.
 
-        The caller's tokens are believed only if their digest is the one in
-        the sealed cursor, and its request only if it is the one the cursor
-        was sealed for; otherwise the answer could become a mixture.
+        The caller's tokens are accepted only if they have the digest in the
+        sealed cursor, and its request only if the cursor was sealed for it.
+        Otherwise the answer could mix two generations.
         """
         point = event.point
         if event.request.request != point.request:
@@ -95,11 +95,11 @@
     def end_older_exchange(
         self, point: requests.ResumePoint
     ) -> list[actions.Action]:
-        """End an older exchange that still follows the same attempt.
+        """End an older exchange that still reads the same attempt.
 
-        Its caller has come back before its old connection was noticed to be
-        broken. Two exchanges can't follow one attempt, and when the older
-        one ends it must not cancel what the newer one reads.
+        The caller has reconnected before the loss of its old connection was
+        detected. Two exchanges can't read one attempt, and the end of the
+        older one must not cancel what the newer one reads.
         """
         for (
             attempt_id,
@@ -117,7 +117,7 @@
     def detach_exchange(
         self, older_stream: stream_state.Stream
     ) -> list[actions.Action]:
-        """End an exchange without stopping its attempt."""
+        """End an exchange without cancelling its current attempt."""
         planned = self.attempt_table.cancel_spare(older_stream)
         if older_stream.attempt is not None:
             self.attempt_table.remove_attempt(
@@ -133,7 +133,7 @@
         point: requests.ResumePoint,
         now: float,
     ) -> list[actions.Action]:
-        """Attach to the attempt that the lost instance had started."""
+        """Attach to the attempt of the previous instance, or replace it."""
         view = self.directory.views.get(point.engine.name)
         if view is None:
             return self.stream_recovery.recover_stream(stream, now)
@@ -157,16 +157,16 @@
         view: upstream_state.UpstreamView,
         now: float,
     ) -> str:
-        """Return why there is nothing to attach to, or an empty text.
+        """Return why an attempt no longer exists, or ''.
 
-        What was reported some time ago may be of another incarnation; the
-        engine itself is asked then.
+        An old report may be of an earlier incarnation, so the engine is asked
+        instead if the last report is too old.
         """
         if (
             attempt.attempt_id
             in self.attempt_table.cancellation_supervisor.pending
         ):
-            return 'was cancelled here'
+            return 'cancelled by this instance'
         if now - view.probed_at >= upstream_views.PROBE_TRUST_SECONDS:
             return ''
         known_incarnation = attempt.incarnation
@@ -184,7 +184,7 @@
 def already_ran_failure(
     request: requests.GenerationRequest, code: str
 ) -> actions.SendFailure:
-    """Return the final answer to a caller who can't be served."""
+    """Return the final failure of a request that ran before."""
     failure = requests.Failure(
         code, requests.Ran.YES, 'this request ran before'
     )
--- a/src/greengagelb/coordination/streams/stalls.py
+++ b/src/greengagelb/coordination/streams/stalls.py
@@ -1,8 +1,8 @@
-"""When the silence of an attempt means trouble.
+"""Failure detection for attempts that deliver no tokens.
 
-A connection that has lost its other end looks like one whose engine thinks
-for long. So attempts are judged by progress, against the pace that this
-instance has observed at the same engine, never by the state of a socket.
+A connection that has lost its peer can't be told from one whose engine is
+slow. Attempts are therefore checked by progress, against the pace that this
+instance has observed at the same engine, and not by the state of a socket.
 """
 
 from greengagelb.coordination import actions
@@ -22,7 +22,7 @@
 
 
 class StallDetector:
-    """Sets the stall deadlines of attempts and judges those that pass."""
+    """Sets the stall deadlines of attempts and checks expired ones."""
 
     def __init__(self, directory: routing.UpstreamDirectory) -> None:
         self.directory = directory
@@ -34,7 +34,7 @@
         attempt: attempts.Attempt,
         now: float,
     ) -> None:
-        """Learn the pace of an upstream from tokens that have arrived."""
+        """Update the pace of an upstream from tokens that arrived."""
         observed_pace = self.upstream_pace(attempt)
         observed_pace.latest = now
         if attempt.latest_arrival is not None:
@@ -49,11 +49,11 @@
     def stall_timeout_seconds(
         self, stream: stream_state.Stream, attempt: attempts.Attempt
     ) -> float:
-        """Return the seconds of silence after which to look closer.
+        """Return the seconds without tokens after which to suspect an attempt.
 
-        A prompt, or a prompt with the tokens so far, is read before the
-        first token: an attempt that has brought none gets longer. A probe
-        over a fresh connection is answered at once or not at all.
+        An attempt without tokens so far gets longer, since the engine first
+        evaluates the prompt and any earlier tokens. A probe over a new
+        connection is answered at once or not at all.
         """
         policy = stream.service.recovery
         view = self.directory.views.get(attempt.upstream.name)
@@ -68,7 +68,7 @@
         return timeout
 
     def upstream_pace(self, attempt: attempts.Attempt) -> pace.Pace:
-        """Return what is known of the pace of an attempt's upstream."""
+        """Return the observed pace of an attempt's upstream."""
         name = attempt.upstream.name
         observed_pace = self.pace_by_upstream.get(name)
         if observed_pace is None:
@@ -81,7 +81,7 @@
         attempt: attempts.Attempt,
         now: float,
     ) -> actions.SetTimer:
-        """Give an attempt its full time from now on."""
+        """Restart an attempt's stall timeout from now."""
         attempt.confirming = False
         timeout = self.stall_timeout_seconds(stream, attempt)
         attempt.stall_deadline = now + timeout
@@ -101,13 +101,13 @@
         attempt: attempts.Attempt,
         now: float,
     ) -> actions.SetTimer | None:
-        """Return a timer where it is too early to judge, else None.
+        """Return None if an attempt has stalled, else the timer to wait for.
 
         After a pause of this process its timers fire before its sockets are
-        read, perhaps before the pause itself is noticed: every engine would
-        seem dead at once. A timer that fires late therefore proves nothing,
-        and one that fires in time is set again for the very next turn of the
-        event loop, which reads the sockets first.
+        read, perhaps before the pause itself is detected, so every engine
+        would seem dead at once. A timer that fires late therefore proves
+        nothing, and one that fires in time is set again for the next turn of
+        the event loop, which reads the sockets first.
         """
         if now < attempt.stall_deadline:
             return self.stall_timer(stream, attempt)
@@ -126,11 +126,11 @@
     def is_queued_at_engine(
         self, attempt: attempts.Attempt, now: float
     ) -> bool:
-        """Return whether an engine is busy with others, rather than dead.
+        """Return whether an attempt is queued at an engine busy with others.
 
-        Under load an engine accepts more than it can run at once. To take
-        each attempt that waits there for a dead one would move it to the next
-        busy engine, and end it when its deaths are used up.
+        Under load an engine accepts more than it can run at once. If a queued
+        attempt were treated as dead, it would be moved to the next busy
+        engine, and fail once its allowed engine deaths are used up.
         """
         if attempt.has_progressed or not attempt.answered:
             return False
--- a/src/greengagelb/coordination/streams/supervisor.py
+++ b/src/greengagelb/coordination/streams/supervisor.py
@@ -1,8 +1,8 @@
-"""Keeps each generation going while engines fail.
+"""Keeps each generation running while engines fail.
 
-Tokens reach the caller only from the current attempt, or from the spare that
-thereby becomes it, and only at the next position. So no step of the recovery
-can mix two generations or repeat a token.
+Tokens are sent to the caller only from the current attempt, or from the spare,
+which then becomes the current one, and only at the next position. Recovery can
+therefore neither mix two generations nor repeat a token.
 """
 
 import dataclasses
@@ -32,16 +32,17 @@
 
 @dataclasses.dataclass(slots=True)
 class StreamAttempt:
-    """A stream and that attempt of its own which an event is about."""
+    """A stream together with one of its attempts."""
 
     stream: stream_state.Stream
     attempt: attempt_state.Attempt
 
 
 class StreamSupervisor:
-    """Decides what happens to every running generation of an instance.
+    """Makes the decisions about all running generations of an instance.
 
-    Events of an attempt that no longer counts are dropped and counted.
+    Events of attempts that are neither current nor spare are dropped;
+    ``dropped_events`` counts them.
     """
 
     def __init__(
@@ -73,11 +74,9 @@
     def apply_configuration(
         self, configuration: configuration_state.Configuration
     ) -> None:
-        """Adopt a configuration; running streams keep their version."""
+        """Use a new configuration; running streams keep their version."""
         self.stream_recovery.configuration = configuration
 
-    # -- beginning ----------------------------------------------------------
-
     def start_stream(
         self,
         request: requests.GenerationRequest,
@@ -86,7 +85,7 @@
         view: upstream_state.UpstreamView,
         now: float,
     ) -> list[actions.Action]:
-        """Start a generation on an upstream that has room."""
+        """Start a generation on an upstream with free capacity."""
         if request.request in self.stream_recovery.exhausted_requests:
             return [
                 resumption.already_ran_failure(
@@ -108,15 +107,13 @@
         pool: configuration_state.Pool,
         now: float,
     ) -> list[actions.Action]:
-        """Go on where a caller's stream broke off at another instance."""
+        """Continue a caller's stream that was interrupted elsewhere."""
         return self.stream_resumption.resume_stream(event, service, pool, now)
 
-    # -- progress -----------------------------------------------------------
-
     def find_limit_answer(
         self, event: events.AttemptAccepted | events.AttemptRefused
     ) -> upstream_limits.UpstreamAnswer | None:
-        """Return the answer of an engine that an event brings."""
+        """Return what an event says about its engine's limit, if current."""
         source = self.find_stream_attempt(event.attempt)
         if source is None:
             return None
@@ -130,7 +127,7 @@
     def handle_attempt_accepted(
         self, event: events.AttemptAccepted, now: float
     ) -> list[actions.Action]:
-        """Note that the engine answers."""
+        """Mark the attempt as answered and reset its stall timer."""
         source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
@@ -147,7 +144,7 @@
     def handle_tokens(
         self, event: events.TokensArrived, now: float
     ) -> list[actions.Action]:
-        """Pass on tokens of an attempt that counts, at the next position."""
+        """Send the caller the new tokens from the next position on."""
         source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
@@ -186,10 +183,10 @@
         winner: attempt_state.Attempt,
         now: float,
     ) -> list[actions.Action]:
-        """Keep, of two attempts, the one that brings the next token.
+        """Keep the attempt that delivered the next token; cancel the other.
 
-        From here on the two differ. Were both kept, the caller could get one
-        token of the one and the next of the other.
+        Their outputs may diverge from here on. If both were kept, the caller
+        could get tokens from both in turn.
         """
         if stream.spare is None or stream.attempt is None:
             return []
@@ -201,15 +198,15 @@
     def handle_attempt_ended(
         self, event: events.AttemptEnded, now: float
     ) -> list[actions.Action]:
-        """Complete the answer, if no token of it is missing."""
+        """Complete the answer, if no token is missing."""
         source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
         stream.may_have_run = True
         if event.reason == CANCELLED:
-            # Another instance stopped it when it lost the caller, who is
-            # here by now. The engine is well.
+            # Another instance cancelled it when its caller disconnected; the
+            # caller is connected here now. The engine has not failed.
             return self.stream_recovery.replace_attempt(
                 stream, attempt, now, CANCELLED
             )
@@ -224,19 +221,20 @@
             stream, event.reason
         )
 
-    # -- trouble ------------------------------------------------------------
-
     def handle_attempt_refused(
         self, event: events.AttemptRefused, now: float
     ) -> list[actions.Action]:
-        """Try another engine: this one is full, leaving or forgot."""
+        """Try another engine after a refusal.
+
+        The engine is full or leaving, or has lost the attempt.
+        """
         source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
         stream, attempt = source.stream, source.attempt
         if attempt.suspected and not attempt.returned_to:
-            # It ran there and nobody here had cancelled it, so that engine
-            # has died since, however quickly it came back.
+            # The attempt ran there and was not cancelled here, so the engine
+            # has crashed since, even if it restarted quickly.
             stream.engine_deaths += 1
         elif not attempt.suspected:
             stream.excluded.add(attempt.upstream.name)
@@ -247,7 +245,7 @@
     def handle_attempt_broken(
         self, event: events.AttemptBroken, now: float
     ) -> list[actions.Action]:
-        """Look after an attempt whose connection ended too soon."""
+        """Recover an attempt whose connection ended prematurely."""
         source = self.find_or_count_dropped(event.attempt)
         if source is None:
             return []
@@ -273,10 +271,10 @@
         attempt: attempt_state.Attempt,
         now: float,
     ) -> list[actions.Action]:
-        """Have the engine asked whether it has crashed.
+        """Have the crash guard check whether the engine has crashed.
 
-        Engines accept at once, so one that dies as it begins may do so before
-        its answer is out.
+        Engines accept an attempt at once, so one that crashes as it starts
+        may do so before its answer is sent.
         """
         was_accepted = attempt.accepted_at <= now
         return self.guard.suspect_upstream(
@@ -288,10 +286,10 @@
         )
 
     def stop_blocked_streams(self, fingerprint: str) -> list[actions.Action]:
-        """Stop what runs of a request that must not run any more.
+        """Fail the streams of a request that is blocked for its crashes.
 
-        A stream that brings tokens is left alone: it may show that the
-        request does no harm.
+        A stream that delivers tokens continues, as it may prove the request
+        harmless.
         """
         found = [
             stream
@@ -310,7 +308,7 @@
     def handle_engine_report(
         self, report: events.UpstreamReported, now: float
     ) -> list[actions.Action]:
-        """Look after the attempts of an engine that is not what it was."""
+        """Check an engine's attempts against its new report."""
         planned: list[actions.Action] = []
         name = report.engine.name
         for attempt_id in sorted(
@@ -328,10 +326,11 @@
         report: events.UpstreamReported,
         now: float,
     ) -> list[actions.Action]:
-        """Leave an engine that runs another version; ask one that restarted.
+        """Replace or re-attach an attempt if its engine has changed.
 
-        Tokens of another version would make the answer a mixture, though the
-        engine itself calls it the same attempt.
+        An engine that runs another version is replaced: its tokens would mix
+        two versions in one answer, although it reports the same attempt id.
+        One that restarted is asked for the attempt again.
         """
         stream, attempt = source.stream, source.attempt
         reported = (report.model, report.version, report.adapter)
@@ -354,12 +353,10 @@
             stream, attempt, now, 'engine restarted'
         )
 
-    # -- timers -------------------------------------------------------------
-
     def handle_timer(
         self, kind: str, exchange: int, now: float
     ) -> list[actions.Action]:
-        """Handle one of the streams' timers."""
+        """Handle a timer of a stream."""
         stream = self.streams.get(exchange)
         if stream is None:
             return []
@@ -382,7 +379,7 @@
         attempt: attempt_state.Attempt | None,
         now: float,
     ) -> list[actions.Action]:
-        """Look after an attempt that makes no progress."""
+        """Handle the stall timer of an attempt, if it still exists."""
         if attempt is None:
             return []
         timer = self.stall_detector.check_stall(stream, attempt, now)
@@ -393,11 +390,11 @@
         )
 
     def reset_stall_timers(self, now: float) -> list[actions.Action]:
-        """Give every attempt its full time again.
+        """Reset the stall timers of all attempts after a pause.
 
-        After a pause of this process all stall deadlines lie in the past,
-        yet the tokens may wait unread in the sockets. Judging now would
-        declare every engine dead at once.
+        After a pause of this process all stall deadlines have passed, while
+        tokens may be unread in the sockets. Checking them now would mark
+        every engine dead at once.
         """
         return [
             self.stall_detector.reset_stall_timer(stream, attempt, now)
@@ -405,18 +402,16 @@
             for attempt in stream.own_attempts()
         ]
 
-    # -- others -------------------------------------------------------------
-
     def has_recovering_stream_in(self, pool: configuration_state.Pool) -> bool:
-        """Return whether a stream of a pool waits for an engine."""
+        """Return whether a stream of a pool has no engine."""
         waiting = self.stream_recovery.recovering_streams.values()
         return any(stream.pool.name == pool.name for stream in waiting)
 
     def retry_recovering_streams(self, now: float) -> list[actions.Action]:
-        """Give streams that have no engine the places that came free.
+        """Retry streams without an engine when capacity becomes free.
 
-        Were they to wait for their timers, new work would take each place
-        first, and streams would be given up on for want of an engine.
+        If they waited for their timers, new requests would take the capacity
+        first, and streams would fail for lack of an engine.
         """
         planned: list[actions.Action] = []
         for stream in list(self.stream_recovery.recovering_streams.values()):
@@ -424,7 +419,7 @@
         return planned
 
     def handle_caller_gone(self, exchange: int) -> list[actions.Action]:
-        """Stop work that nobody waits for."""
+        """Close a stream whose caller has disconnected."""
         stream = self.streams.get(exchange)
         if stream is None:
             return []
@@ -436,11 +431,11 @@
     def find_or_count_dropped(
         self, attempt_id: identity.AttemptId
     ) -> StreamAttempt | None:
-        """Return the stream for which this attempt counts, if any.
+        """Return the stream and attempt of an id; count it if there are none.
 
-        An engine that was paused goes on sending for an attempt that has
-        been replaced. Its tokens may differ from those of the new attempt,
-        and would mix two answers if they were passed on.
+        An engine that resumes after a pause keeps sending for an attempt that
+        has been replaced. Its tokens may differ from those of the new attempt
+        and would mix two answers if they were sent to the caller.
         """
         found = self.find_stream_attempt(attempt_id)
         if found is None:
@@ -450,7 +445,7 @@
     def find_stream_attempt(
         self, attempt_id: identity.AttemptId
     ) -> StreamAttempt | None:
-        """Return the stream for which this attempt counts, if any."""
+        """Return the stream and attempt of an attempt id, if it is in use."""
         exchange = self.attempt_table.exchange_by_attempt.get(attempt_id)
         stream = self.streams.get(exchange or 0)
         attempt = stream.find_attempt(attempt_id) if stream else None
--- a/src/greengagelb/coordination/timers.py
+++ b/src/greengagelb/coordination/timers.py
@@ -1,4 +1,4 @@
-"""Names of the timers that decisions ask for."""
+"""Names of the timers that decisions set."""
 
 
 def timer_name(kind: str, exchange: int) -> str:
--- a/tests/calls/test_at_most_once_machine.py
+++ b/tests/calls/test_at_most_once_machine.py
@@ -1,8 +1,7 @@
-"""Any order of faults around calls that may not be repeated.
+"""Stateful tests of at-most-once execution under faults in any order.
 
-Hypothesis drives several real nodes that share one table service and one
-plain service. The promises are checked inside ``tests/common/call_world.py``
-at every action.
+Hypothesis drives several instances that share one table service and one plain
+service. ``tests/common/call_world.py`` checks the guarantees at every action.
 """
 
 import random
@@ -22,7 +21,7 @@
 
 
 class AtMostOnceMachine(stateful.RuleBasedStateMachine):
-    """Callers, faults and time in any order."""
+    """Steps of callers, faults and time in any order."""
 
     def __init__(self):
         super().__init__()
@@ -110,10 +109,10 @@
 
 
 def test_long_random_run():
-    """One process sees thousands of requests between two faults.
+    """Long runs with thousands of requests.
 
-    What adds up only over a long run, such as claims that nobody settles,
-    shows here and not in the short histories above.
+    They show what accumulates only over time, such as claims that are never
+    settled, which the short sequences of the stateful test can't.
     """
     rng = random.Random(20261202)
     answered = 0
--- a/tests/calls/test_claims.py
+++ b/tests/calls/test_claims.py
@@ -1,4 +1,4 @@
-"""Single histories around claims that once went wrong, or nearly did."""
+"""Regression tests of claims, each for one sequence of events."""
 
 import dataclasses
 import random
@@ -34,7 +34,7 @@
 
 
 def test_accounts_with_slashes_do_not_share_a_row():
-    """Two accounts whose names and keys read the same once joined.
+    """Two accounts whose names and keys are the same text once joined.
 
     One account's charge would be answered with the other's booking.
     """
@@ -60,10 +60,9 @@
 
 
 def test_answer_after_the_deadline_is_kept_for_the_retry():
-    """A charge takes longer than its caller waits.
+    """A charge completes after its caller's deadline.
 
-    Its outcome would be lost though the service gave it, and every retry
-    would be told "outcome unknown".
+    If its outcome were dropped, every retry would get "outcome unknown".
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -90,10 +89,10 @@
 
 
 def test_connection_lost_after_the_deadline_keeps_the_row_taken():
-    """A charge outlasts its caller's deadline and then its connection.
+    """A charge's connection breaks after the caller's deadline.
 
-    The service may go on with it. Released, the key would let a retry run
-    the charge a second time.
+    The service may still be running it. If the row were released, a retry
+    could run the charge a second time.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -108,10 +107,10 @@
 
 
 def test_restored_store_is_reported():
-    """The platform's operators restore the store from an old copy.
+    """The store is restored from an old copy that lacks a held claim.
 
-    A claim that was held is gone, a retry takes the key anew, and the charge
-    runs a second time. Nobody can prevent it here, but somebody must be told.
+    A retry claims the key again and the charge runs twice. That can't be
+    prevented here, but it must be recorded.
     """
     world = call_world.World()
     instance, other = world.instances[:2]
@@ -121,8 +120,8 @@
     world.may_run.clear()
     world.submit(other, CHARGE)
     answer_all_writes(world)
-    # Versions start anew with the row: the first outcome lands on it, and
-    # the second holder sees it.
+    # Row versions start again, so the first outcome overwrites the row and
+    # the second holder detects that.
     first, second = world.dispatches
     world.finish(first)
     answer_all_writes(world)
@@ -135,9 +134,9 @@
 
 
 def test_silent_service_does_not_hold_the_instance_for_ever():
-    """A service takes a charge and never answers.
+    """A service accepts a charge and never answers.
 
-    Waited for without end, its calls would use up the account's places.
+    Without a time limit such calls would use up the account's capacity.
     """
     world = call_world.World()
     instance = world.instances[0]
@@ -153,7 +152,7 @@
 def test_large_answer_is_reported_as_run_but_not_kept():
     """The answer to a charge is too large for a claim row.
 
-    The retry can't be shown it, and must not run the charge again either.
+    A retry can't get it, and must not run the charge again either.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -182,9 +181,9 @@
 
 
 def test_retry_before_the_outcome_is_written_may_come_back_for_it():
-    """Guards against a second run, or a "not run", in that moment.
+    """Guards against a second run or a "not run" for an early retry.
 
-    The answer goes to the caller before the outcome is written.
+    The answer is sent to the caller before the outcome is written.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -208,9 +207,9 @@
 
 
 def test_key_that_comes_back_with_another_body_is_refused():
-    """A program uses one idempotency key for two different charges.
+    """A client uses one idempotency key for two different charges.
 
-    It would be shown the answer to the first for the second.
+    It would get the answer to the first one for the second.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -223,10 +222,10 @@
 
 
 def test_retry_during_an_outage_is_not_told_not_run():
-    """An instance dies with a charge in flight; then the store goes away.
+    """An instance dies with a charge in flight, then the store fails.
 
-    The caller sends the charge again, to another instance, which can't see
-    the claim. Told "not run", the site would book and charge anew.
+    The caller retries at another instance, which can't read the claim. On a
+    "not run" the client would charge a second time.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -248,10 +247,10 @@
 
 
 def test_claim_written_after_the_deadline_is_released_and_taken_over():
-    """The store is slow and answers a claim when the caller has given up.
+    """A slow store answers a claim after the caller's deadline.
 
-    The row would stay taken by a holder that never dispatched, and every
-    retry of the charge would be turned away for good.
+    If the row stayed taken by a holder that never dispatched, every retry of
+    the charge would be refused for good.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -266,10 +265,10 @@
 
 
 def test_late_claim_write_fails_after_the_claim_was_given_up():
-    """Both tries of a claim time out; the first reaches the store late.
+    """Both writes of a claim time out; the first reaches the store late.
 
-    The release is already there by then, on the same version, so the late
-    write fails in place of taking the key for good.
+    The release was written on the same version by then, so the late write
+    fails instead of taking the key for good.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -284,9 +283,10 @@
 
 
 def test_lost_answer_to_a_claim_is_settled_by_the_same_write():
-    """The store carries a claim out and its answer is lost.
+    """The store applies a claim and its answer is lost.
 
-    Taken for a failure, the charge would not run though its key is taken.
+    If that were treated as a failure, the charge would not run although its
+    key is taken.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -296,7 +296,7 @@
 
 
 def test_release_is_retried_until_the_store_accepts_it():
-    """The store goes away just as a claim is given up."""
+    """The store becomes unavailable just as a claim is given up."""
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     world.advance(call_world.PATIENCE + 1)
@@ -311,7 +311,7 @@
 
 
 def test_release_is_given_up_after_a_long_outage():
-    """A store that stays away must not fill the instance with old claims."""
+    """Old claims must not accumulate while the store is unavailable."""
     world = call_world.World()
     instance = world.instances[0]
     world.submit(instance, CHARGE)
@@ -329,10 +329,10 @@
 def test_holder_that_wakes_after_the_deadline_does_not_dispatch(
     timers_first, service
 ):
-    """An instance is stopped while it claims, and wakes a minute later.
+    """An instance is paused while it claims and resumes a minute later.
 
-    Its caller has long given up. The answer to the claim and the deadline's
-    timer wait side by side, in either order.
+    Its caller's deadline has passed. The result of the claim and the deadline
+    timer are both pending, in either order.
     """
     world = call_world.World()
     instance = world.instances[0]
@@ -350,7 +350,7 @@
 def test_stop_waits_until_a_claim_is_released():
     """An instance is replaced right after it gave up a claim.
 
-    Ended at once, it would leave the key taken for good.
+    If its process ended at once, the key would stay taken for good.
     """
     world = call_world.World()
     instance = world.instances[0]
@@ -371,7 +371,7 @@
 
 
 def test_call_refused_by_every_upstream_releases_the_row():
-    """All three processes of a service refuse a charge before it runs."""
+    """All upstreams of a service refuse a charge before it runs."""
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -383,7 +383,7 @@
 
 
 def test_call_that_ran_once_is_never_told_not_run_by_a_later_refusal():
-    """A lookup's connection breaks; the second service can't be reached.
+    """A lookup's connection breaks, and the second upstream is unreachable.
 
     The last failure alone proves nothing about the first dispatch.
     """
@@ -397,9 +397,10 @@
 
 
 def test_retries_of_one_account_stay_within_its_budget():
-    """A service fails every lookup of a caller that asks without end.
+    """A service fails every lookup of a caller that keeps retrying.
 
-    Unbounded, three tries for each would triple the load on what is left.
+    Without a retry budget, three tries for each lookup would triple the load
+    on the remaining upstreams.
     """
     world = call_world.World()
     instance = world.instances[0]
@@ -421,7 +422,7 @@
 
 
 def test_queue_refusal_of_a_possible_retry_is_outcome_unknown():
-    """An account's queue is full when it sends a charge again.
+    """An instance refuses a retry of a charge before any claim.
 
     The first send may be running at another instance.
     """
--- a/tests/calls/test_silent_calls.py
+++ b/tests/calls/test_silent_calls.py
@@ -1,4 +1,4 @@
-"""Idempotent calls whose connection or service says nothing any more."""
+"""Idempotent calls whose connection or service has become silent."""
 
 import random
 
@@ -14,7 +14,7 @@
 
 
 def node_with_call(upstreams=2, idempotent=True):
-    """Return a node and what it did with one call."""
+    """Return an instance and its actions on the submission of one call."""
     instance = node.Node('i', random.Random(1))
     service = configuration.Service(
         'stop',
@@ -48,10 +48,10 @@
 
 
 def test_silent_call_is_tried_elsewhere_and_the_first_answer_counts():
-    """A phone stops a mower, and the connection to the service is silent.
+    """The connection of an urgent call to its upstream is dead.
 
-    Waiting for the caller's deadline would leave the mower running beside a
-    child's sandpit; the second try answers within seconds.
+    Waiting would take until the caller's deadline, while a second try
+    answers within seconds.
     """
     instance, done = node_with_call()
     (first,) = of_kind(actions.DispatchCall, done)
@@ -72,7 +72,7 @@
 
 
 def test_only_upstream_is_asked_again_over_a_new_connection():
-    """The connection has gone silent, the service itself is well."""
+    """The connection is dead while the service still works."""
     instance, done = node_with_call(upstreams=1)
     done = instance.handle(events.TimerFired(STALL), 2.0)
     assert len(of_kind(actions.DispatchCall, done)) == 1
@@ -90,7 +90,7 @@
 
 
 def test_silent_call_that_may_not_repeat_gets_no_second_try():
-    """A charge takes long; a second try could charge twice."""
+    """A charge is slow, and a second try could charge twice."""
     instance, done = node_with_call(idempotent=False)
     assert STALL not in [a.name for a in of_kind(actions.SetTimer, done)]
     assert instance.handle(events.TimerFired(STALL), 2.0) == []
--- a/tests/calls/test_store_unavailable.py
+++ b/tests/calls/test_store_unavailable.py
@@ -1,6 +1,6 @@
-"""What is served while the platform is cut off, row by row.
+"""What is served while parts of the platform are unreachable.
 
-The rows are those of the table in ``docs/design/at_most_once.md``.
+The cases are those of the table in ``docs/design/at_most_once.md``.
 """
 
 import pytest
@@ -27,12 +27,12 @@
 
 
 def withhold_store_answers(world):
-    """Have the store take writes and never answer."""
+    """Have the store accept writes and never answer."""
     world.store_silent = True
 
 
 def lose_store_answers(world):
-    """Have the store carry out writes whose answers are lost."""
+    """Have the store apply writes whose answers are lost."""
     world.store_loses_answers = True
 
 
@@ -42,7 +42,7 @@
 
 
 ROWS = [
-    # kind of request, key, first send, what is cut, what the caller gets
+    # request, idempotency key, first send, fault, what the caller gets
     (LOOKUP, True, False, keep_all_reachable, SERVED),
     (LOOKUP, True, False, refuse_store_connections, SERVED),
     (LOOKUP, True, False, withhold_store_answers, SERVED),
@@ -67,7 +67,7 @@
 def test_outcome_while_part_of_the_platform_is_unreachable(
     service, key, first, cut, expected
 ):
-    """Part of the platform can't be reached when a request comes in."""
+    """Part of the platform is unreachable when a request arrives."""
     world = call_world.World()
     cut(world)
     exchange = world.submit(
--- a/tests/coordination/test_lifecycle.py
+++ b/tests/coordination/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""An instance serves only between its configuration and its stop."""
+"""The life cycle of an instance allows only the listed transitions."""
 
 import automat
 import pytest
@@ -25,7 +25,8 @@
 def test_configuration_does_not_return_a_stopping_instance_to_service():
     """A plan is confirmed while an instance is being replaced.
 
-    Ready again, it would be sent requests that its end then cuts off.
+    If it became ready again, it would get requests that are cut off when it
+    ends.
     """
     phase = phase_after(
         'configuration_applied', 'stop_requested', 'configuration_applied'
@@ -53,10 +54,10 @@
 
 @pytest.mark.parametrize('closing', [[], ['connections_closed']])
 def test_no_request_is_accepted_once_the_instance_has_finished(closing):
-    """A call comes in the last milliseconds of a planned stop.
+    """A call arrives in the last milliseconds of a planned stop.
 
-    Sent to an engine, it would be cut with the process, and its caller could
-    not know whether it has run.
+    If it were sent to an engine, it would be cut off with the process, and its
+    caller could not know whether it has run.
     """
     with pytest.raises(automat.NoTransition):
         phase_after(
@@ -65,7 +66,7 @@
 
 
 def test_process_does_not_end_while_requests_are_in_flight():
-    """The ports are closed while callers still wait for their answers."""
+    """The listening ports close while callers still wait for answers."""
     with pytest.raises(automat.NoTransition):
         phase_after(
             'configuration_applied', 'stop_requested', 'connections_closed'
@@ -73,6 +74,6 @@
 
 
 def test_idle_serving_instance_does_not_finish():
-    """All requests of a quiet night are answered."""
+    """A serving instance has no requests in flight."""
     with pytest.raises(automat.NoTransition):
         phase_after('configuration_applied', 'work_finished')
--- a/tests/seam/test_whole_request.py
+++ b/tests/seam/test_whole_request.py
@@ -1,4 +1,4 @@
-"""A whole request through the seam, with no reactor and no socket."""
+"""Whole requests through ``Node.handle``, without reactor and sockets."""
 
 import random
 
@@ -69,7 +69,7 @@
 def test_lost_engine_is_replaced_from_the_next_position():
     """An engine dies after two tokens.
 
-    The caller sees a pause, then the third token.
+    Another engine continues from the third.
     """
     instance = configured_instance()
     submitted = events.GenerationSubmitted(draft())
@@ -86,10 +86,10 @@
 
 
 def test_late_tokens_of_a_replaced_attempt_are_dropped():
-    """A paused engine wakes after it was replaced and sends on.
+    """An engine resumes after its attempt was replaced and keeps sending.
 
-    Its tokens may differ from those of its successor; passed on, they would
-    put words of two answers into one.
+    Its tokens may differ from those of the replacement and would mix two
+    answers.
     """
     instance = configured_instance()
     submitted = events.GenerationSubmitted(draft())
@@ -103,9 +103,9 @@
 
 
 def test_older_configuration_is_refused():
-    """A store that was restored hands out an old copy.
+    """A restored store returns an old copy of the configuration.
 
-    An operator would see a drained engine get work again.
+    Applied, it would for instance give work to a drained engine again.
     """
     instance = configured_instance()
     older = configuration.Configuration(version=0)
--- a/tests/streams/test_cancellations.py
+++ b/tests/streams/test_cancellations.py
@@ -1,4 +1,4 @@
-"""A cancellation is repeated until it is known to have taken effect."""
+"""Cancellations are retried until the engine confirms them."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination.streams import cancellations
@@ -22,9 +22,10 @@
 
 
 def test_unreachable_engine_is_asked_until_the_attempt_deadline():
-    """An engine is out of reach for longer than any short series of tries.
+    """The retries outlast any outage shorter than the attempt's deadline.
 
-    When it comes back it would generate for nobody.
+    Otherwise an engine that is reachable again would generate tokens that
+    nobody reads.
     """
     supervisor = supervisor_with_cancellation()
     now, asked = 0.0, 0
@@ -47,7 +48,7 @@
 
 
 def test_engine_that_answers_again_is_asked_at_once():
-    """A paused engine goes on and its report comes in.
+    """The report of an engine that was paused triggers the retry.
 
     Each second until the next try costs tokens that nobody reads.
     """
@@ -59,7 +60,7 @@
 
 
 def test_new_incarnation_ends_the_retries():
-    """The engine has died meanwhile, and its attempts with it."""
+    """The engine has restarted, so its earlier attempts no longer run."""
     supervisor = supervisor_with_cancellation()
     schedule_retry(supervisor, 1.0)
     done = supervisor.handle_engine_report(identity.EngineId('e0', 'e0#2'))
--- a/tests/streams/test_stalls.py
+++ b/tests/streams/test_stalls.py
@@ -1,4 +1,4 @@
-"""Silence is judged by progress, and not at all after one's own pause."""
+"""Stall detection is based on progress, and suspended after a pause."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,10 +18,11 @@
 
 @given(st.floats(0.2, 60.0), st.booleans())
 def test_own_pause_marks_no_engine_dead(seconds, timers_first):
-    """An instance is stopped for a while and goes on.
+    """The process of an instance is paused and resumes.
 
-    Every stall timer is due, and the tokens wait unread. Judged by its
-    timers, all engines would be dead and all drafts moved at once.
+    Every stall timer is due while tokens are unread in the sockets. Checked
+    by its timers alone, every engine would seem dead and all streams would
+    be moved at once.
     """
     world, callers = start_streams()
     world.stand_still(seconds)
@@ -36,7 +37,7 @@
 
 
 def test_punctual_timer_lets_sockets_be_read_first():
-    """A pause ends just when a stall timer is due, so it is not late."""
+    """A pause ends just when a stall timer is due, so that is not late."""
     world, callers = start_streams(1)
     deadline = world.stream_of(callers[0]).attempt.stall_deadline
     for engine in world.engines.values():
@@ -53,7 +54,7 @@
 
 
 def test_delayed_event_loop_still_detects_a_dead_engine():
-    """A loop that is always late must not wait for ever."""
+    """An event loop that is always late must still detect a dead engine."""
     world, callers = start_streams(1)
     engine = world.engine_of(callers[0])
     engine.pause()
@@ -65,9 +66,9 @@
 
 
 def test_stall_timeout_follows_the_pace_of_the_engine():
-    """An engine under load brings a token every 80 ms.
+    """An engine under load delivers a token every 80 ms.
 
-    A constant fit for a fast engine would take it for dead again and again.
+    A fixed timeout that suits a fast engine would suspect it repeatedly.
     """
     world = generations.World()
     caller = world.submit()
@@ -84,10 +85,10 @@
 
 
 def test_attempt_queued_at_a_busy_engine_is_not_replaced():
-    """An engine accepts more than it runs at once.
+    """An engine accepts more requests than it runs at once.
 
-    The later request gets no token while the engine serves others. Moved
-    about as if each engine had died, it would fail in the end.
+    A queued request gets no token while the engine serves others. If each
+    engine were taken for dead in turn, the request would finally fail.
     """
     world = generations.World(1)
     busy = world.submit()
--- a/tests/streams/test_stream_machine.py
+++ b/tests/streams/test_stream_machine.py
@@ -1,8 +1,8 @@
-"""Callers' promises for streams, under every order of failures at once.
+"""Stateful tests of the guarantees for streams under combined failures.
 
-Single failures are easy to think of; what breaks is a late batch between a
-pause and a replaced instance. The machine finds those orders, and each one
-it found is kept as an example in ``test_examples_of_streams``.
+They search for failing sequences of steps, such as a late batch between a
+pause and the replacement of an instance. The sequences found are kept as
+tests in ``test_stream_recovery``.
 """
 
 import random
@@ -21,7 +21,7 @@
 
 
 class StreamMachine(stateful.RuleBasedStateMachine):
-    """Every step that a caller, an engine or an instance can take."""
+    """Steps of callers, engines and instances in any order."""
 
     def __init__(self):
         super().__init__()
@@ -152,7 +152,7 @@
 
 
 def random_step(world, rng):
-    """Take one step, failures being rarer than work."""
+    """Take one random step; failures are rarer than normal work."""
     engine = world.engines[rng.choice(sorted(world.engines))]
     instance = world.instances[rng.choice(sorted(world.instances))]
     waiting = [caller for caller in world.callers if caller.waits]
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize('seed', [1, 2, 3, 4])
 def test_long_random_history_keeps_every_stream_whole(seed):
-    """Failures of all kinds come for a long time, several at once."""
+    """Failures of all kinds occur over a long time, several at once."""
     rng = random.Random(seed)
     world = generations.World()
     for step in range(1500):
--- a/tests/streams/test_stream_recovery.py
+++ b/tests/streams/test_stream_recovery.py
@@ -1,4 +1,4 @@
-"""Each step after a loss, by itself; what the machine found is kept here."""
+"""Single steps of stream recovery, and regressions of the stateful test."""
 
 import pytest
 
@@ -30,9 +30,9 @@
 
 
 def test_silent_connection_is_reattached_to_the_same_engine():
-    """A middlebox forgets a connection; nothing closes it.
+    """A middlebox drops a connection's state without closing it.
 
-    The draft stands still for a moment and goes on, from the same engine.
+    After the stall timeout the stream continues from the same engine.
     """
     world, caller = start_stream()
     engine = world.engine_of(caller)
@@ -44,9 +44,10 @@
 
 
 def test_second_silence_of_one_attempt_costs_no_engine_death():
-    """The same connection path is lost again, much later.
+    """The connection is lost again, much later.
 
-    Taken for a death, it would move a healthy generation elsewhere.
+    Counted as an engine death, it would move a generation from a healthy
+    engine.
     """
     world, caller = start_stream()
     for _ in range(2):
@@ -62,9 +63,9 @@
 
 
 def test_tokens_of_a_resumed_engine_are_dropped():
-    """An engine stands still, is replaced, and goes on as if nothing was.
+    """An engine is paused, its attempt is replaced, and it resumes.
 
-    Its tokens differ from those of its successor.
+    Its tokens differ from those of the attempt that replaced it.
     """
     world, caller = start_stream()
     paused = world.engine_of(caller)
@@ -81,9 +82,9 @@
 
 
 def test_engine_that_reports_another_version_is_replaced_at_once():
-    """An engine loads another version while it generates.
+    """An engine loads another version during a generation.
 
-    What it writes from then on belongs to another model's answer.
+    Its tokens from then on belong to another model's answer.
     """
     world, caller = start_stream()
     engine = world.engine_of(caller)
@@ -98,9 +99,9 @@
 
 
 def test_lost_batch_is_requested_again():
-    """A batch is missing, and the next one comes.
+    """A batch of tokens is lost and the next one arrives.
 
-    Passed on, it would leave a hole in the draft.
+    Sent to the caller, it would leave a gap in the answer.
     """
     world, caller = start_stream()
     world.engine_of(caller).generate(2)
@@ -134,9 +135,9 @@
 
 
 def test_withdrawn_version_restarts_an_idempotent_request():
-    """The pool has moved to another version and the old engine dies.
+    """The pool moves to another version while a stream runs.
 
-    The caller is told to discard what it holds; it never gets the end of
+    The caller is told to discard its tokens, so that it never gets the end of
     another generation.
     """
     world, caller = start_stream()
@@ -149,10 +150,10 @@
 
 
 def test_caller_disconnected_after_a_restart_can_resume():
-    """The connection breaks between the restart and the next token.
+    """The caller disconnects between the restart and the next token.
 
-    The caller has discarded its tokens by then. Its old cursor would no
-    longer fit, and it could never come back.
+    It has discarded its tokens by then, so its old cursor would no longer
+    match and it could not resume.
     """
     world, caller = start_stream()
     for engine in world.engines.values():
@@ -165,10 +166,9 @@
 
 
 def test_withdrawn_version_is_detected_from_refusals():
-    """The instance does not watch the engines, which have all moved on.
+    """The instance gets no reports, and all engines run another version.
 
-    No report tells it so. It must not give up on a draft that could start
-    afresh at once.
+    It must not fail a stream that could be restarted at once.
     """
     world, caller = start_stream()
     engine = world.engine_of(caller)
@@ -185,7 +185,7 @@
 
 
 def test_withdrawn_version_ends_what_may_not_be_repeated():
-    """As before, but the request must not run again."""
+    """A non-idempotent request must not be restarted on another version."""
     world, caller = start_stream('once')
     for engine in world.engines.values():
         engine.version = '2'
@@ -203,10 +203,10 @@
 
 
 def test_request_refused_by_every_engine_is_reported_as_not_run():
-    """Every engine is full; the request is refused by each of them.
+    """Every engine is full and refuses the request.
 
-    The caller is told within seconds, and may believe that nothing ran. The
-    engines are not asked in a tight loop until then.
+    The caller is told within seconds, and correctly, that nothing ran. Until
+    then the engines are not retried in a tight loop.
     """
     world = generations.World()
     for engine in world.engines.values():
@@ -222,7 +222,7 @@
 
 
 def test_stream_fails_at_once_when_no_engine_can_serve_it():
-    """The last engine of a pool is lost while the others are drained."""
+    """The last usable engine of a pool dies while the others are leaving."""
     world, caller = start_stream()
     engine = world.engine_of(caller)
     views = world.instances['i1'].node.directory.views
@@ -237,10 +237,10 @@
 
 @pytest.mark.parametrize('service', ['draft', 'hasty'])
 def test_request_that_kills_engines_is_stopped(service):
-    """A prompt brings down each engine that reads it.
+    """A prompt crashes each engine that evaluates it.
 
-    Resumed for ever, it would take the whole pool from all accounts. Sent
-    again, with an older cursor or none, it begins no new series.
+    Resumed without limit, it would crash the whole pool for all accounts.
+    Sent again, it must not start a new series.
     """
     world, caller = start_stream(service)
     for _ in range(50):
@@ -263,9 +263,9 @@
 
 
 def test_spare_starts_while_the_first_attempt_is_suspected():
-    """An engine stands still under a service that values latency.
+    """An engine pauses under a service with spare attempts.
 
-    Its successor has begun before the first is taken for dead.
+    The spare has started before the first engine is considered dead.
     """
     world, caller = start_stream('hasty')
     world.engine_of(caller).pause()
@@ -280,7 +280,7 @@
 
 
 def test_spare_is_cancelled_when_the_first_attempt_goes_on():
-    """The first engine was merely slow: its token comes before any other."""
+    """The first engine was only slow and delivers the next token first."""
     world, caller = start_stream('hasty')
     slow = world.engine_of(caller)
     slow.silence()
@@ -294,10 +294,10 @@
 
 
 def test_recovering_streams_take_precedence_over_new_requests():
-    """One of two engines dies while new requests wait for a place.
+    """One of two engines dies while new requests are queued.
 
-    Each place that comes free would go to a new request, and the drafts
-    that staff watch would stand still until they fail.
+    If freed capacity went to new requests first, the interrupted streams
+    would stall until they fail.
     """
     world = generations.World(2)
     world.report()
--- a/tests/streams/test_stream_resumption.py
+++ b/tests/streams/test_stream_resumption.py
@@ -1,4 +1,4 @@
-"""A caller comes back through another instance with its cursor."""
+"""Callers resume streams with their cursor through another instance."""
 
 import dataclasses
 
@@ -26,7 +26,7 @@
 
 
 def test_same_attempt_continues_after_its_instance_died():
-    """The instance dies; the engine has not noticed and goes on."""
+    """The instance dies and the engine keeps generating."""
     world, caller = start_stream()
     engine = world.engine_of(caller)
     world.replace_instance('i1')
@@ -38,7 +38,7 @@
 
 
 def test_stream_resumes_after_engine_and_instance_die_together():
-    """A rack goes. What the caller holds is all that is left of its draft."""
+    """Only the caller still holds the tokens of the answer."""
     world, caller = start_stream()
     world.engine_of(caller).kill()
     world.replace_instance('i1')
@@ -48,9 +48,9 @@
 
 
 def test_restarted_engine_is_not_asked_for_an_older_attempt():
-    """The engine died and is back under its name; the report tells so.
+    """The engine has restarted under its name, as its report shows.
 
-    To wait for an answer about the old attempt would be time lost.
+    Asking it for the old attempt would only cost time.
     """
     world, caller = start_stream()
     engine = world.engine_of(caller)
@@ -65,10 +65,10 @@
 
 
 def test_outdated_report_does_not_replace_a_running_attempt():
-    """The instance last heard of the engine before that restarted.
+    """The instance's last report of the engine precedes its restart.
 
-    It does not watch the engine. To believe the old report would read the
-    prompt again for nothing.
+    The instance does not watch the engine. If it relied on the old report,
+    the prompt would be evaluated again for nothing.
     """
     world = generations.World()
     world.report()
@@ -90,9 +90,9 @@
 
 
 def test_older_exchange_does_not_cancel_the_attempt_of_the_newer_one():
-    """The caller is back before its instance notices the old connection.
+    """The caller resumes before the loss of its old connection is detected.
 
-    When it does, it must not stop the attempt that is read again.
+    Ending the old exchange must not cancel the attempt that the new one reads.
     """
     world, caller = start_stream()
     older = caller.exchange
@@ -105,9 +105,9 @@
 
 
 def test_generation_stays_on_its_version_at_another_instance():
-    """The pool moves to another version while the caller is away.
+    """The pool moves to another version while the caller is disconnected.
 
-    One engine still runs the old one, and the draft must end on it.
+    One engine still runs the old version, and the answer must end on it.
     """
     world, caller = start_stream()
     world.engine_of(caller).kill()
@@ -128,7 +128,7 @@
 
 
 def test_tokens_of_another_answer_are_refused():
-    """A client's store mixes up two drafts, and it sends the wrong one."""
+    """A client sends the tokens of another answer with its cursor."""
     world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.tokens[0] = 'other'
@@ -137,7 +137,7 @@
 
 
 def test_another_prompt_is_refused():
-    """A client comes back with a longer conversation but the old cursor.
+    """A client resumes with a longer conversation but the old cursor.
 
     It would get the start of one answer and the end of another.
     """
@@ -149,7 +149,7 @@
 
 
 def test_cursor_of_another_request_is_refused():
-    """Event ids of two drafts are swapped on the way."""
+    """A client sends the cursor of another of its requests."""
     world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.request = identity.RequestId('teratak', 'another')
@@ -158,9 +158,9 @@
 
 
 def test_engine_deaths_are_kept_in_the_cursor():
-    """A request that killed engines comes back elsewhere.
+    """A request that crashed engines is resumed at another instance.
 
-    Its count goes on there; from nought it could kill as many again.
+    Its count continues there; from zero it could crash as many again.
     """
     world, caller = start_stream()
     world.engine_of(caller).kill()
@@ -179,9 +179,9 @@
 def test_request_stopped_for_engine_deaths_is_not_started_again(
     with_old_cursor,
 ):
-    """A request was stopped for the engines that it killed.
+    """A request was stopped because it crashed too many engines.
 
-    Its caller tries again, with an older cursor or as if for the first time.
+    Its caller retries with an older cursor, or without one.
     """
     world, caller = start_stream()
     instance = world.instances['i2']
@@ -196,9 +196,10 @@
 
 
 def test_account_over_its_resume_budget_gets_retry_after():
-    """Callers of one account come back in a loop.
+    """A caller of one account resumes in a loop.
 
-    Each time an engine reads a prompt again, which all accounts pay for.
+    Each time an engine evaluates the prompt again, at the expense of all
+    accounts.
     """
     world = generations.World(resume_budget=2)
     caller = world.submit('draft', 'i1')
@@ -215,7 +216,7 @@
 
 @given(st.integers(1, 200), st.floats(0.0, 1e6))
 def test_caller_that_waits_for_retry_after_may_resume(per_minute, now):
-    """A caller comes back exactly when Retry-After says."""
+    """A caller resumes exactly when Retry-After says."""
     found = replay_budgets.ReplayBudgets()
     for _ in range(per_minute):
         assert not found.take_replay('teratak', per_minute, now)
