--- a/src/greengagelb/coordination/calls/claims.py
+++ b/src/greengagelb/coordination/calls/claims.py
@@ -1,18 +1,18 @@
-"""Claims requests that may not be repeated, before they are dispatched.
+"""Claims non-idempotent requests before they are dispatched.
 
-Instances share nothing but the platform's table service. Whoever gets the
-row of (client account, idempotency key) written, on top of the version it
-expected, is the holder, and only the holder dispatches. Nothing lapses: a
-holder that was paused is still the only one who may, and one that is gone
-leaves its row taken for good, since nobody can tell how far it came.
+Instances share only the platform's table service. The holder of a claim is
+whoever wrote the row of (client account, idempotency key) by a conditional
+write on the version it expected; only the holder dispatches. Claims do not
+expire: a paused holder remains the only one that may dispatch, and a dead
+holder's row stays taken for good, since its progress can't be known.
 
-What the caller is told rests on who holds the row:
+The answer to the caller depends on who holds the row:
 
-* the holder that did not dispatch says "not run" and gives the row up, so
-  that a later retry may take it over;
-* everybody else says "outcome unknown", for a twin of the request may run
-  or have run elsewhere. The one exception is a request that its caller has
-  marked as the first send of its key: no twin of it was sent before.
+* a holder that did not dispatch answers "not run" and releases the row, so
+  that a later retry may claim it;
+* any other instance answers "outcome unknown", because the same request may
+  be running or have run elsewhere. The exception is a request marked by its
+  caller as the first send of its key, which can't have run before.
 """
 
 from collections.abc import Iterable
@@ -33,23 +33,24 @@
 
 DEADLINE_TIMER = 'claim-deadline'
 SETTLE_TIMER = 'claim-settle'
-MOST_CLAIM_TRIES = 2
-SETTLE_RETRY_SECONDS = 0.5
-SETTLE_PATIENCE_SECONDS = 30.0
-MOST_KEPT_BODY_BYTES = 16 << 10
-STREAM_STATUS = 200
+MAX_CLAIM_TRIES = 2
+SETTLE_RETRY_DELAY_SECONDS = 0.5
+SETTLE_TIMEOUT_SECONDS = 30.0
+MAX_KEPT_BODY_BYTES = 16 << 10
+GENERATION_STATUS = 200
 
 Claimable = requests.CallRequest | requests.GenerationRequest
 
 
 @dataclasses.dataclass(slots=True)
 class Claim:
-    """One holder's part in a claim.
+    """One holder's state of a claim.
 
-    ``record`` is what the row should say next and ``version`` the version
-    that it is to be written on. ``writing`` is the write under way; there is
-    never more than one. ``may_be_written`` is false as long as it is certain
-    that the table service has nothing of this holder.
+    ``record`` is the next content of the row and ``version`` the row version
+    that the write expects. ``pending_write`` is the record being written;
+    there is at most one write at a time. ``may_be_written`` is false as long
+    as the table service certainly has no write of this holder.
+    ``settle_deadline`` (monotonic seconds) ends the retries of settling.
     """
 
     request: Claimable
@@ -57,81 +58,81 @@
     record: claims.ClaimRecord
     phase: claims.ClaimPhase = claims.ClaimPhase.CLAIMING
     version: int = 0
-    writing: claims.ClaimRecord | None = None
+    pending_write: claims.ClaimRecord | None = None
     tries: int = 0
     may_be_written: bool = False
     was_held: bool = False
-    settle_by: float = 0.0
+    settle_deadline: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimStep:
-    """What an event about a claim leads to.
+    """The outcome of an event about a claim.
 
-    ``granted`` is the request that its holder may dispatch now, once.
+    ``granted_request`` is the request that the holder may now dispatch once.
     """
 
     actions: list[actions.Action]
-    granted: Claimable | None = None
+    granted_request: Claimable | None = None
 
 
 def claim_key(request: identity.RequestId) -> str:
     """Return the key of a request's claim row.
 
-    Both parts are hashed apart: joined as they are, ``a/b`` and ``c`` would
-    share a row with ``a`` and ``b/c``, and one account's charge would keep
-    another account's from running.
+    Both parts are hashed separately. If they were just joined, ``a/b`` and
+    ``c`` would share a row with ``a`` and ``b/c``, and one account's charge
+    would prevent another account's from running.
     """
-    return f'{digest(request.account)}.{digest(request.request)}'
+    return f'{text_digest(request.account)}.{text_digest(request.request)}'
 
 
-def digest(text: str) -> str:
-    """Return a short digest of a text of any length."""
-    raw = text.encode('utf-8', 'surrogatepass')
-    return hashlib.blake2b(raw, digest_size=16).hexdigest()
+def text_digest(text: str) -> str:
+    """Return a 128 bit digest of a text, in hexadecimal."""
+    encoded = text.encode('utf-8', 'surrogatepass')
+    return hashlib.blake2b(encoded, digest_size=16).hexdigest()
 
 
-def content_of(request: Claimable) -> str:
-    """Return the digest of what a request asks for."""
+def content_digest(request: Claimable) -> str:
+    """Return the digest of a request's operation and content."""
     return fingerprints.digest_parts(fingerprints.content_parts(request))
 
 
-class ClaimKeeper:
-    """All claims of this instance that are not settled yet.
+class ClaimSupervisor:
+    """Holds all claims of this instance that are not settled yet.
 
-    Invariant: a holder has at most one write under way, is granted at most
-    once, and never after the final answer of its exchange.
+    Invariant: a holder has at most one write at a time. It is granted its
+    request at most once, and never after the final answer of its exchange.
     """
 
     def __init__(self, incarnation: str, rng: random.Random) -> None:
         self.incarnation = incarnation
-        self.advice = retry_budget.RetryAdvice(rng)
-        self.claims: dict[str, Claim] = {}
-        self.holders: dict[int, str] = {}
-        self.counter = itertools.count(1)
-
-    # -- claiming -----------------------------------------------------------
-
-    def begin(self, request: Claimable) -> list[actions.Action]:
-        """Try to become the holder of a request's row."""
-        holder = f'{self.incarnation}.{next(self.counter)}'
+        self.retry_advice = retry_budget.RetryAdvice(rng)
+        self.claim_by_holder: dict[str, Claim] = {}
+        self.holder_by_exchange: dict[int, str] = {}
+        self.holder_numbers = itertools.count(1)
+
+    def start_claim(self, request: Claimable) -> list[actions.Action]:
+        """Write the first claim on a request's row."""
+        holder = f'{self.incarnation}.{next(self.holder_numbers)}'
         record = claims.ClaimRecord(
-            holder, claims.ClaimStage.CLAIMED, content_of(request)
+            holder, claims.ClaimStage.CLAIMED, content_digest(request)
         )
         claim = Claim(request, claim_key(request.request), record)
-        self.claims[holder] = claim
-        self.holders[request.exchange] = holder
+        self.claim_by_holder[holder] = claim
+        self.holder_by_exchange[request.exchange] = holder
         timer = f'{DEADLINE_TIMER}:{request.exchange}'
         return [
             actions.SetTimer(timer, request.deadline),
-            self.write(claim),
+            self.write_claim(claim),
         ]
 
-    def write(self, claim: Claim) -> actions.WriteClaim:
-        """Return the write of what the row should say next."""
-        if claim.writing is not None:
-            raise errors.InvariantViolated('two writes of one claim at once')
-        claim.writing = claim.record
+    def write_claim(self, claim: Claim) -> actions.WriteClaim:
+        """Return the write of the claim's record; mark it as pending."""
+        if claim.pending_write is not None:
+            raise errors.InvariantViolated(
+                'a claim has two writes at the same time'
+            )
+        claim.pending_write = claim.record
         return actions.WriteClaim(
             claim.record.holder,
             claim.key,
@@ -140,312 +141,344 @@
             claim.request.request.account,
         )
 
-    def answered(
+    def handle_write_result(
         self,
         event: events.ClaimWritten
         | events.ClaimConflicted
         | events.ClaimWriteFailed,
         now: float,
     ) -> ClaimStep:
-        """Handle the answer to a write, or that there is none."""
-        claim = self.claims.get(event.holder)
-        if claim is None or claim.writing is None:
+        """Handle the result of a write, or its failure."""
+        claim = self.claim_by_holder.get(event.holder)
+        if claim is None or claim.pending_write is None:
             return ClaimStep([])
-        written, claim.writing = claim.writing, None
+        written_record, claim.pending_write = claim.pending_write, None
         match event:
             case events.ClaimWritten(version=version):
-                return self.owned(claim, version, written, now)
+                return self.handle_owned_row(
+                    claim, version, written_record, now
+                )
             case events.ClaimConflicted(row=row):
                 if row.record.holder == claim.record.holder:
-                    return self.owned(claim, row.version, row.record, now)
-                return ClaimStep(self.lost(claim, row, now))
+                    return self.handle_owned_row(
+                        claim, row.version, row.record, now
+                    )
+                return ClaimStep(self.handle_foreign_row(claim, row, now))
             case events.ClaimWriteFailed(handed_over=handed_over):
-                return ClaimStep(self.write_failed(claim, handed_over, now))
+                return ClaimStep(
+                    self.handle_write_failure(claim, handed_over, now)
+                )
 
-    def owned(
+    def handle_owned_row(
         self,
         claim: Claim,
         version: int,
-        found: claims.ClaimRecord,
+        found_record: claims.ClaimRecord,
         now: float,
     ) -> ClaimStep:
-        """Go on as the owner of a row that says ``found``."""
-        self.advice.record_success()
+        """Continue as the owner of a row that holds ``found_record``."""
+        self.retry_advice.record_success()
         claim.version = version
         claim.may_be_written = True
         match claim.phase:
             case claims.ClaimPhase.HELD:
-                raise errors.InvariantViolated('a held claim was granted')
+                raise errors.InvariantViolated(
+                    'a held claim was granted again'
+                )
             case claims.ClaimPhase.SETTLING:
-                if found.stage is claim.record.stage:
-                    return ClaimStep(self.forget(claim))
-                return ClaimStep([self.write(claim)])
+                if found_record.stage is claim.record.stage:
+                    return ClaimStep(self.forget_claim(claim))
+                return ClaimStep([self.write_claim(claim)])
         if now >= claim.request.deadline:
-            # A holder that was paused reads the answer to its write before
-            # its own deadline timer fires. Nobody waits for the call then.
+            # After a pause, the result of the write may be read before the
+            # deadline timer fires. The caller no longer waits then.
             return ClaimStep(
-                self.give_up(claim, 'deadline-passed', requests.Ran.NO, now)
+                self.give_up_claim(
+                    claim, 'deadline-passed', requests.Ran.NO, now
+                )
             )
         claim.phase = claims.ClaimPhase.HELD
         claim.was_held = True
         timer = f'{DEADLINE_TIMER}:{claim.request.exchange}'
         return ClaimStep([actions.ClearTimer(timer)], claim.request)
 
-    def lost(
+    def handle_foreign_row(
         self, claim: Claim, row: claims.ClaimRow, now: float
     ) -> list[actions.Action]:
-        """Give the answer of the row's holder, as far as it is known.
+        """Answer from a row that another holder owns.
 
-        While settling there is nothing left to do: versions only grow, so no
-        delayed write of this holder can take effect on this row any more.
+        While settling nothing is left to do: versions only grow, so no
+        delayed write of this holder can take effect on the row any more.
         """
-        self.advice.record_success()
+        self.retry_advice.record_success()
         if claim.phase is claims.ClaimPhase.SETTLING:
-            return self.overwritten(claim, row) + self.forget(claim)
+            return self.report_overwritten_claim(
+                claim, row
+            ) + self.forget_claim(claim)
         record = row.record
         exchange = claim.request.exchange
         if record.stage is claims.ClaimStage.RELEASED:
             claim.version = row.version
-            return [self.write(claim)]
+            return [self.write_claim(claim)]
         if record.content != claim.record.content:
-            return self.refuse(
+            return self.refuse_request(
                 claim, 'idempotency-key-reused', requests.Ran.UNKNOWN, None
             )
         if record.stage is claims.ClaimStage.CLAIMED:
-            wait = self.advice.add_jitter(retry_budget.BASE_BACKOFF_SECONDS)
-            return self.refuse(
-                claim, 'twin-outcome-unknown', requests.Ran.UNKNOWN, wait
+            wait_seconds = self.retry_advice.add_jitter(
+                retry_budget.BASE_BACKOFF_SECONDS
+            )
+            return self.refuse_request(
+                claim,
+                'twin-outcome-unknown',
+                requests.Ran.UNKNOWN,
+                wait_seconds,
             )
         if not record.body_kept:
-            return self.refuse(
+            return self.refuse_request(
                 claim, 'answer-not-kept', requests.Ran.YES, None
             )
         answer = actions.SendAnswer(exchange, record.status, record.body)
-        return [answer, *self.forget(claim)]
+        return [answer, *self.forget_claim(claim)]
 
-    def overwritten(
+    def report_overwritten_claim(
         self, claim: Claim, row: claims.ClaimRow
     ) -> list[actions.Action]:
-        """Report a row that was taken from a holder that kept it.
+        """Record that the row of a held claim has another holder.
 
-        Nothing in here does that. It happens when rows are deleted too early
-        or the store is restored from an old copy, and shows only here: the
-        request may then have run twice.
+        No instance overwrites a held row. It happens when rows are deleted
+        too early or the store is restored from an old copy, and can be
+        detected only here: the request may then have run twice.
         """
         if not claim.was_held:
             return []
         return [self.record(claim, 'claim-overwritten', row.record.holder)]
 
-    def write_failed(
+    def handle_write_failure(
         self, claim: Claim, handed_over: bool, now: float
     ) -> list[actions.Action]:
-        """Write again, or give up at once where that promises nothing.
+        """Retry the write, or give up if a retry can't help.
 
-        The lost write may take effect at any time. Writing the same record
-        on the same version again is harmless, and its answer tells whose the
-        row is.
+        The failed write may still take effect at any time. Writing the same
+        record on the same version again is harmless, and its result shows
+        who owns the row.
         """
         claim.may_be_written = claim.may_be_written or handed_over
         if claim.phase is claims.ClaimPhase.SETTLING:
-            return self.settle_later(claim, now)
+            return self.retry_settlement(claim, now)
         claim.tries += 1
-        in_time = now < claim.request.deadline
-        if handed_over and in_time and claim.tries < MOST_CLAIM_TRIES:
-            return [self.write(claim)]
-        return self.give_up(
-            claim, 'platform-unavailable', unproved(claim.request), now
+        is_in_time = now < claim.request.deadline
+        if handed_over and is_in_time and claim.tries < MAX_CLAIM_TRIES:
+            return [self.write_claim(claim)]
+        return self.give_up_claim(
+            claim,
+            'platform-unavailable',
+            unclaimed_outcome(claim.request),
+            now,
         )
 
-    def timer_fired(
-        self, kind: str, rest: str, now: float
+    def handle_timer(
+        self, kind: str, timer_key: str, now: float
     ) -> list[actions.Action]:
-        """Handle one of this object's timers."""
+        """Handle a deadline or settle timer of a claim."""
         if kind == SETTLE_TIMER:
-            claim = self.claims.get(rest)
-            if claim is None or claim.writing is not None:
+            claim = self.claim_by_holder.get(timer_key)
+            if claim is None or claim.pending_write is not None:
                 return []
-            return [self.write(claim)]
-        claim = self.claiming(int(rest))
+            return [self.write_claim(claim)]
+        claim = self.find_pending_claim(int(timer_key))
         if claim is None:
             return []
-        return self.give_up(
-            claim, 'deadline-passed', unproved(claim.request), now
+        return self.give_up_claim(
+            claim, 'deadline-passed', unclaimed_outcome(claim.request), now
         )
 
-    def claiming(self, exchange: int) -> Claim | None:
-        """Return the claim that an exchange waits for, if any."""
-        claim = self.claims.get(self.holders.get(exchange, ''))
+    def find_pending_claim(self, exchange: int) -> Claim | None:
+        """Return the claim whose first write an exchange awaits, if any."""
+        claim = self.claim_by_holder.get(
+            self.holder_by_exchange.get(exchange, '')
+        )
         if claim is None or claim.phase is not claims.ClaimPhase.CLAIMING:
             return None
         return claim
 
-    def caller_gone(self, exchange: int, now: float) -> list[actions.Action]:
-        """Give up a claim that nobody waits for."""
-        claim = self.claiming(exchange)
+    def handle_caller_gone(
+        self, exchange: int, now: float
+    ) -> list[actions.Action]:
+        """Release the pending claim of a caller that has disconnected."""
+        claim = self.find_pending_claim(exchange)
         if claim is None:
             return []
-        return self.release(claim, now)
+        return self.release_claim(claim, now)
 
-    # -- ends ---------------------------------------------------------------
-
-    def served(
-        self, done: Iterable[actions.Action], now: float
+    def settle_answered_claims(
+        self, planned: Iterable[actions.Action], now: float
     ) -> list[actions.Action]:
-        """Settle the claims whose exchanges get their final answer here.
+        """Settle the claims of exchanges whose final answer is planned.
 
-        A "not run" comes from a holder that did not dispatch, so its row is
-        given up. After any other failure the row stays taken, unless the
-        outcome comes in after all: the request may run even now, and a retry
+        "Not run" comes from a holder that did not dispatch, so its row is
+        released. After any other failure the row stays taken unless the
+        outcome arrives later: the request may still be running, and a retry
         must not run it again.
         """
         settled: list[actions.Action] = []
-        for action in done:
+        for action in planned:
             match action:
                 case actions.SendAnswer(exchange, status, body):
-                    settled += self.finish(exchange, status, body, now)
+                    settled += self.settle_with_answer(
+                        exchange, status, body, now
+                    )
                 case actions.SendEnd(exchange):
-                    settled += self.finish(exchange, STREAM_STATUS, None, now)
+                    settled += self.settle_with_answer(
+                        exchange, GENERATION_STATUS, None, now
+                    )
                 case actions.SendFailure(exchange, failure):
-                    settled += self.failed(exchange, failure, now)
+                    settled += self.handle_failure(exchange, failure, now)
         return settled
 
-    def held(self, exchange: int) -> Claim | None:
-        """Return the claim under which an exchange is served, if any."""
-        claim = self.claims.get(self.holders.get(exchange, ''))
+    def find_held_claim(self, exchange: int) -> Claim | None:
+        """Return the held claim of an exchange, if any."""
+        claim = self.claim_by_holder.get(
+            self.holder_by_exchange.get(exchange, '')
+        )
         if claim is None or claim.phase is not claims.ClaimPhase.HELD:
             return None
         return claim
 
-    def finish(
+    def settle_with_answer(
         self, exchange: int, status: int, body: bytes | None, now: float
     ) -> list[actions.Action]:
-        """Keep the answer for a retry that comes later."""
-        claim = self.held(exchange)
+        """Store the answer in the row, for later retries."""
+        claim = self.find_held_claim(exchange)
         if claim is None:
             return []
-        kept = body is not None and len(body) <= MOST_KEPT_BODY_BYTES
+        is_kept = body is not None and len(body) <= MAX_KEPT_BODY_BYTES
         record = dataclasses.replace(
             claim.record,
             stage=claims.ClaimStage.DONE,
             status=status,
-            body=body if kept and body is not None else b'',
-            body_kept=kept,
+            body=body if is_kept and body is not None else b'',
+            body_kept=is_kept,
         )
-        return self.settle(claim, record, now)
+        return self.settle_claim(claim, record, now)
 
-    def failed(
+    def handle_failure(
         self, exchange: int, failure: requests.Failure, now: float
     ) -> list[actions.Action]:
-        """Release the row of a request that provably did not run."""
-        claim = self.held(exchange)
+        """Release the row if the request provably did not run."""
+        claim = self.find_held_claim(exchange)
         if claim is None:
             return []
         if failure.ran is requests.Ran.NO:
-            return self.release(claim, now)
+            return self.release_claim(claim, now)
         return []
 
-    def proved_unrun(self, exchange: int, now: float) -> list[actions.Action]:
-        """Release the row of a request that turned out not to have run."""
-        claim = self.held(exchange)
-        return self.release(claim, now) if claim is not None else []
+    def release_unrun_request(
+        self, exchange: int, now: float
+    ) -> list[actions.Action]:
+        """Release the row of a request now known not to have run."""
+        claim = self.find_held_claim(exchange)
+        return self.release_claim(claim, now) if claim is not None else []
 
-    def leave_taken(self, exchange: int) -> None:
-        """Forget a claim whose request ended without a final answer."""
-        claim = self.held(exchange)
+    def leave_row_taken(self, exchange: int) -> None:
+        """Remove an unanswered request's claim; its row stays taken."""
+        claim = self.find_held_claim(exchange)
         if claim is not None:
-            self.forget(claim)
+            self.forget_claim(claim)
 
-    def give_up(
+    def give_up_claim(
         self,
         claim: Claim,
         code: str,
         ran: requests.Ran,
         now: float,
     ) -> list[actions.Action]:
-        """Answer a caller whose request this holder won't dispatch."""
-        wait = self.advice.record_failure()
-        failure = self.failure(claim, code, ran, wait)
+        """Fail a request that this holder won't dispatch; release its row."""
+        wait_seconds = self.retry_advice.record_failure()
+        failure = self.build_failure(claim, code, ran, wait_seconds)
         answer = actions.SendFailure(claim.request.exchange, failure)
         return [
             self.record(claim, 'claim-given-up', code),
             answer,
-            *self.release(claim, now),
+            *self.release_claim(claim, now),
         ]
 
-    def refuse(
+    def refuse_request(
         self,
         claim: Claim,
         code: str,
         ran: requests.Ran,
-        wait: float | None,
+        wait_seconds: float | None,
     ) -> list[actions.Action]:
-        """Answer a caller whose row belongs to another holder."""
-        failure = self.failure(claim, code, ran, wait)
+        """Fail a request whose row belongs to another holder."""
+        failure = self.build_failure(claim, code, ran, wait_seconds)
         return [
             self.record(claim, 'claim-taken', code),
             actions.SendFailure(claim.request.exchange, failure),
-            *self.forget(claim),
+            *self.forget_claim(claim),
         ]
 
-    def failure(
+    def build_failure(
         self,
         claim: Claim,
         code: str,
         ran: requests.Ran,
-        wait: float | None,
+        wait_seconds: float | None,
     ) -> requests.Failure:
-        """Return a final answer about a claim."""
+        """Return a final failure for a claim's request."""
         detail = f'service {claim.request.service}'
-        return requests.Failure(code, ran, detail, wait)
+        return requests.Failure(code, ran, detail, wait_seconds)
 
-    # -- settling -----------------------------------------------------------
-
-    def release(self, claim: Claim, now: float) -> list[actions.Action]:
-        """Give the row up: this holder never dispatches from here on."""
+    def release_claim(self, claim: Claim, now: float) -> list[actions.Action]:
+        """Release the row; this holder never dispatches after this."""
         record = dataclasses.replace(
             claim.record, stage=claims.ClaimStage.RELEASED
         )
-        return self.settle(claim, record, now)
+        return self.settle_claim(claim, record, now)
 
-    def settle(
+    def settle_claim(
         self, claim: Claim, record: claims.ClaimRecord, now: float
     ) -> list[actions.Action]:
-        """Have the row say how the request ended.
+        """Write the outcome of the request to the row.
 
-        A write of the claim may still be on its way, and would leave the row
-        taken by a holder that has given up. The settling write goes on top
-        of the same version: whichever of the two comes first, the other one
-        fails, and its conflict shows the row.
+        A write of the claim may still be in flight and would leave the row
+        taken by a holder that has given up. The settling write expects the
+        same version: whichever of the two arrives first, the other one
+        fails, and its conflict returns the row.
         """
         exchange = claim.request.exchange
-        self.holders.pop(exchange, None)
+        self.holder_by_exchange.pop(exchange, None)
         timer = actions.ClearTimer(f'{DEADLINE_TIMER}:{exchange}')
         claim.phase = claims.ClaimPhase.SETTLING
         claim.record = record
-        claim.settle_by = now + SETTLE_PATIENCE_SECONDS
-        if claim.writing is not None:
+        claim.settle_deadline = now + SETTLE_TIMEOUT_SECONDS
+        if claim.pending_write is not None:
             return [timer]
         if not claim.may_be_written:
-            return [timer, *self.forget(claim)]
-        return [timer, self.write(claim)]
+            return [timer, *self.forget_claim(claim)]
+        return [timer, self.write_claim(claim)]
 
-    def settle_later(self, claim: Claim, now: float) -> list[actions.Action]:
-        """Write again after a while, unless it has taken too long."""
+    def retry_settlement(
+        self, claim: Claim, now: float
+    ) -> list[actions.Action]:
+        """Schedule another settling write, or give up at its deadline."""
         if not claim.may_be_written:
-            return self.forget(claim)
-        if now >= claim.settle_by:
-            left = self.record(claim, 'claim-left-taken', 'store away')
-            return [left, *self.forget(claim)]
-        wait = self.advice.add_jitter(SETTLE_RETRY_SECONDS)
+            return self.forget_claim(claim)
+        if now >= claim.settle_deadline:
+            left_taken = self.record(
+                claim, 'claim-left-taken', 'store unavailable'
+            )
+            return [left_taken, *self.forget_claim(claim)]
+        wait_seconds = self.retry_advice.add_jitter(SETTLE_RETRY_DELAY_SECONDS)
         name = f'{SETTLE_TIMER}:{claim.record.holder}'
-        return [actions.SetTimer(name, now + wait)]
+        return [actions.SetTimer(name, now + wait_seconds)]
 
-    def forget(self, claim: Claim) -> list[actions.Action]:
-        """Drop a claim that needs nothing more from this holder."""
+    def forget_claim(self, claim: Claim) -> list[actions.Action]:
+        """Remove a claim that this holder is done with, and its timers."""
         exchange = claim.request.exchange
-        self.claims.pop(claim.record.holder, None)
-        if self.holders.get(exchange) == claim.record.holder:
-            del self.holders[exchange]
+        self.claim_by_holder.pop(claim.record.holder, None)
+        if self.holder_by_exchange.get(exchange) == claim.record.holder:
+            del self.holder_by_exchange[exchange]
         return [
             actions.ClearTimer(f'{DEADLINE_TIMER}:{exchange}'),
             actions.ClearTimer(f'{SETTLE_TIMER}:{claim.record.holder}'),
@@ -461,25 +494,25 @@
         )
 
 
-def unproved(request: Claimable) -> requests.Ran:
-    """Return what may be said of a request whose row nobody here holds.
+def unclaimed_outcome(request: Claimable) -> requests.Ran:
+    """Return what is known of a request whose claim is not held here.
 
-    This instance has not run it. But the same request may have come in
-    before, at an instance that dispatched it and died: "not run" would then
-    make the owner of a cottage book, and pay, a second time.
+    This instance has not run it, but an earlier send of it may have been
+    dispatched by an instance that died. "Not run" would then lead the caller
+    to repeat it, and for instance pay for a booking twice.
     """
     if request.has_idempotency_key and not request.first_send:
         return requests.Ran.UNKNOWN
     return requests.Ran.NO
 
 
-def truthful(
+def with_known_outcome(
     failure: requests.Failure,
     request: Claimable,
     service: configuration_state.Service | None,
 ) -> requests.Failure:
-    """Return a refusal that says "not run" only where that is known."""
-    may_repeat = service is None or service.idempotent
-    if may_repeat or failure.ran is not requests.Ran.NO:
+    """Return a failure that says "not run" only if that is known."""
+    is_repeatable = service is None or service.idempotent
+    if is_repeatable or failure.ran is not requests.Ran.NO:
         return failure
-    return dataclasses.replace(failure, ran=unproved(request))
+    return dataclasses.replace(failure, ran=unclaimed_outcome(request))
--- a/src/greengagelb/coordination/streams/endings.py
+++ b/src/greengagelb/coordination/streams/endings.py
@@ -1,4 +1,4 @@
-"""How a stream ends: whole, or with its final answer, and nothing left."""
+"""Completes or fails streams and releases what they hold."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import timers
@@ -10,7 +10,7 @@
 
 RECOVERY_TIMER = 'recovery'
 DEADLINE_TIMER = 'deadline'
-ALL_TIMERS = (
+STREAM_TIMERS = (
     stalls.STALL_TIMER,
     stalls.SPARE_TIMER,
     RECOVERY_TIMER,
@@ -19,51 +19,53 @@
 
 
 class StreamEndings:
-    """Ends streams and gives back what they had.
+    """Ends streams and releases their attempts and timers.
 
-    ``streams`` holds the running streams by exchange; ``recovering`` those
-    without an attempt, in the order in which they lost it.
+    ``streams`` holds the running streams by exchange;
+    ``recovering_streams`` those without an attempt, in the order in which
+    they lost it.
     """
 
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        table: attempts.AttemptTable,
+        attempt_table: attempts.AttemptTable,
     ) -> None:
         self.directory = directory
-        self.table = table
+        self.attempt_table = attempt_table
         self.streams: dict[int, stream_state.Stream] = {}
-        self.recovering: dict[int, stream_state.Stream] = {}
+        self.recovering_streams: dict[int, stream_state.Stream] = {}
 
-    def end(
+    def complete_stream(
         self, stream: stream_state.Stream, reason: str
     ) -> list[actions.Action]:
-        """Complete the answer."""
-        sent = actions.SendEnd(
+        """Tell the caller that the answer is complete; close the stream."""
+        end = actions.SendEnd(
             stream.request.exchange,
             stream.generation,
             stream.position,
             reason,
         )
-        ended = stream.attempt
-        if ended is not None:
-            self.table.release(stream, ended)
+        last_attempt = stream.attempt
+        if last_attempt is not None:
+            self.attempt_table.remove_attempt(stream, last_attempt)
         return [
-            attempts.record(stream, ended, 'stream-ended', reason),
-            sent,
-            *self.close(stream),
+            attempts.record(stream, last_attempt, 'stream-ended', reason),
+            end,
+            *self.close_stream(stream),
         ]
 
-    def fail(
+    def fail_stream(
         self,
         stream: stream_state.Stream,
         code: str,
         retry_after: float | None,
     ) -> list[actions.Action]:
-        """Give the caller its final answer.
+        """Send the caller a failure and close the stream.
 
-        The time to come back is jittered: all streams of a lost pool fail
-        at one moment, and would all return at one moment.
+        ``retry_after`` (seconds) is jittered up to twofold: all streams of a
+        lost pool fail at the same moment, and their callers would all retry
+        at the same moment.
         """
         if retry_after is not None:
             retry_after *= self.directory.rng.uniform(1.0, 2.0)
@@ -76,20 +78,24 @@
         return [
             attempts.record(stream, stream.attempt, 'stream-failed', code),
             actions.SendFailure(stream.request.exchange, failure),
-            *self.close(stream),
+            *self.close_stream(stream),
         ]
 
-    def close(self, stream: stream_state.Stream) -> list[actions.Action]:
-        """Forget a stream, and stop what still runs for it."""
+    def close_stream(
+        self, stream: stream_state.Stream
+    ) -> list[actions.Action]:
+        """Remove a stream, its attempts and its timers."""
         exchange = stream.request.exchange
-        done = self.table.drop_all(stream)
+        planned = self.attempt_table.cancel_all_attempts(stream)
         self.streams.pop(exchange, None)
-        self.recovering.pop(exchange, None)
-        done += [attempts.clear_timer(kind, stream) for kind in ALL_TIMERS]
-        return done
+        self.recovering_streams.pop(exchange, None)
+        planned += [
+            attempts.clear_timer(kind, stream) for kind in STREAM_TIMERS
+        ]
+        return planned
 
 
 def deadline_timer(request: requests.GenerationRequest) -> actions.SetTimer:
-    """Return the timer of the caller's own deadline."""
+    """Return the timer of the caller's deadline."""
     timer = timers.timer_name(DEADLINE_TIMER, request.exchange)
     return actions.SetTimer(timer, request.deadline)
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -1,12 +1,11 @@
-"""What is done for a stream whose attempt is lost, cheapest step first.
+"""Recovers streams that lost their attempt, trying the cheapest step first.
 
-1. Attach to the same attempt over a new connection, since the old one may
-   merely have gone silent and the engine still has its cache.
-2. Continue on another engine of the same model version and adapter, given
-   the prompt and the exact tokens so far.
-3. Start a new generation, told to the caller as a restart, if the service is
-   idempotent and no engine of the version can be had; else give the final
-   answer.
+1. Attach to the same attempt over a new connection, since only the connection
+   may be lost and the engine still has its cache.
+2. Continue on another engine of the same model version and adapter, with the
+   prompt and the exact tokens so far.
+3. If no engine of the version is available: start a new generation, announced
+   to the caller as a restart, if the service is idempotent; otherwise fail.
 """
 
 from greengagelb.coordination import actions
@@ -22,45 +21,47 @@
 from greengagelb.state import streams as stream_state
 from greengagelb.state import upstreams as upstream_state
 
-RECOVERY_RETRY_SECONDS = 0.05
-RECOVERY_PATIENCE_SECONDS = 1.5
-ATTACH_AGAIN_SECONDS = 1.0
-MOST_GENERATIONS = 4
+RECOVERY_RETRY_DELAY_SECONDS = 0.05
+RECOVERY_TIMEOUT_SECONDS = 1.5
+MIN_ATTACH_INTERVAL_SECONDS = 1.0
+MAX_GENERATIONS = 4
 RETRY_AFTER_SECONDS = 2.0
 
 
-class RecoveryLadder(endings.StreamEndings):
-    """Replaces lost attempts, and gives the final answer where none helps."""
+class StreamRecovery(endings.StreamEndings):
+    """Replaces lost attempts; fails streams that can't be recovered."""
 
     def __init__(
         self,
         directory: routing.UpstreamDirectory,
-        table: attempts.AttemptTable,
+        attempt_table: attempts.AttemptTable,
         guard: crash_guard.CrashGuard,
     ) -> None:
-        super().__init__(directory, table)
+        super().__init__(directory, attempt_table)
         self.guard = guard
         self.configuration = configuration_state.Configuration()
-        self.budgets = replay_budgets.ReplayBudgets()
-        self.exhausted = replay_budgets.ExhaustedRequests()
+        self.replay_budgets = replay_budgets.ReplayBudgets()
+        self.exhausted_requests = replay_budgets.ExhaustedRequests()
 
-    # -- first step ---------------------------------------------------------
-
-    def lost(
+    def handle_lost_contact(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Take the next step after a loss of contact with an attempt."""
+        """Re-attach to a silent attempt, or replace it if that was tried."""
         stream.may_have_run = True
-        just_attached = now - attempt.attached_at < ATTACH_AGAIN_SECONDS
-        if attempt is stream.spare or attempt.suspected or just_attached:
-            return self.bury(stream, attempt, now, reason)
-        done = [attempts.record(stream, attempt, 'attempt-suspected', reason)]
-        done += self.table.attach(stream, attempt, now)
-        return done + self.start_spare(stream, attempt, now)
+        was_just_attached = (
+            now - attempt.attached_at < MIN_ATTACH_INTERVAL_SECONDS
+        )
+        if attempt is stream.spare or attempt.suspected or was_just_attached:
+            return self.replace_dead_engine(stream, attempt, now, reason)
+        planned = [
+            attempts.record(stream, attempt, 'attempt-suspected', reason)
+        ]
+        planned += self.attempt_table.attach_attempt(stream, attempt, now)
+        return planned + self.start_spare(stream, attempt, now)
 
     def start_spare(
         self,
@@ -68,13 +69,13 @@
         suspected: attempt_state.Attempt,
         now: float,
     ) -> list[actions.Action]:
-        """Have a second engine continue while the first is asked.
+        """Start a hedging attempt on a second engine, if the service wants it.
 
-        It costs a prompt read for nothing where the first still lives, and
-        saves the time of asking where it is dead.
+        It wastes a prompt evaluation if the first engine is alive, and saves
+        the probe's waiting time if it is dead.
         """
-        wanted = stream.service.recovery.spare_attempt
-        if not wanted or stream.spare is not None or stream.is_whole:
+        is_spare_wanted = stream.service.recovery.spare_attempt
+        if not is_spare_wanted or stream.spare is not None or stream.is_whole:
             return []
         if stream.would_run_twice or self.guard.must_not_run(
             stream.request, now
@@ -83,157 +84,161 @@
         excluded = {suspected.upstream.name}
         pool = pinning.pinned_pool(self.configuration, stream)
         view = self.directory.choose_upstream(pool, excluded, now)
-        if view is None or self.budget_wait(stream, now):
+        if view is None or self.spend_resume_budget(stream, now):
             return []
-        return self.table.order(stream, view, now, spare=True)
+        return self.attempt_table.start_attempt(stream, view, now, spare=True)
 
-    # -- second step --------------------------------------------------------
-
-    def bury(
+    def replace_dead_engine(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Take an attempt's engine for dead."""
+        """Count an attempt's engine as dead and replace the attempt."""
         stream.engine_deaths += 1
         self.directory.mark_suspected(attempt.upstream.name, now)
         stream.excluded.add(attempt.upstream.name)
-        return self.replace(stream, attempt, now, reason)
+        return self.replace_attempt(stream, attempt, now, reason)
 
-    def replace(
+    def replace_attempt(
         self,
         stream: stream_state.Stream,
         attempt: attempt_state.Attempt,
         now: float,
         reason: str,
     ) -> list[actions.Action]:
-        """Put the spare or another engine in an attempt's place."""
+        """Cancel an attempt; continue with the spare or another engine."""
         is_current = attempt is stream.attempt
-        done = [attempts.record(stream, attempt, 'attempt-replaced', reason)]
-        done += self.table.drop(stream, attempt)
-        if self.has_killed_too_many(stream):
-            self.exhausted.add(stream.request.request)
-            return done + self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+        planned = [
+            attempts.record(stream, attempt, 'attempt-replaced', reason)
+        ]
+        planned += self.attempt_table.cancel_attempt(stream, attempt)
+        if self.exceeds_engine_deaths(stream):
+            self.exhausted_requests.add(stream.request.request)
+            return planned + self.fail_stream(
+                stream, crash_guard.BLOCKED_RAN_CODE, None
+            )
         if not is_current:
-            return done
+            return planned
         if stream.spare is not None:
-            return done + self.table.promote_spare(stream, now)
-        return done + self.recover(stream, now)
+            return planned + self.attempt_table.promote_spare(stream, now)
+        return planned + self.recover_stream(stream, now)
 
-    def has_killed_too_many(self, stream: stream_state.Stream) -> bool:
-        """Return whether more engines died than a request may be part of."""
-        most = stream.service.recovery.most_engine_deaths
-        return stream.engine_deaths > most
+    def exceeds_engine_deaths(self, stream: stream_state.Stream) -> bool:
+        """Return whether more engines died under a request than allowed."""
+        max_deaths = stream.service.recovery.most_engine_deaths
+        return stream.engine_deaths > max_deaths
 
-    def recover(
+    def recover_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Find an engine for a stream that has none, or wait a little."""
+        """Find an engine for a stream without one, or wait for one."""
         exchange = stream.request.exchange
-        self.recovering.pop(exchange, None)
+        self.recovering_streams.pop(exchange, None)
         if stream.recover_by is None:
-            stream.recover_by = now + RECOVERY_PATIENCE_SECONDS
+            stream.recover_by = now + RECOVERY_TIMEOUT_SECONDS
         if stream.is_whole:
-            # The last token came and only the end event was lost; an engine
-            # asked to continue would generate one token too many.
-            return self.end(stream, 'length')
+            # All tokens arrived and only the end event was lost; continuing
+            # would generate one token too many.
+            return self.complete_stream(stream, 'length')
         if stream.would_run_twice:
-            return self.fail(stream, 'outcome-unknown', None)
+            return self.fail_stream(stream, 'outcome-unknown', None)
         if self.guard.is_blocked(stream.request, now):
-            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+            return self.fail_stream(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if self.guard.has_blocking_suspicions(stream.request, now):
-            return self.wait(stream, now)
+            return self.wait_for_engine(stream, now)
         account = stream.request.request.account
         self.directory.limits.set_retry_requester(account, now, urgent=True)
         pool = pinning.pinned_pool(self.configuration, stream)
         view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is not None:
-            return self.go_on(stream, pool, view, now)
+            return self.continue_stream(stream, pool, view, now)
         if not self.directory.can_ever_serve(pool, now):
-            return self.restart(stream, now)
-        return self.wait(stream, now)
+            return self.restart_stream(stream, now)
+        return self.wait_for_engine(stream, now)
 
-    def try_again(
+    def retry_all_engines(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Look again, at the engines that refused or failed before too.
+        """Look for an engine again, including those that refused or failed.
 
-        Only time gives them another chance. Were they asked again whenever
-        a place comes free, a refusal would bring about the next one, as fast
-        as the network allows.
+        Excluded engines are retried only on this timer. If they were also
+        retried whenever capacity becomes free, each refusal would cause the
+        next one, as fast as the network allows.
         """
         stream.excluded.clear()
-        return self.recover(stream, now)
+        return self.recover_stream(stream, now)
 
-    def go_on(
+    def continue_stream(
         self,
         stream: stream_state.Stream,
         pool: configuration_state.Pool,
         view: upstream_state.UpstreamView,
         now: float,
     ) -> list[actions.Action]:
-        """Continue a stream on an engine, within its account's budget."""
-        wait = self.budget_wait(stream, now)
-        if wait:
-            return self.fail(stream, 'replay-budget-spent', wait)
+        """Continue a stream on an engine, within the resume budget."""
+        wait_seconds = self.spend_resume_budget(stream, now)
+        if wait_seconds:
+            return self.fail_stream(
+                stream, 'replay-budget-spent', wait_seconds
+            )
         stream.pool = pool
-        return self.table.order(stream, view, now)
+        return self.attempt_table.start_attempt(stream, view, now)
 
-    def wait(
+    def wait_for_engine(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Try again soon, or give the final answer when patience is out."""
+        """Schedule the next try, or end the wait at ``recover_by``."""
         exchange = stream.request.exchange
         if stream.recover_by is not None and now >= stream.recover_by:
-            return self.give_up(stream, now)
-        self.recovering[exchange] = stream
+            return self.restart_or_fail(stream, now)
+        self.recovering_streams[exchange] = stream
         timer = timers.timer_name(endings.RECOVERY_TIMER, exchange)
-        return [actions.SetTimer(timer, now + RECOVERY_RETRY_SECONDS)]
+        return [actions.SetTimer(timer, now + RECOVERY_RETRY_DELAY_SECONDS)]
 
-    def give_up(
+    def restart_or_fail(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Restart or fail, when patience is out.
+        """Restart or fail a stream whose recovery time is up.
 
         An instance that does not watch the engines learns only from their
-        refusals that none has the version any more.
+        refusals that none runs the version any more.
         """
-        pool = pinning.pool_in_force(self.configuration, stream)
+        pool = pinning.replacement_pool(self.configuration, stream)
         if self.guard.must_not_run(stream.request, now):
-            return self.fail(stream, crash_guard.BLOCKED_RAN_CODE, None)
+            return self.fail_stream(stream, crash_guard.BLOCKED_RAN_CODE, None)
         if pool is not None and self.directory.choose_upstream(
             pool, set(), now
         ):
             stream.excluded.clear()
-            return self.restart(stream, now)
-        return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
+            return self.restart_stream(stream, now)
+        return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
 
-    # -- third step ---------------------------------------------------------
-
-    def restart(
+    def restart_stream(
         self, stream: stream_state.Stream, now: float
     ) -> list[actions.Action]:
-        """Start afresh on the version in force, if the request may repeat."""
-        pool = pinning.pool_in_force(self.configuration, stream)
+        """Start a new generation on the version in force, if repeatable."""
+        pool = pinning.replacement_pool(self.configuration, stream)
         if pool is None or not self.directory.can_ever_serve(pool, now):
-            return self.fail(stream, 'no-engine', RETRY_AFTER_SECONDS)
+            return self.fail_stream(stream, 'no-engine', RETRY_AFTER_SECONDS)
         if not stream.service.idempotent and stream.may_have_run:
-            return self.fail(stream, 'version-withdrawn', None)
-        if stream.generation >= MOST_GENERATIONS:
-            return self.fail(stream, 'restarts-exceeded', None)
+            return self.fail_stream(stream, 'version-withdrawn', None)
+        if stream.generation >= MAX_GENERATIONS:
+            return self.fail_stream(stream, 'restarts-exceeded', None)
         view = self.directory.choose_upstream(pool, stream.excluded, now)
         if view is None:
-            return self.wait(stream, now)
+            return self.wait_for_engine(stream, now)
         if not stream.may_have_run:
-            return self.go_on(stream, pool, view, now)
-        wait = self.budget_wait(stream, now)
-        if wait:
-            return self.fail(stream, 'replay-budget-spent', wait)
+            return self.continue_stream(stream, pool, view, now)
+        wait_seconds = self.spend_resume_budget(stream, now)
+        if wait_seconds:
+            return self.fail_stream(
+                stream, 'replay-budget-spent', wait_seconds
+            )
         stream.start_afresh(pool)
-        started = self.table.order(stream, view, now)
-        told = actions.SendRestart(
+        started = self.attempt_table.start_attempt(stream, view, now)
+        restart = actions.SendRestart(
             stream.request.exchange,
             stream.generation,
             'version-withdrawn',
@@ -241,18 +246,23 @@
         )
         return [
             attempts.record(stream, None, 'stream-restarted', pool.version),
-            told,
+            restart,
             *started,
         ]
 
-    # -- helpers ------------------------------------------------------------
+    def spend_resume_budget(
+        self, stream: stream_state.Stream, now: float
+    ) -> float:
+        """Spend one resume of the account's budget.
 
-    def budget_wait(self, stream: stream_state.Stream, now: float) -> float:
-        """Take a resume from the account's budget; return 0 or the wait."""
+        Returns 0, or the seconds until the budget allows a resume.
+        """
         if not stream.may_have_run:
             return 0.0
         name = stream.request.request.account
         account = self.configuration.find_account(name)
         if account is None:
             return 0.0
-        return self.budgets.take_replay(name, account.resume_budget, now)
+        return self.replay_budgets.take_replay(
+            name, account.resume_budget, now
+        )
--- a/src/greengagelb/coordination/streams/stalls.py
+++ b/src/greengagelb/coordination/streams/stalls.py
@@ -1,8 +1,8 @@
-"""When the silence of an attempt means trouble.
+"""Failure detection for attempts that deliver no tokens.
 
-A connection that has lost its other end looks like one whose engine thinks
-for long. So attempts are judged by progress, against the pace that this
-instance has observed at the same engine, never by the state of a socket.
+A connection that has lost its peer can't be told from one whose engine is
+slow. Attempts are therefore checked by progress, against the pace that this
+instance has observed at the same engine, and not by the state of a socket.
 """
 
 from greengagelb.coordination import actions
@@ -12,82 +12,82 @@
 from greengagelb.state import pace
 from greengagelb.state import streams as stream_state
 
-FIRST_TOKEN_SECONDS = 2.0
-MOST_FIRST_TOKEN_SECONDS = 30.0
-PROBE_SECONDS = 0.5
-LATE_SECONDS = 0.1
-MOST_LATE_TIMERS = 3
+FIRST_TOKEN_TIMEOUT_SECONDS = 2.0
+MAX_FIRST_TOKEN_WAIT_SECONDS = 30.0
+PROBE_TIMEOUT_SECONDS = 0.5
+LATE_TIMER_SECONDS = 0.1
+MAX_LATE_TIMERS = 3
 STALL_TIMER = 'stall'
 SPARE_TIMER = 'spare'
 
 
-class StallWatch:
-    """Sets the stall deadlines of attempts and judges those that pass."""
+class StallDetector:
+    """Sets the stall deadlines of attempts and checks expired ones."""
 
     def __init__(self, directory: routing.UpstreamDirectory) -> None:
         self.directory = directory
-        self.paces: dict[str, pace.Pace] = {}
+        self.pace_by_upstream: dict[str, pace.Pace] = {}
 
-    def progressed(
+    def observe_tokens(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
         now: float,
     ) -> None:
-        """Learn the pace of an upstream from tokens that have arrived."""
-        found = self.pace_of(attempt)
-        found.latest = now
+        """Update the pace of an upstream from tokens that arrived."""
+        observed_pace = self.upstream_pace(attempt)
+        observed_pace.latest = now
         if attempt.latest_arrival is not None:
             gap = now - attempt.latest_arrival
-            found.observe(min(gap, stream.service.recovery.most_stall))
+            observed_pace.observe(min(gap, stream.service.recovery.most_stall))
         attempt.latest_arrival = now
         attempt.has_progressed = True
         attempt.answered = True
         attempt.suspected = False
         attempt.late_timers = 0
 
-    def silence_allowed(
+    def stall_timeout_seconds(
         self, stream: stream_state.Stream, attempt: attempts.Attempt
     ) -> float:
-        """Return the seconds of silence after which to look closer.
+        """Return the seconds without tokens after which to suspect an attempt.
 
-        A prompt, or a prompt with the tokens so far, is read before the
-        first token: an attempt that has brought none gets longer. A probe
-        over a fresh connection is answered at once or not at all.
+        An attempt without tokens so far gets longer, since the engine first
+        evaluates the prompt and any earlier tokens. A probe over a new
+        connection is answered at once or not at all.
         """
         policy = stream.service.recovery
         view = self.directory.views.get(attempt.upstream.name)
-        reported = view.step_seconds if view is not None else 0.0
-        gap = max(reported, self.pace_of(attempt).gap)
-        steady = max(policy.least_stall, policy.stall_factor * gap)
-        steady = min(steady, policy.most_stall)
+        reported_gap = view.step_seconds if view is not None else 0.0
+        gap = max(reported_gap, self.upstream_pace(attempt).gap)
+        timeout = max(policy.least_stall, policy.stall_factor * gap)
+        timeout = min(timeout, policy.most_stall)
         if attempt.suspected and not attempt.answered:
-            return max(policy.least_stall, min(steady, PROBE_SECONDS))
+            return max(policy.least_stall, min(timeout, PROBE_TIMEOUT_SECONDS))
         if not attempt.has_progressed:
-            return max(steady, FIRST_TOKEN_SECONDS)
-        return steady
+            return max(timeout, FIRST_TOKEN_TIMEOUT_SECONDS)
+        return timeout
 
-    def pace_of(self, attempt: attempts.Attempt) -> pace.Pace:
-        """Return what is known of the pace of an attempt's upstream."""
+    def upstream_pace(self, attempt: attempts.Attempt) -> pace.Pace:
+        """Return the observed pace of an attempt's upstream."""
         name = attempt.upstream.name
-        found = self.paces.get(name)
-        if found is None:
-            found = self.paces[name] = pace.Pace()
-        return found
+        observed_pace = self.pace_by_upstream.get(name)
+        if observed_pace is None:
+            observed_pace = self.pace_by_upstream[name] = pace.Pace()
+        return observed_pace
 
-    def rearm(
+    def reset_stall_timer(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
         now: float,
     ) -> actions.SetTimer:
-        """Give an attempt its full time from now on."""
+        """Restart an attempt's stall timeout from now."""
         attempt.confirming = False
-        allowed = self.silence_allowed(stream, attempt)
-        attempt.stall_deadline = now + allowed
-        return self.timer(stream, attempt)
+        timeout = self.stall_timeout_seconds(stream, attempt)
+        attempt.stall_deadline = now + timeout
+        return self.stall_timer(stream, attempt)
 
-    def timer(
+    def stall_timer(
         self, stream: stream_state.Stream, attempt: attempts.Attempt
     ) -> actions.SetTimer:
         """Return the timer of an attempt's stall deadline."""
@@ -95,46 +95,46 @@
         name = timers.timer_name(kind, stream.request.exchange)
         return actions.SetTimer(name, attempt.stall_deadline)
 
-    def judge(
+    def check_stall(
         self,
         stream: stream_state.Stream,
         attempt: attempts.Attempt,
         now: float,
     ) -> actions.SetTimer | None:
-        """Return a timer where it is too early to judge, else None.
+        """Return None if an attempt has stalled, else the timer to wait for.
 
         After a pause of this process its timers fire before its sockets are
-        read, perhaps before the pause itself is noticed: every engine would
-        seem dead at once. A timer that fires late therefore proves nothing,
-        and one that fires in time is set again for the very next turn of the
-        event loop, which reads the sockets first.
+        read, perhaps before the pause itself is detected, so every engine
+        would seem dead at once. A timer that fires late therefore proves
+        nothing, and one that fires in time is set again for the next turn of
+        the event loop, which reads the sockets first.
         """
         if now < attempt.stall_deadline:
-            return self.timer(stream, attempt)
-        is_late = now - attempt.stall_deadline > LATE_SECONDS
-        if is_late and attempt.late_timers < MOST_LATE_TIMERS:
+            return self.stall_timer(stream, attempt)
+        is_late = now - attempt.stall_deadline > LATE_TIMER_SECONDS
+        if is_late and attempt.late_timers < MAX_LATE_TIMERS:
             attempt.late_timers += 1
-            return self.rearm(stream, attempt, now)
+            return self.reset_stall_timer(stream, attempt, now)
         if not attempt.confirming:
             attempt.confirming = True
             attempt.stall_deadline = now
-            return self.timer(stream, attempt)
-        if self.waits_for_its_turn(attempt, now):
-            return self.rearm(stream, attempt, now)
+            return self.stall_timer(stream, attempt)
+        if self.is_queued_at_engine(attempt, now):
+            return self.reset_stall_timer(stream, attempt, now)
         return None
 
-    def waits_for_its_turn(
+    def is_queued_at_engine(
         self, attempt: attempts.Attempt, now: float
     ) -> bool:
-        """Return whether an engine is busy with others, rather than dead.
+        """Return whether an attempt is queued at an engine busy with others.
 
-        Under load an engine accepts more than it can run at once. To take
-        each attempt that waits there for a dead one would move it to the next
-        busy engine, and end it when its deaths are used up.
+        Under load an engine accepts more than it can run at once. If a queued
+        attempt were treated as dead, it would be moved to the next busy
+        engine, and fail once its allowed engine deaths are used up.
         """
         if attempt.has_progressed or not attempt.answered:
             return False
-        if now - attempt.ordered_at > MOST_FIRST_TOKEN_SECONDS:
+        if now - attempt.ordered_at > MAX_FIRST_TOKEN_WAIT_SECONDS:
             return False
-        found = self.pace_of(attempt)
-        return now - found.latest < FIRST_TOKEN_SECONDS
+        observed_pace = self.upstream_pace(attempt)
+        return now - observed_pace.latest < FIRST_TOKEN_TIMEOUT_SECONDS
--- a/tests/calls/test_at_most_once_machine.py
+++ b/tests/calls/test_at_most_once_machine.py
@@ -1,8 +1,7 @@
-"""Any order of faults around calls that may not be repeated.
+"""Stateful tests of at-most-once execution under faults in any order.
 
-Hypothesis drives several real nodes that share one table service and one
-plain service. The promises are checked inside ``tests/common/call_world.py``
-at every action.
+Hypothesis drives several instances that share one table service and one plain
+service. ``tests/common/call_world.py`` checks the guarantees at every action.
 """
 
 import random
@@ -21,8 +20,8 @@
     return sequence[number % len(sequence)]
 
 
-class AtMostOnce(stateful.RuleBasedStateMachine):
-    """Callers, faults and time in any order."""
+class AtMostOnceMachine(stateful.RuleBasedStateMachine):
+    """Steps of callers, faults and time in any order."""
 
     def __init__(self):
         super().__init__()
@@ -99,7 +98,7 @@
         self.world.retry_all()
 
 
-TestAtMostOnce = AtMostOnce.TestCase
+TestAtMostOnce = AtMostOnceMachine.TestCase
 TestAtMostOnce.settings = hypothesis.settings(
     max_examples=200,
     stateful_step_count=40,
@@ -109,11 +108,11 @@
 )
 
 
-def test_long_seeded_run():
-    """One process sees thousands of requests between two faults.
+def test_long_random_run():
+    """Long runs with thousands of requests.
 
-    What adds up only over a long run, such as claims that nobody settles,
-    shows here and not in the short histories above.
+    They show what accumulates only over time, such as claims that are never
+    settled, which the short sequences of the stateful test can't.
     """
     rng = random.Random(20261202)
     answered = 0
--- a/tests/calls/test_claims.py
+++ b/tests/calls/test_claims.py
@@ -1,4 +1,4 @@
-"""Single histories around claims that once went wrong, or nearly did."""
+"""Regression tests of claims, each for one sequence of events."""
 
 import dataclasses
 import random
@@ -34,7 +34,7 @@
 
 
 def test_accounts_with_slashes_do_not_share_a_row():
-    """Two accounts whose names and keys read the same once joined.
+    """Two accounts whose names and keys are the same text once joined.
 
     One account's charge would be answered with the other's booking.
     """
@@ -60,10 +60,9 @@
 
 
 def test_answer_after_the_deadline_is_kept_for_the_retry():
-    """A charge takes longer than its caller waits.
+    """A charge completes after its caller's deadline.
 
-    Its outcome would be lost though the service gave it, and every retry
-    would be told "outcome unknown".
+    If its outcome were dropped, every retry would get "outcome unknown".
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -78,7 +77,7 @@
     assert second.answers[0].body in world.answer_of[first.key]
 
 
-def test_refusal_after_the_deadline_makes_way_for_a_retry():
+def test_refusal_after_the_deadline_releases_the_row():
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -89,11 +88,11 @@
     assert stage_of(world) is claim_state.ClaimStage.RELEASED
 
 
-def test_connection_lost_after_the_deadline_proves_nothing():
-    """A charge outlasts its caller's deadline and then its connection.
+def test_connection_lost_after_the_deadline_keeps_the_row_taken():
+    """A charge's connection breaks after the caller's deadline.
 
-    The service may go on with it. Released, the key would let a retry run
-    the charge a second time.
+    The service may still be running it. If the row were released, a retry
+    could run the charge a second time.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -108,21 +107,21 @@
 
 
 def test_restored_store_is_reported():
-    """The platform's operators restore the store from an old copy.
+    """The store is restored from an old copy that lacks a held claim.
 
-    A claim that was held is gone, a retry takes the key anew, and the charge
-    runs a second time. Nobody can prevent it here, but somebody must be told.
+    A retry claims the key again and the charge runs twice. That can't be
+    prevented here, but it must be recorded.
     """
     world = call_world.World()
-    home, other = world.instances[:2]
-    world.submit(home, CHARGE)
+    instance, other = world.instances[:2]
+    world.submit(instance, CHARGE)
     answer_all_writes(world)
     world.rows.clear()
     world.may_run.clear()
     world.submit(other, CHARGE)
     answer_all_writes(world)
-    # Versions start anew with the row: the first outcome lands on it, and
-    # the second holder sees it.
+    # Row versions start again, so the first outcome overwrites the row and
+    # the second holder detects that.
     first, second = world.dispatches
     world.finish(first)
     answer_all_writes(world)
@@ -134,33 +133,33 @@
     assert world.kinds['claim-overwritten'] == 1
 
 
-def test_silent_service_is_left_alone_in_the_end():
-    """A service takes a charge and never answers.
+def test_silent_service_does_not_hold_the_instance_for_ever():
+    """A service accepts a charge and never answers.
 
-    Waited for without end, its calls would use up the account's places.
+    Without a time limit such calls would use up the account's capacity.
     """
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, CHARGE)
+    instance = world.instances[0]
+    world.submit(instance, CHARGE)
     answer_all_writes(world)
     world.advance(call_world.PATIENCE + 1)
-    assert home.node.running
+    assert instance.node.running
     world.advance(60.0)
-    assert home.node.idle
+    assert instance.node.is_idle
     assert not world.dispatches[0].awaited
 
 
-def test_large_answer_is_said_to_have_run_but_not_kept():
+def test_large_answer_is_reported_as_run_but_not_kept():
     """The answer to a charge is too large for a claim row.
 
-    The retry can't be shown it, and must not run the charge again either.
+    A retry can't get it, and must not run the charge again either.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
     dispatch = world.dispatches[0]
     world.run(dispatch)
-    dispatch.answer = bytes(claims.MOST_KEPT_BODY_BYTES + 1)
+    dispatch.answer = bytes(claims.MAX_KEPT_BODY_BYTES + 1)
     world.answer_of[first.key].add(dispatch.answer)
     world.finish(dispatch)
     answer_all_writes(world)
@@ -170,7 +169,7 @@
     assert failure_of(second).ran is requests.Ran.YES
 
 
-def test_retry_that_finds_its_twin_running_is_not_told_not_run():
+def test_retry_while_the_first_send_runs_is_not_told_not_run():
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -182,9 +181,9 @@
 
 
 def test_retry_before_the_outcome_is_written_may_come_back_for_it():
-    """Guards against a second run, or a "not run", in that moment.
+    """Guards against a second run or a "not run" for an early retry.
 
-    The answer goes to the caller before the outcome is written.
+    The answer is sent to the caller before the outcome is written.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -208,9 +207,9 @@
 
 
 def test_key_that_comes_back_with_another_body_is_refused():
-    """A program uses one idempotency key for two different charges.
+    """A client uses one idempotency key for two different charges.
 
-    It would be shown the answer to the first for the second.
+    It would get the answer to the first one for the second.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -223,10 +222,10 @@
 
 
 def test_retry_during_an_outage_is_not_told_not_run():
-    """An instance dies with a charge in flight; then the store goes away.
+    """An instance dies with a charge in flight, then the store fails.
 
-    The caller sends the charge again, to another instance, which can't see
-    the claim. Told "not run", the site would book and charge anew.
+    The caller retries at another instance, which can't read the claim. On a
+    "not run" the client would charge a second time.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -244,14 +243,14 @@
     world.store_down = True
     first = world.submit(world.instances[0], CHARGE)
     assert failure_of(first).ran is requests.Ran.NO
-    assert not world.instances[0].node.claims.claims
+    assert not world.instances[0].node.claim_supervisor.claim_by_holder
 
 
 def test_claim_written_after_the_deadline_is_released_and_taken_over():
-    """The store is slow and answers a claim when the caller has given up.
+    """A slow store answers a claim after the caller's deadline.
 
-    The row would stay taken by a holder that never dispatched, and every
-    retry of the charge would be turned away for good.
+    If the row stayed taken by a holder that never dispatched, every retry of
+    the charge would be refused for good.
     """
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
@@ -265,11 +264,11 @@
     assert len(world.dispatches) == 1
 
 
-def test_claim_that_lands_after_it_was_given_up_takes_nothing():
-    """Both tries of a claim time out; the first reaches the store late.
+def test_late_claim_write_fails_after_the_claim_was_given_up():
+    """Both writes of a claim time out; the first reaches the store late.
 
-    The release is already there by then, on the same version, so the late
-    write fails in place of taking the key for good.
+    The release was written on the same version by then, so the late write
+    fails instead of taking the key for good.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -284,9 +283,10 @@
 
 
 def test_lost_answer_to_a_claim_is_settled_by_the_same_write():
-    """The store carries a claim out and its answer is lost.
+    """The store applies a claim and its answer is lost.
 
-    Taken for a failure, the charge would not run though its key is taken.
+    If that were treated as a failure, the charge would not run although its
+    key is taken.
     """
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
@@ -295,8 +295,8 @@
     assert len(world.dispatches) == 1
 
 
-def test_release_is_tried_again_until_the_store_takes_it():
-    """The store goes away just as a claim is given up."""
+def test_release_is_retried_until_the_store_accepts_it():
+    """The store becomes unavailable just as a claim is given up."""
     world = call_world.World()
     world.submit(world.instances[0], CHARGE)
     world.advance(call_world.PATIENCE + 1)
@@ -311,16 +311,16 @@
 
 
 def test_release_is_given_up_after_a_long_outage():
-    """A store that stays away must not fill the instance with old claims."""
+    """Old claims must not accumulate while the store is unavailable."""
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, CHARGE)
+    instance = world.instances[0]
+    world.submit(instance, CHARGE)
     world.advance(call_world.PATIENCE + 1)
     world.time_out_write(world.writes[0])
     world.store_down = True
     for _ in range(40):
         world.advance(1.0)
-    assert not home.node.claims.claims
+    assert not instance.node.claim_supervisor.claim_by_holder
     assert world.kinds['claim-left-taken'] == 1
 
 
@@ -329,20 +329,20 @@
 def test_holder_that_wakes_after_the_deadline_does_not_dispatch(
     timers_first, service
 ):
-    """An instance is stopped while it claims, and wakes a minute later.
+    """An instance is paused while it claims and resumes a minute later.
 
-    Its caller has long given up. The answer to the claim and the deadline's
-    timer wait side by side, in either order.
+    Its caller's deadline has passed. The result of the claim and the deadline
+    timer are both pending, in either order.
     """
     world = call_world.World()
-    home = world.instances[0]
-    world.submit(home, service)
-    home.paused = True
+    instance = world.instances[0]
+    world.submit(instance, service)
+    instance.paused = True
     answer_all_writes(world)
     world.advance(60.0)
-    world.wake(home, timers_first)
+    world.wake(instance, timers_first)
     assert not world.dispatches
-    assert home.timers.keys() <= {'claim-settle:i0.1'}
+    assert instance.timers.keys() <= {'claim-settle:i0.1'}
     answer_all_writes(world)
     assert stage_of(world) is claim_state.ClaimStage.RELEASED
 
@@ -350,16 +350,16 @@
 def test_stop_waits_until_a_claim_is_released():
     """An instance is replaced right after it gave up a claim.
 
-    Ended at once, it would leave the key taken for good.
+    If its process ended at once, the key would stay taken for good.
     """
     world = call_world.World()
-    home = world.instances[0]
-    exchange = world.submit(home, CHARGE)
+    instance = world.instances[0]
+    exchange = world.submit(instance, CHARGE)
     world.leave(exchange)
-    done = home.node.handle(events.StopRequested(), world.now)
+    done = instance.node.handle(events.StopRequested(), world.now)
     assert actions.FinishStopping() not in done
     answer_all_writes(world)
-    assert home.node.idle
+    assert instance.node.is_idle
 
 
 def test_generation_that_may_not_be_repeated_is_started_once():
@@ -370,8 +370,8 @@
     assert len(world.dispatches) == 1
 
 
-def test_refused_service_makes_way_for_a_retry():
-    """All three processes of a service refuse a charge before it runs."""
+def test_call_refused_by_every_upstream_releases_the_row():
+    """All upstreams of a service refuse a charge before it runs."""
     world = call_world.World()
     first = world.submit(world.instances[0], CHARGE)
     answer_all_writes(world)
@@ -383,7 +383,7 @@
 
 
 def test_call_that_ran_once_is_never_told_not_run_by_a_later_refusal():
-    """A lookup's connection breaks; the second service can't be reached.
+    """A lookup's connection breaks, and the second upstream is unreachable.
 
     The last failure alone proves nothing about the first dispatch.
     """
@@ -397,14 +397,15 @@
 
 
 def test_retries_of_one_account_stay_within_its_budget():
-    """A service fails every lookup of a caller that asks without end.
+    """A service fails every lookup of a caller that keeps retrying.
 
-    Unbounded, three tries for each would triple the load on what is left.
+    Without a retry budget, three tries for each lookup would triple the load
+    on the remaining upstreams.
     """
     world = call_world.World()
-    home = world.instances[0]
+    instance = world.instances[0]
     for number in range(100):
-        world.submit(home, LOOKUP, key=f'{number}')
+        world.submit(instance, LOOKUP, key=f'{number}')
         while world.dispatches:
             world.refuse(world.dispatches[0])
         world.advance(3.0)
@@ -412,25 +413,25 @@
 
 
 def test_waits_grow_with_an_outage_and_are_spread():
-    keeper = claims.ClaimKeeper('i', random.Random(1))
-    waits = [keeper.advice.record_failure() for _ in range(40)]
+    supervisor = claims.ClaimSupervisor('i', random.Random(1))
+    waits = [supervisor.retry_advice.record_failure() for _ in range(40)]
     assert max(waits[:1]) <= 1.5
     assert min(waits[6:]) >= 16.0
     assert max(waits) <= 48.0
     assert len(set(waits)) == len(waits)
 
 
-def test_queue_refusal_of_a_possible_retry_is_not_not_run():
-    """An account's queue is full when it sends a charge again.
+def test_queue_refusal_of_a_possible_retry_is_outcome_unknown():
+    """An instance refuses a retry of a charge before any claim.
 
     The first send may be running at another instance.
     """
     world = call_world.World()
-    home = world.instances[0]
-    home.node.lifecycle.stop_requested()
-    first = world.submit(home, CHARGE)
+    instance = world.instances[0]
+    instance.node.lifecycle.stop_requested()
+    first = world.submit(instance, CHARGE)
     assert failure_of(first).ran is requests.Ran.NO
-    again = world.submit(home, CHARGE)
+    again = world.submit(instance, CHARGE)
     assert failure_of(again).ran is requests.Ran.UNKNOWN
 
 
@@ -439,4 +440,4 @@
         1, identity.RequestId('a', 'k'), 's', 'op', b'body', 9.0
     )
     other = dataclasses.replace(request, operation='opb', body=b'ody')
-    assert claims.content_of(request) != claims.content_of(other)
+    assert claims.content_digest(request) != claims.content_digest(other)
--- a/tests/streams/test_cancellations.py
+++ b/tests/streams/test_cancellations.py
@@ -1,4 +1,4 @@
-"""A cancellation is repeated until it is known to have taken effect."""
+"""Cancellations are retried until the engine confirms them."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination.streams import cancellations
@@ -10,58 +10,61 @@
 DEADLINE = 100.0
 
 
-def cancelled(incarnation='e0#1'):
-    found = cancellations.CancellationSupervisor()
-    found.cancel(ATTEMPT, UPSTREAM, incarnation, DEADLINE)
-    return found
+def supervisor_with_cancellation(incarnation='e0#1'):
+    supervisor = cancellations.CancellationSupervisor()
+    supervisor.request_cancellation(ATTEMPT, UPSTREAM, incarnation, DEADLINE)
+    return supervisor
 
 
-def retry(found, now):
-    (timer,) = found.failed(ATTEMPT, now)
+def schedule_retry(supervisor, now):
+    (timer,) = supervisor.schedule_retry(ATTEMPT, now)
     return timer
 
 
-def test_unreachable_engine_is_asked_until_the_deadline_of_the_attempt():
-    """An engine is out of reach for longer than any short series of tries.
+def test_unreachable_engine_is_asked_until_the_attempt_deadline():
+    """The retries outlast any outage shorter than the attempt's deadline.
 
-    When it comes back it would generate for nobody.
+    Otherwise an engine that is reachable again would generate tokens that
+    nobody reads.
     """
-    found = cancelled()
+    supervisor = supervisor_with_cancellation()
     now, asked = 0.0, 0
     while now < DEADLINE:
-        timer = retry(found, now)
+        timer = schedule_retry(supervisor, now)
         now = timer.deadline
-        asked += len(found.timer_fired(timer.name))
+        asked += len(supervisor.handle_timer(timer.name))
     assert asked > 12
-    found.failed(ATTEMPT, now)
-    assert not found.pending
+    supervisor.schedule_retry(ATTEMPT, now)
+    assert not supervisor.pending
 
 
 def test_confirmed_cancellation_is_forgotten():
-    found = cancelled()
-    timer = retry(found, 1.0)
-    assert found.confirmed(ATTEMPT) == [actions.ClearTimer(timer.name)]
-    assert found.timer_fired(timer.name) == []
+    supervisor = supervisor_with_cancellation()
+    timer = schedule_retry(supervisor, 1.0)
+    assert supervisor.handle_confirmation(ATTEMPT) == [
+        actions.ClearTimer(timer.name)
+    ]
+    assert supervisor.handle_timer(timer.name) == []
 
 
 def test_engine_that_answers_again_is_asked_at_once():
-    """A paused engine goes on and its report comes in.
+    """The report of an engine that was paused triggers the retry.
 
     Each second until the next try costs tokens that nobody reads.
     """
-    found = cancelled()
-    retry(found, 1.0)
-    done = found.engine_reported(identity.EngineId('e0', 'e0#1'))
+    supervisor = supervisor_with_cancellation()
+    schedule_retry(supervisor, 1.0)
+    done = supervisor.handle_engine_report(identity.EngineId('e0', 'e0#1'))
     assert actions.CancelAttempt(ATTEMPT, UPSTREAM) in done
-    assert ATTEMPT in found.pending
+    assert ATTEMPT in supervisor.pending
 
 
-def test_new_incarnation_ends_the_tries():
-    """The engine has died meanwhile, and its attempts with it."""
-    found = cancelled()
-    retry(found, 1.0)
-    done = found.engine_reported(identity.EngineId('e0', 'e0#2'))
+def test_new_incarnation_ends_the_retries():
+    """The engine has restarted, so its earlier attempts no longer run."""
+    supervisor = supervisor_with_cancellation()
+    schedule_retry(supervisor, 1.0)
+    done = supervisor.handle_engine_report(identity.EngineId('e0', 'e0#2'))
     assert done[-1] == actions.CancelAttempt(ATTEMPT, UPSTREAM)
-    assert not found.pending
-    assert not found.by_upstream
-    assert not found.by_timer
+    assert not supervisor.pending
+    assert not supervisor.attempts_by_upstream
+    assert not supervisor.attempt_by_timer
--- a/tests/streams/test_returning_callers.py
+++ b/tests/streams/test_stream_resumption.py
@@ -1,4 +1,4 @@
-"""A caller comes back through another instance with its cursor."""
+"""Callers resume streams with their cursor through another instance."""
 
 import dataclasses
 
@@ -13,7 +13,7 @@
 from tests.common import generations
 
 
-def broken_off(service='draft'):
+def start_stream(service='draft'):
     world = generations.World()
     world.report()
     caller = world.submit(service, 'i1')
@@ -25,9 +25,9 @@
     return caller.finals[-1].failure.code
 
 
-def test_same_attempt_goes_on_after_its_instance_died():
-    """The instance dies; the engine has not noticed and goes on."""
-    world, caller = broken_off()
+def test_same_attempt_continues_after_its_instance_died():
+    """The instance dies and the engine keeps generating."""
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     world.replace_instance('i1')
     world.ask(caller, 'i2')
@@ -37,9 +37,9 @@
     assert caller.finals[-1].position == generations.MOST_TOKENS
 
 
-def test_engine_and_instance_lost_together():
-    """A rack goes. What the caller holds is all that is left of its draft."""
-    world, caller = broken_off()
+def test_stream_resumes_after_engine_and_instance_die_together():
+    """Only the caller still holds the tokens of the answer."""
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     world.replace_instance('i1')
     world.ask(caller, 'i2')
@@ -48,11 +48,11 @@
 
 
 def test_restarted_engine_is_not_asked_for_an_older_attempt():
-    """The engine died and is back under its name; the report tells so.
+    """The engine has restarted under its name, as its report shows.
 
-    To wait for an answer about the old attempt would be time lost.
+    Asking it for the old attempt would only cost time.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     engine = world.engine_of(caller)
     engine.kill()
     engine.come_back()
@@ -64,11 +64,11 @@
     assert world.stream_of(caller).engine_deaths == 1
 
 
-def test_old_report_does_not_make_a_running_attempt_gone():
-    """The instance last heard of the engine before that restarted.
+def test_outdated_report_does_not_replace_a_running_attempt():
+    """The instance's last report of the engine precedes its restart.
 
-    It does not watch the engine. To believe the old report would read the
-    prompt again for nothing.
+    The instance does not watch the engine. If it relied on the old report,
+    the prompt would be evaluated again for nothing.
     """
     world = generations.World()
     world.report()
@@ -89,12 +89,12 @@
     assert world.stream_of(caller).engine_deaths == 0
 
 
-def test_older_exchange_does_not_cancel_what_the_newer_one_reads():
-    """The caller is back before its instance notices the old connection.
+def test_older_exchange_does_not_cancel_the_attempt_of_the_newer_one():
+    """The caller resumes before the loss of its old connection is detected.
 
-    When it does, it must not stop the attempt that is read again.
+    Ending the old exchange must not cancel the attempt that the new one reads.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     older = caller.exchange
     world.leave(caller, noticed=False)
     world.ask(caller, 'i1')
@@ -105,11 +105,11 @@
 
 
 def test_generation_stays_on_its_version_at_another_instance():
-    """The pool moves to another version while the caller is away.
+    """The pool moves to another version while the caller is disconnected.
 
-    One engine still runs the old one, and the draft must end on it.
+    One engine still runs the old version, and the answer must end on it.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     survivor = next(
         engine
@@ -128,8 +128,8 @@
 
 
 def test_tokens_of_another_answer_are_refused():
-    """A client's store mixes up two drafts, and it sends the wrong one."""
-    world, caller = broken_off()
+    """A client sends the tokens of another answer with its cursor."""
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.tokens[0] = 'other'
     world.ask(caller, 'i2')
@@ -137,11 +137,11 @@
 
 
 def test_another_prompt_is_refused():
-    """A client comes back with a longer conversation but the old cursor.
+    """A client resumes with a longer conversation but the old cursor.
 
     It would get the start of one answer and the end of another.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.prompt = 'another prompt'
     world.ask(caller, 'i2')
@@ -149,20 +149,20 @@
 
 
 def test_cursor_of_another_request_is_refused():
-    """Event ids of two drafts are swapped on the way."""
-    world, caller = broken_off()
+    """A client sends the cursor of another of its requests."""
+    world, caller = start_stream()
     world.leave(caller, noticed=True)
     caller.request = identity.RequestId('teratak', 'another')
     world.ask(caller, 'i2')
     assert failure_code(caller) == 'bad-cursor'
 
 
-def test_deaths_ride_in_the_cursor():
-    """A request that killed engines comes back elsewhere.
+def test_engine_deaths_are_kept_in_the_cursor():
+    """A request that crashed engines is resumed at another instance.
 
-    Its count goes on there; from nought it could kill as many again.
+    Its count continues there; from zero it could crash as many again.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     world.engine_of(caller).kill()
     world.serve(1)
     assert caller.point.engine_deaths == 1
@@ -176,14 +176,18 @@
 
 
 @pytest.mark.parametrize('with_old_cursor', [True, False])
-def test_stopped_request_does_not_begin_again(with_old_cursor):
-    """A request was stopped for the engines that it killed.
+def test_request_stopped_for_engine_deaths_is_not_started_again(
+    with_old_cursor,
+):
+    """A request was stopped because it crashed too many engines.
 
-    Its caller tries again, with an older cursor or as if for the first time.
+    Its caller retries with an older cursor, or without one.
     """
-    world, caller = broken_off()
+    world, caller = start_stream()
     instance = world.instances['i2']
-    instance.node.streams.ladder.exhausted.add(caller.request)
+    instance.node.stream_supervisor.stream_recovery.exhausted_requests.add(
+        caller.request
+    )
     world.leave(caller, noticed=True)
     if not with_old_cursor:
         caller.point = None
@@ -191,10 +195,11 @@
     assert failure_code(caller) == 'engine-deaths-exceeded'
 
 
-def test_account_beyond_its_budget_is_told_when_to_come_back():
-    """Callers of one account come back in a loop.
+def test_account_over_its_resume_budget_gets_retry_after():
+    """A caller of one account resumes in a loop.
 
-    Each time an engine reads a prompt again, which all accounts pay for.
+    Each time an engine evaluates the prompt again, at the expense of all
+    accounts.
     """
     world = generations.World(resume_budget=2)
     caller = world.submit('draft', 'i1')
@@ -210,8 +215,8 @@
 
 
 @given(st.integers(1, 200), st.floats(0.0, 1e6))
-def test_who_waits_as_long_as_told_may_resume(per_minute, now):
-    """A caller comes back exactly when Retry-After says."""
+def test_caller_that_waits_for_retry_after_may_resume(per_minute, now):
+    """A caller resumes exactly when Retry-After says."""
     found = replay_budgets.ReplayBudgets()
     for _ in range(per_minute):
         assert not found.take_replay('teratak', per_minute, now)
