--- a/measure/crashes.py
+++ b/measure/crashes.py
@@ -39,7 +39,7 @@
 
     def look(self) -> None:
         """Note it if all instances block something now."""
-        records = [one.relay.crashes.records for one in self.instances]
+        records = [one.relay.crash_watch.records for one in self.instances]
         if all(self.blocks(found) for found in records):
             self.known_by_all_at = self.now
         else:
@@ -60,7 +60,7 @@
         fleet = WatchedFleet(size, per_place, loss)
         if name == 'unguarded':
             for instance in fleet.instances:
-                instance.relay.crashes.records = NoRecords()
+                instance.relay.crash_watch.records = NoRecords()
         else:
             fleet.look()
         fleet.ask_again_and_again(kind, seconds, every)
--- a/src/greengagelb/coordination/relay/actions.py
+++ b/src/greengagelb/coordination/relay/actions.py
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BreakOff:
+class AbortStream:
     """Reset the caller's connection: its answer can't be completed.
 
     ``code`` tells why, on the time line.
@@ -169,21 +169,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeepCrashes:
+class StoreCrashReport:
     """Have the store keep what is known of a request."""
 
     report: crashes.CrashReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DropCrashes:
+class DeleteCrashReport:
     """Have the store keep nothing of a request any more."""
 
     fingerprint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellFleet:
+class ForwardHints:
     """Give hints to all others; those far away get them from one near them.
 
     For what is many datagrams at once, and missed by its receivers if it is
@@ -195,11 +195,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LookAtStore:
+class RescheduleStoreRead:
     """Look whether the store is to be read sooner than was known."""
 
 
-class Measured(enum.Enum):
+class DurationKind(enum.Enum):
     """Times that are worth a histogram."""
 
     FIRST_EVENT = 'first-event'
@@ -208,10 +208,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measure:
+class ObserveDuration:
     """Put a time into its histogram, in seconds."""
 
-    kind: Measured
+    kind: DurationKind
     seconds: float
 
 
@@ -222,7 +222,7 @@
     | BeginStream
     | PassEvents
     | EndStream
-    | BreakOff
+    | AbortStream
     | Refuse
     | ProbeEngine
     | CheckEngine
@@ -230,11 +230,11 @@
     | AskSuccessor
     | TellPeers
     | TellPeer
-    | KeepCrashes
-    | DropCrashes
-    | TellFleet
-    | LookAtStore
-    | Measure
+    | StoreCrashReport
+    | DeleteCrashReport
+    | ForwardHints
+    | RescheduleStoreRead
+    | ObserveDuration
     | actions.SetTimer
     | actions.ClearTimer
     | actions.Record
--- a/src/greengagelb/coordination/relay/answers.py
+++ b/src/greengagelb/coordination/relay/answers.py
@@ -6,28 +6,28 @@
 from greengagelb.state.relay import exchanges
 
 BAD_GATEWAY = 502
-UNAVAILABLE = 503
-TIMED_OUT = 504
+SERVICE_UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
 # The code of what is answered to requests that crash engines.
 CRASHES_ENGINES = 'request-crashes-engines'
 # The code of what is answered where engines have reached their limits.
-LIMITED = 'engines-limited'
+ENGINES_LIMITED = 'engines-limited'
 # By how much waits differ of callers who are turned away at the same time.
-MOST_SPREAD = 2.0
+MAX_WAIT_SPREAD_FACTOR = 2.0
 # Callers come back within this part of the time they have left, or not at
 # all; a longer wait would be a loss without need.
-MOST_WAIT_SHARE = 0.25
-LEAST_WAIT_SECONDS = 0.05
-MOST_WAIT_SECONDS = 2.0
+MAX_WAIT_SHARE = 0.25
+MIN_WAIT_SECONDS = 0.05
+MAX_WAIT_SECONDS = 2.0
 
 
-class Answers:
+class AnswerBuilder:
     """Builds refusals and failures."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
 
-    def not_run(
+    def refuse_not_run(
         self, exchange: exchanges.Exchange, code: str, now: float
     ) -> relay_actions.Refuse:
         """Refuse a request that has not run; say when to come back.
@@ -35,33 +35,39 @@
         The waits are spread, so that those who were turned away together do
         not come back together.
         """
-        left = max(0.0, exchange.ruling.deadline - now)
-        longest = min(MOST_WAIT_SECONDS, MOST_WAIT_SHARE * left)
-        wait = max(LEAST_WAIT_SECONDS, longest * self.rng.uniform(0.4, 1.0))
-        return relay_actions.Refuse(exchange.number, UNAVAILABLE, code, wait)
+        remaining_seconds = max(0.0, exchange.ruling.deadline - now)
+        max_wait_seconds = min(
+            MAX_WAIT_SECONDS, MAX_WAIT_SHARE * remaining_seconds
+        )
+        wait_seconds = max(
+            MIN_WAIT_SECONDS, max_wait_seconds * self.rng.uniform(0.4, 1.0)
+        )
+        return relay_actions.Refuse(
+            exchange.number, SERVICE_UNAVAILABLE, code, wait_seconds
+        )
 
-    def not_before(
+    def refuse_until(
         self, exchange: exchanges.Exchange, until: float, now: float
     ) -> relay_actions.Refuse:
         """Refuse a request that must not run before a moment."""
         return relay_actions.Refuse(
-            exchange.number, UNAVAILABLE, CRASHES_ENGINES, until - now
+            exchange.number, SERVICE_UNAVAILABLE, CRASHES_ENGINES, until - now
         )
 
-    def limited(
+    def refuse_limited(
         self, exchange: exchanges.Exchange, back_at: float, now: float
     ) -> relay_actions.Refuse:
         """Refuse a request that no engine takes before a moment.
 
         Those that are turned away together come back one after the other.
         """
-        wait = max(LEAST_WAIT_SECONDS, back_at - now)
-        wait *= self.rng.uniform(1.0, MOST_SPREAD)
+        wait_seconds = max(MIN_WAIT_SECONDS, back_at - now)
+        wait_seconds *= self.rng.uniform(1.0, MAX_WAIT_SPREAD_FACTOR)
         return relay_actions.Refuse(
-            exchange.number, UNAVAILABLE, LIMITED, wait
+            exchange.number, SERVICE_UNAVAILABLE, ENGINES_LIMITED, wait_seconds
         )
 
-    def failed(
+    def fail_request(
         self, exchange: exchanges.Exchange, code: str, now: float
     ) -> relay_actions.RelayAction:
         """Return the final answer of a request that nothing will serve.
@@ -70,10 +76,10 @@
         whether the request may have run.
         """
         if exchange.begun:
-            return relay_actions.BreakOff(exchange.number, code)
+            return relay_actions.AbortStream(exchange.number, code)
         if exchange.failed is not None:
             head, body = exchange.failed
             return relay_actions.PassAnswer(exchange.number, head, body)
         if not exchange.may_have_run:
-            return self.not_run(exchange, code, now)
+            return self.refuse_not_run(exchange, code, now)
         return relay_actions.Refuse(exchange.number, BAD_GATEWAY, code)
--- a/src/greengagelb/coordination/relay/calls.py
+++ b/src/greengagelb/coordination/relay/calls.py
@@ -6,9 +6,9 @@
 from greengagelb.coordination import timers
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import answers
-from greengagelb.coordination.relay import choosing
 from greengagelb.coordination.relay import crash_watch
 from greengagelb.coordination.relay import directory
+from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.relay import held_sends
 from greengagelb.coordination.relay import sending
@@ -16,32 +16,32 @@
 from greengagelb.state.relay import exchanges
 from greengagelb.state.relay import hints
 
-SECOND_TRY_TIMER = 'relay-second-try'
+HEDGE_TIMER = 'relay-second-try'
 # When a call is later than its goal.
-LATE_TIMER = 'relay-call-late'
+LATE_CALL_TIMER = 'relay-call-late'
 # An idempotent call that has had no answer for this part of its goal is sent
 # to a second engine beside the first: one that stands still or is slow shows
 # no other sign, and the rest of the goal still suffices for a whole call.
-SECOND_TRY_SHARE = 0.6
+HEDGE_DELAY_SHARE = 0.6
 # Connections that could not be opened cost no attempt, as nothing was sent.
 # Bounded all the same, so that a request does not go round a dead pool.
-MOST_UNCONNECTED = 12
+MAX_FAILED_CONNECTIONS = 12
 # The status by which an engine says that it is not the one that was meant.
-WRONG_ENGINE = 421
+MISDIRECTED_REQUEST = 421
 
 Action = relay_actions.RelayAction
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class RelayParts:
     """What calls and streams are decided with."""
 
     engines: directory.EngineDirectory
-    chooser: choosing.Chooser
-    sends: sending.SendTable
-    answers: answers.Answers
-    crashes: crash_watch.CrashWatch
-    held: held_sends.HeldSends
+    selector: engine_selection.EngineSelector
+    send_table: sending.SendTable
+    answers: answers.AnswerBuilder
+    crash_watch: crash_watch.CrashWatch
+    waiting_sends: held_sends.HeldSends
 
     def wait_for_permit(
         self,
@@ -56,14 +56,14 @@
         Returns what follows, or None where the send needs no permit. It ends
         with ``code`` if it has had all its attempts.
         """
-        if not self.held.needed(state):
+        if not self.waiting_sends.needed(state):
             return None
-        if not self.sends.has_attempts(exchange):
-            return [self.answers.failed(exchange, code, now)]
-        self.held.hold(exchange, state, step, now)
+        if not self.send_table.has_attempts_left(exchange):
+            return [self.answers.fail_request(exchange, code, now)]
+        self.waiting_sends.hold(exchange, state, step, now)
         return []
 
-    def refuse(
+    def refuse_without_engine(
         self,
         exchange: exchanges.Exchange,
         excluded: set[str],
@@ -75,50 +75,56 @@
         Where engines would but for their limits, it says when they do.
         """
         ruling = exchange.ruling
-        back_at = self.chooser.back_at(
+        available_at = self.selector.available_again_at(
             ruling.service.name, excluded, now, ruling.account
         )
-        if back_at is None or exchange.begun or exchange.may_have_run:
-            return self.answers.failed(exchange, code, now)
-        return self.answers.limited(exchange, back_at, now)
+        if available_at is None or exchange.begun or exchange.may_have_run:
+            return self.answers.fail_request(exchange, code, now)
+        return self.answers.refuse_limited(exchange, available_at, now)
 
 
 class CallRelay:
     """Decides what happens to each short call."""
 
-    def __init__(self, parts: Parts) -> None:
+    def __init__(self, parts: RelayParts) -> None:
         self.parts = parts
 
-    def begin(self, exchange: exchanges.Exchange, now: float) -> list[Action]:
+    def start_request(
+        self, exchange: exchanges.Exchange, now: float
+    ) -> list[Action]:
         """Send a call for the first time, or refuse it at once."""
-        return self.send_on(exchange, now, 'no-engine')
+        return self.send_to_next_engine(exchange, now, 'no-engine')
 
-    def send_on(
+    def send_to_next_engine(
         self, exchange: exchanges.Exchange, now: float, code: str
     ) -> list[Action]:
         """Send a call to an engine that has not had it, or end it."""
-        if self.parts.crashes.blocks(exchange, now):
+        if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.failed(exchange, code, now)]
-        state = self.chosen(exchange, now)
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        state = self.choose_engine(exchange, now)
         if state is None:
-            return [self.parts.refuse(exchange, exchange.tried, code, now)]
+            return [
+                self.parts.refuse_without_engine(
+                    exchange, exchange.tried, code, now
+                )
+            ]
         step = held_sends.CallTry(code)
-        waits = self.parts.wait_for_permit(exchange, state, step, code, now)
-        if waits is not None:
-            return waits
-        return self.send_to(exchange, state, code, now)
+        pending = self.parts.wait_for_permit(exchange, state, step, code, now)
+        if pending is not None:
+            return pending
+        return self.send_to_engine(exchange, state, code, now)
 
-    def chosen(
+    def choose_engine(
         self, exchange: exchanges.Exchange, now: float
     ) -> engine_states.EngineState | None:
         """Return the engine for a call's next try, or None."""
         ruling = exchange.ruling
-        return self.parts.chooser.for_call(
+        return self.parts.selector.choose_for_call(
             ruling.service.name, exchange.tried, now, ruling.account
         )
 
-    def send_to(
+    def send_to_engine(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -126,23 +132,23 @@
         now: float,
     ) -> list[Action]:
         """Send a call to an engine that takes it, or end it."""
-        if self.parts.crashes.blocks(exchange, now):
+        if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.failed(exchange, code, now)]
-        if not self.parts.sends.may_repeat(exchange, now):
-            return [self.parts.answers.failed(exchange, code, now)]
-        done = self.parts.sends.order(exchange, state, now)
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        if not self.parts.send_table.acquire_attempt(exchange, now):
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        done = self.parts.send_table.start_send(exchange, state, now)
         goal = exchange.ruling.route.goal
-        late = timers.timer_name(LATE_TIMER, exchange.number)
+        late = timers.timer_name(LATE_CALL_TIMER, exchange.number)
         done.append(actions.SetTimer(late, now + goal))
         if exchange.ruling.route.repeatable:
-            name = timers.timer_name(SECOND_TRY_TIMER, exchange.number)
-            done.append(actions.SetTimer(name, now + SECOND_TRY_SHARE * goal))
+            name = timers.timer_name(HEDGE_TIMER, exchange.number)
+            done.append(actions.SetTimer(name, now + HEDGE_DELAY_SHARE * goal))
         return done
 
     # -- what becomes of a send ---------------------------------------------
 
-    def answered(
+    def handle_answer(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -150,10 +156,12 @@
         now: float,
     ) -> list[Action]:
         """Pass a whole answer on, or try another engine."""
-        told = self.parts.sends.heard(exchange, sent, event.head, now)
-        return told + self.taken(exchange, sent, event, now)
+        told = self.parts.send_table.note_answer_head(
+            exchange, sent, event.head, now
+        )
+        return told + self.decide_answer(exchange, sent, event, now)
 
-    def taken(
+    def decide_answer(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -162,33 +170,37 @@
     ) -> list[Action]:
         """Decide what the caller gets of a whole answer."""
         head = event.head
-        self.parts.sends.release(exchange, sent)
+        self.parts.send_table.release_send(exchange, sent)
         if head.not_run:
-            return self.not_run(exchange, sent, head.status, now)
+            return self.retry_not_run(exchange, sent, head.status, now)
         exchange.may_have_run = True
-        told = self.parts.crashes.survived(exchange, now)
-        self.parts.sends.untold.extend(told)
+        told = self.parts.crash_watch.survived(exchange, now)
+        self.parts.send_table.pending_hints.extend(told)
         self.parts.engines.worked(sent.entry.engine, now)
         if head.status >= 500:
-            self.erred(sent, now)
+            self.count_engine_error(sent, now)
         if not head.sealed and head.succeeded:
-            return self.lost(exchange, sent, 'unsigned answer', now)
+            return self.handle_lost_send(
+                exchange, sent, 'unsigned answer', now
+            )
         if head.status >= 500 and exchange.ruling.route.repeatable:
             exchange.failed = (head, event.body)
-            return self.lost(exchange, sent, f'status {head.status}', now)
-        done = self.parts.sends.abandon_all(exchange)
+            return self.handle_lost_send(
+                exchange, sent, f'status {head.status}', now
+            )
+        done = self.parts.send_table.abandon_all_sends(exchange)
         passed = relay_actions.PassAnswer(exchange.number, head, event.body)
         took = now - exchange.request.received_at
-        call = relay_actions.Measured.CALL
-        return [*done, passed, relay_actions.Measure(call, took)]
+        call = relay_actions.DurationKind.CALL
+        return [*done, passed, relay_actions.ObserveDuration(call, took)]
 
-    def erred(self, sent: exchanges.Sent, now: float) -> None:
+    def count_engine_error(self, sent: exchanges.Sent, now: float) -> None:
         """Count an engine's error, here and at the other instances."""
         engine, start = sent.entry.engine, sent.entry.started_at_ms
         self.parts.engines.erred(engine, now, start)
-        self.parts.sends.untold.append(hints.Erred(engine, start))
+        self.parts.send_table.pending_hints.append(hints.Erred(engine, start))
 
-    def not_run(
+    def retry_not_run(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -196,21 +208,21 @@
         now: float,
     ) -> list[Action]:
         """Try another engine: this one says that it did not run the call."""
-        if status == WRONG_ENGINE:
-            self.parts.sends.found_replaced(exchange, sent)
+        if status == MISDIRECTED_REQUEST:
+            self.parts.send_table.note_engine_replaced(exchange, sent)
         why = f'not run, status {status}'
         done: list[Action] = [
             sending.record(exchange, sent, 'send-refused', why)
         ]
         if exchange.sends:
             return done
-        return done + self.send_on(exchange, now, 'engines-full')
+        return done + self.send_to_next_engine(exchange, now, 'engines-full')
 
-    def broken(
+    def handle_broken_send(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
-        event: relay_events.SendBroken,
+        event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
         """Go on after a send that brought no answer."""
@@ -220,14 +232,16 @@
             dead=not event.handed_over,
             started_at_ms=sent.entry.started_at_ms,
         )
-        self.parts.sends.release(exchange, sent)
+        self.parts.send_table.release_send(exchange, sent)
         if event.handed_over:
             exchange.may_have_run = True
             # Nothing is heard of a call before its answer.
-            asked = self.parts.crashes.broke_off(
+            asked = self.parts.crash_watch.broke_off(
                 exchange, sent, sent.began_at, now
             )
-            return asked + self.lost(exchange, sent, event.detail, now)
+            return asked + self.handle_lost_send(
+                exchange, sent, event.detail, now
+            )
         exchange.attempts -= 1
         exchange.unconnected += 1
         done: list[Action] = [
@@ -235,12 +249,17 @@
         ]
         if exchange.sends:
             return done
-        if exchange.unconnected >= MOST_UNCONNECTED:
+        if exchange.unconnected >= MAX_FAILED_CONNECTIONS:
             code = 'engines-unreachable'
-            return [*done, self.parts.answers.failed(exchange, code, now)]
-        return done + self.send_on(exchange, now, 'engines-unreachable')
+            return [
+                *done,
+                self.parts.answers.fail_request(exchange, code, now),
+            ]
+        return done + self.send_to_next_engine(
+            exchange, now, 'engines-unreachable'
+        )
 
-    def lost(
+    def handle_lost_send(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -248,17 +267,23 @@
         now: float,
     ) -> list[Action]:
         """Repeat a call that may have run, if that does no harm."""
-        done: list[Action] = [sending.lost(exchange, sent, detail, now)]
+        done: list[Action] = [
+            sending.lost_send_record(exchange, sent, detail, now)
+        ]
         if exchange.sends:
             return done
         if exchange.ruling.route.repeatable:
-            if self.parts.crashes.holds(exchange, sent, now):
+            if self.parts.crash_watch.holds(exchange, sent, now):
                 return done
-            return done + self.send_on(exchange, now, 'engines-failed')
+            return done + self.send_to_next_engine(
+                exchange, now, 'engines-failed'
+            )
         code = 'outcome-unknown'
-        return [*done, self.parts.answers.failed(exchange, code, now)]
+        return [*done, self.parts.answers.fail_request(exchange, code, now)]
 
-    def late(self, exchange: exchanges.Exchange, now: float) -> list[Action]:
+    def count_late_sends(
+        self, exchange: exchanges.Exchange, now: float
+    ) -> list[Action]:
         """Count a late answer against the engine, as an error would be.
 
         An engine may leave calls without an answer while its status check is
@@ -269,34 +294,34 @@
         goal = exchange.ruling.route.goal
         for sent in exchange.sends.values():
             if now >= sent.began_at + goal:
-                self.erred(sent, now)
+                self.count_engine_error(sent, now)
         return []
 
-    def second_try(
+    def start_hedge(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
         """Send a call that stays without answer to a second engine too."""
         if len(exchange.sends) != 1:
             return []
-        if self.parts.crashes.blocks(exchange, now):
+        if self.parts.crash_watch.blocks(exchange, now):
             return []
-        state = self.chosen(exchange, now)
+        state = self.choose_engine(exchange, now)
         if state is None or state.in_flight >= state.entry.slots:
             return []
-        if not self.parts.held.needed(state):
-            return self.send_beside(exchange, state, now)
-        if self.parts.sends.has_attempts(exchange):
+        if not self.parts.waiting_sends.needed(state):
+            return self.send_hedge(exchange, state, now)
+        if self.parts.send_table.has_attempts_left(exchange):
             step = held_sends.SecondTry()
-            self.parts.held.hold(exchange, state, step, now)
+            self.parts.waiting_sends.hold(exchange, state, step, now)
         return []
 
-    def send_beside(
+    def send_hedge(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
         now: float,
     ) -> list[Action]:
         """Send a call to a second engine, if it may be repeated."""
-        if not self.parts.sends.may_repeat(exchange, now):
+        if not self.parts.send_table.acquire_attempt(exchange, now):
             return []
-        return self.parts.sends.order(exchange, state, now)
+        return self.parts.send_table.start_send(exchange, state, now)
--- a/src/greengagelb/coordination/relay/crashing.py
+++ b/src/greengagelb/coordination/relay/crashing.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        parts: calls.Parts,
+        parts: calls.RelayParts,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
         sharing: store_sharing.StoreSharing,
@@ -42,7 +42,7 @@
         self.streams = stream_relay
         self.sharing = sharing
         self.running = running
-        self.watch = parts.crashes
+        self.watch = parts.crash_watch
 
     # -- what is seen here --------------------------------------------------
 
@@ -53,7 +53,7 @@
         until = self.watch.records.blocked_until(exchange.fingerprint, now)
         if until is None:
             return None
-        return [self.parts.answers.not_before(exchange, until, now)]
+        return [self.parts.answers.refuse_until(exchange, until, now)]
 
     def checked(
         self, event: relay_events.EngineChecked, now: float
@@ -65,11 +65,11 @@
         done: list[Action] = []
         for fingerprint in verdict.counted:
             report = self.watch.records.build_report(fingerprint, now)
-            self.parts.sends.untold.append(report)
+            self.parts.send_table.pending_hints.append(report)
             done.append(told_crash(report, event))
             done += self.retell_later(fingerprint, now)
             if self.watch.records.is_blocked(fingerprint, now):
-                done.append(relay_actions.KeepCrashes(report))
+                done.append(relay_actions.StoreCrashReport(report))
                 done += self.block(fingerprint, now)
         for number, sent in verdict.held:
             done += self.go_on(number, sent, now)
@@ -87,7 +87,7 @@
         fingerprint = rest.partition(' ')[2]
         if fingerprint in self.watch.records.histories:
             report = self.watch.records.build_report(fingerprint, now)
-            self.parts.sends.untold.append(report)
+            self.parts.send_table.pending_hints.append(report)
         return []
 
     def go_on(
@@ -100,8 +100,8 @@
         if self.watch.holds(exchange, sent, now):
             return []
         if exchange.ruling.route.repeat is routes.Repeat.STREAM:
-            return self.streams.go_on_elsewhere(exchange, sent, now)
-        return self.calls.send_on(exchange, now, 'engines-failed')
+            return self.streams.start_replacement(exchange, sent, now)
+        return self.calls.send_to_next_engine(exchange, now, 'engines-failed')
 
     def block(self, fingerprint: str, now: float) -> list[Action]:
         """Stop what runs of a request that must not run any more.
@@ -117,9 +117,11 @@
                 continue
             if exchange.sends:
                 exchange.may_have_run = True
-                done += self.parts.sends.abandon_all(exchange)
+                done += self.parts.send_table.abandon_all_sends(exchange)
                 code = answers.CRASHES_ENGINES
-                done.append(self.parts.answers.failed(exchange, code, now))
+                done.append(
+                    self.parts.answers.fail_request(exchange, code, now)
+                )
         return done
 
     # -- what others know ---------------------------------------------------
@@ -161,9 +163,9 @@
         blocked = set(self.watch.records.blocked_fingerprints(now))
         for fingerprint in sorted(blocked - kept):
             report = self.watch.records.build_report(fingerprint, now)
-            done.append(relay_actions.KeepCrashes(report))
+            done.append(relay_actions.StoreCrashReport(report))
         for fingerprint in sorted(kept - blocked):
-            done.append(relay_actions.DropCrashes(fingerprint))
+            done.append(relay_actions.DeleteCrashReport(fingerprint))
         return done
 
 
--- a/src/greengagelb/coordination/relay/engine_list.py
+++ b/src/greengagelb/coordination/relay/engine_list.py
@@ -2,9 +2,9 @@
 
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
-from greengagelb.coordination.relay import copying
 from greengagelb.coordination.relay import directory
 from greengagelb.coordination.relay import restarts
+from greengagelb.coordination.relay import run_copies
 from greengagelb.coordination.relay import store_sharing
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import hints
@@ -30,7 +30,7 @@
         self,
         known: directory.EngineDirectory,
         sharing: store_sharing.StoreSharing,
-        copies: copying.RunCopies,
+        copies: run_copies.RunCopies,
         restarted: restarts.Restarts,
     ) -> None:
         self.engines = known
@@ -86,7 +86,7 @@
         else:
             # The others get no notification, so one of them has to read.
             self.sharing.reads_for_all = False
-        return [*done, relay_actions.TellFleet(tuple(told))]
+        return [*done, relay_actions.ForwardHints(tuple(told))]
 
     def eras_told(self) -> list[hints.Hint]:
         """Return what the others have to know before all else."""
@@ -100,13 +100,13 @@
         """Take in that the store has come back from a copy."""
         self.engines.store_restored(now)
         self.sharing.restored()
-        return [relay_actions.LookAtStore()]
+        return [relay_actions.RescheduleStoreRead()]
 
     def asked(self) -> list[Action]:
         """Tell the others who can't read it that this one tries the store."""
         if not self.sharing.engines.failures:
             return []
-        return [relay_actions.TellFleet((hints.StoreTried(),))]
+        return [relay_actions.ForwardHints((hints.StoreTried(),))]
 
     def notification(self, *, was_reader: bool) -> hints.StoreRead:
         """Return what the others are told of what stands in the store.
@@ -146,7 +146,7 @@
         """Tell that an engine gets no more work; replace the copies there."""
         return [
             actions.Record('engine-leaving', why, upstream=engine),
-            *self.copies.lost_at(engine, now),
+            *self.copies.replace_lost_copies(engine, now),
         ]
 
     def store_lost(self, detail: str) -> list[Action]:
--- a/src/greengagelb/coordination/relay/choosing.py
+++ b/src/greengagelb/coordination/relay/engine_selection.py
@@ -11,10 +11,10 @@
 
 # An engine's own word on its load counts for less the older it is, and for
 # nothing after this many seconds: short calls are over by then.
-LOAD_TRUST_SECONDS = 0.5
+LOAD_REPORT_MAX_AGE_SECONDS = 0.5
 # What an engine of another data centre has to be better by, as a part of its
 # slots for calls. A link between data centres may be cut at any moment.
-FAR_CALL_PENALTY = 0.15
+REMOTE_CALL_PENALTY = 0.15
 # What an engine costs that fails more calls than the others, in the same
 # unit: it is used only where all slots of the others are taken.
 ERRING_CALL_PENALTY = 1.0
@@ -22,16 +22,16 @@
 # and the others come first as far as they have room. And what each second
 # costs for which a permit is waited for.
 LIMITED_CALL_PENALTY = 0.25
-PERMIT_CALL_PENALTY = 10.0
+PERMIT_WAIT_CALL_PENALTY_PER_SECOND = 10.0
 # The same for streams, in seconds of waiting for the first event. More would
 # crowd the engines nearby, where prompts then wait for one another.
-FAR_STREAM_SECONDS = 0.03
+REMOTE_STREAM_PENALTY_SECONDS = 0.03
 # What an engine costs a new stream that has named a limit, in seconds beside
 # the wait for its permit.
-LIMITED_STREAM_SECONDS = 0.1
+LIMITED_STREAM_PENALTY_SECONDS = 0.1
 # What each run on an engine costs a new one there, in seconds: all runs share
 # each step, and the new prompt holds up the others.
-RUN_SECONDS = 0.05
+RUN_PENALTY_SECONDS = 0.05
 # Spreads choices that instances make at the same moment by the same figures.
 JITTER_SECONDS = 0.02
 # The same for a prompt that has to be read again after a loss. The streams of
@@ -39,26 +39,26 @@
 # each other's choices; with the small spread all of them chose the few engines
 # with the least work, and their callers waited for each other's prompts. Less
 # than half of the time that an engine reads a usual prompt for.
-LOSS_SPREAD_SECONDS = 0.4
+LOSS_JITTER_SECONDS = 0.4
 # Copies are put on the emptiest of so many engines that are drawn by chance,
 # for the same reason.
-COPY_CHOICES = 3
+COPY_SAMPLE_SIZE = 3
 # What an engine without room in its memory costs: the run would wait there
 # or push out another one.
-FULL_SECONDS = 10.0
+FULL_ENGINE_PENALTY_SECONDS = 10.0
 # What a data centre costs whose engines fail one after the other, in seconds.
 # A link that is cut costs each request that tries it a quarter of a second a
 # time, and a prompt given to an engine that dies next costs a second.
-FAILING_PLACE_SECONDS = 1.5
+FAILING_DATA_CENTRE_PENALTY_SECONDS = 1.5
 # What the word of another instance against an engine costs it, in seconds.
 DOUBT_PENALTY_SECONDS = 1.0
 # Copies of memory take no more than this part of an engine's memory together
 # with its runs, counted at their greatest, so that they push out no run. A
 # run without a copy costs a prompt read again at the next loss.
-MOST_COPIED = 0.95
+MAX_COPIED_MEMORY_SHARE = 0.95
 
 
-class Chooser:
+class EngineSelector:
     """Chooses by what the directory and the loads tell."""
 
     def __init__(
@@ -77,7 +77,7 @@
 
     # -- limits -------------------------------------------------------------
 
-    def open(
+    def available_engines(
         self, service: str, excluded: set[str], account: str, now: float
     ) -> list[engine_states.EngineState]:
         """Return the engines that may take a request of an account now."""
@@ -91,7 +91,7 @@
             is None
         ]
 
-    def back_at(
+    def available_again_at(
         self, service: str, excluded: set[str], now: float, account: str
     ) -> float | None:
         """Return when engines that have reached their limits take more.
@@ -106,103 +106,118 @@
 
     # -- calls --------------------------------------------------------------
 
-    def for_call(
+    def choose_for_call(
         self, service: str, excluded: set[str], now: float, account: str = ''
     ) -> engine_states.EngineState | None:
         """Return the engine that is likely to answer a short call soonest."""
-        found = self.open(service, excluded, account, now)
+        found = self.available_engines(service, excluded, account, now)
         if not found:
             return None
         self.rng.shuffle(found)
-        return min(found, key=lambda state: self.call_score(state, now))
+        return min(found, key=lambda state: self.call_cost(state, now))
 
-    def call_score(
-        self, state: engine_states.EngineState, now: float
-    ) -> float:
+    def call_cost(self, state: engine_states.EngineState, now: float) -> float:
         """Return how taken an engine is; lower is better."""
-        taken = state.in_flight + self.others_at(state, now)
-        score = taken / max(1, state.entry.slots)
+        in_use = state.in_flight + self.load_from_others(state, now)
+        cost = in_use / max(1, state.entry.slots)
         if state.entry.data_centre != self.data_centre:
-            score += FAR_CALL_PENALTY
+            cost += REMOTE_CALL_PENALTY
         if self.engines.erring.avoided(state.entry.engine, now):
-            score += ERRING_CALL_PENALTY
+            cost += ERRING_CALL_PENALTY
         life = state.entry.life
         if self.keeper.is_limited(life):
             wait = self.keeper.expected_wait_seconds(life, now)
-            score += LIMITED_CALL_PENALTY + PERMIT_CALL_PENALTY * wait
-        return score
+            cost += (
+                LIMITED_CALL_PENALTY
+                + PERMIT_WAIT_CALL_PENALTY_PER_SECOND * wait
+            )
+        return cost
 
-    def others_at(self, state: engine_states.EngineState, now: float) -> float:
+    def load_from_others(
+        self, state: engine_states.EngineState, now: float
+    ) -> float:
         """Return the work of other instances on an engine, by its word."""
         if state.load is None:
             return 0.0
         age = now - state.load_at
-        trust = max(0.0, 1.0 - age / LOAD_TRUST_SECONDS)
-        told = state.load.running + state.load.waiting
-        return trust * max(0, told - state.in_flight_at_load)
+        report_weight = max(0.0, 1.0 - age / LOAD_REPORT_MAX_AGE_SECONDS)
+        reported = state.load.running + state.load.waiting
+        return report_weight * max(0, reported - state.in_flight_at_load)
 
     # -- streams ------------------------------------------------------------
 
-    def for_stream(
+    def choose_for_stream(
         self,
         ruling: requests.Ruling,
         prompt: requests.Prompt | None,
         excluded: set[str],
         now: float,
-        spread: float = JITTER_SECONDS,
+        jitter_seconds: float = JITTER_SECONDS,
     ) -> engine_states.EngineState | None:
         """Return the engine where a prompt is likely to be read soonest.
 
         Those that differ by less than ``spread`` seconds are as good.
         """
         service = ruling.service
-        found = self.open(service.name, excluded, ruling.account, now)
+        found = self.available_engines(
+            service.name, excluded, ruling.account, now
+        )
         if not found:
             return None
-        need = prompt.most_memory if prompt else 0
-        part = prompt.own_part if prompt else ''
-        holder = self.loads.prompts.holder(part, now)
-        failing = self.engines.failing_places(service.name, now)
-
-        def score(state: engine_states.EngineState) -> float:
-            place = failing.get(state.entry.data_centre, 0.0)
-            seconds = self.stream_score(state, service, need, now)
-            seconds += self.rng.uniform(0.0, spread)
+        needed_tokens = prompt.most_memory if prompt else 0
+        prompt_part = prompt.own_part if prompt else ''
+        holder = self.loads.prompts.likely_holder(prompt_part, now)
+        failing_by_data_centre = self.engines.failing_places(service.name, now)
+
+        def cost(state: engine_states.EngineState) -> float:
+            failing_score = failing_by_data_centre.get(
+                state.entry.data_centre, 0.0
+            )
+            seconds = self.stream_cost_seconds(
+                state, service, needed_tokens, now
+            )
+            seconds += self.rng.uniform(0.0, jitter_seconds)
             if state.entry.engine == holder and prompt is not None:
                 seconds -= self.loads.reading_seconds(prompt.tokens)
-            return seconds + FAILING_PLACE_SECONDS * place
+            return (
+                seconds + FAILING_DATA_CENTRE_PENALTY_SECONDS * failing_score
+            )
 
-        return min(found, key=score)
+        return min(found, key=cost)
 
-    def stream_score(
+    def stream_cost_seconds(
         self,
         state: engine_states.EngineState,
         service: routes.Service,
-        need: int,
+        needed_tokens: int,
         now: float,
     ) -> float:
         """Return about how many seconds an engine costs a new stream."""
         work = self.loads.of(state.entry.engine)
-        score = max(0.0, work.reading_until - now)
-        score += RUN_SECONDS * work.runs
+        cost = max(0.0, work.reading_until - now)
+        cost += RUN_PENALTY_SECONDS * work.runs
         if now < state.doubted_until:
-            score += DOUBT_PENALTY_SECONDS
+            cost += DOUBT_PENALTY_SECONDS
         if state.entry.data_centre != self.data_centre:
-            score += FAR_STREAM_SECONDS
+            cost += REMOTE_STREAM_PENALTY_SECONDS
         life = state.entry.life
         if self.keeper.is_limited(life):
-            score += LIMITED_STREAM_SECONDS
-            score += self.keeper.expected_wait_seconds(life, now)
-        room = service.engines.memory_tokens if service.engines else 0
+            cost += LIMITED_STREAM_PENALTY_SECONDS
+            cost += self.keeper.expected_wait_seconds(life, now)
+        capacity_tokens = (
+            service.engines.memory_tokens if service.engines else 0
+        )
         # A configuration need not say how much memory its engines have.
-        if room > 0:
-            held = work.memory_tokens + work.copied_tokens
-            over = held + need - room
-            if over > 0:
-                score += FULL_SECONDS * (1.0 + over / room)
-        return score
-
-    def for_copy(
+        if capacity_tokens > 0:
+            used_tokens = work.memory_tokens + work.copied_tokens
+            excess_tokens = used_tokens + needed_tokens - capacity_tokens
+            if excess_tokens > 0:
+                cost += FULL_ENGINE_PENALTY_SECONDS * (
+                    1.0 + excess_tokens / capacity_tokens
+                )
+        return cost
+
+    def choose_for_copy(
         self,
         service: routes.Service,
         prompt: requests.Prompt | None,
@@ -220,34 +235,43 @@
         """
         if service.engines is None or not service.engines.copies:
             return None
-        need = prompt.most_memory if prompt else 0
-        capacity = MOST_COPIED * service.engines.memory_tokens
-        own = running_on.entry
-        able = [
+        needed_tokens = prompt.most_memory if prompt else 0
+        copy_limit_tokens = (
+            MAX_COPIED_MEMORY_SHARE * service.engines.memory_tokens
+        )
+        run_entry = running_on.entry
+        eligible = [
             state
             for state in self.engines.candidates(
-                service.name, excluded | {own.engine}, now
+                service.name, excluded | {run_entry.engine}, now
             )
             if state.trusted(now)
             and now >= state.doubted_until
-            and self.held(state.entry.engine) + need <= capacity
+            and self.held_tokens(state.entry.engine) + needed_tokens
+            <= copy_limit_tokens
         ]
-        if not able:
+        if not eligible:
             return None
-        failing = self.engines.failing_places(service.name, now)
-        calm = [s for s in able if failing.get(s.entry.data_centre, 0.0) < 1]
-        able = calm or able
-        apart = [s for s in able if s.entry.data_centre != own.data_centre]
-        near = [s for s in apart if s.entry.data_centre == self.data_centre]
-        found = near or apart or able
-        drawn = self.rng.sample(found, min(COPY_CHOICES, len(found)))
-        return min(drawn, key=self.copy_score)
-
-    def held(self, engine: str) -> int:
+        failing_by_data_centre = self.engines.failing_places(service.name, now)
+        stable = [
+            s
+            for s in eligible
+            if failing_by_data_centre.get(s.entry.data_centre, 0.0) < 1
+        ]
+        eligible = stable or eligible
+        outside = [
+            s for s in eligible if s.entry.data_centre != run_entry.data_centre
+        ]
+        local = [s for s in outside if s.entry.data_centre == self.data_centre]
+        found = local or outside or eligible
+        sampled = self.rng.sample(found, min(COPY_SAMPLE_SIZE, len(found)))
+        return min(sampled, key=self.copy_cost)
+
+    def held_tokens(self, engine: str) -> int:
         """Return the tokens that runs and copies hold on an engine."""
         work = self.loads.of(engine)
         return work.memory_tokens + work.copied_tokens
 
-    def copy_score(self, state: engine_states.EngineState) -> float:
+    def copy_cost(self, state: engine_states.EngineState) -> float:
         """Return how much an engine holds already; lower is better."""
-        return self.held(state.entry.engine) + self.rng.random()
+        return self.held_tokens(state.entry.engine) + self.rng.random()
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerBegan:
+class AnswerStarted:
     """An engine has begun to answer a stream request with success."""
 
     exchange: int
@@ -31,7 +31,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StreamMoved:
+class StreamProgressed:
     """Whole events of a stream, in the order in which they came."""
 
     exchange: int
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendBroken:
+class SendFailed:
     """A send ended without a whole answer.
 
     ``handed_over`` is false only where no byte of the request was given to a
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopBy:
+class StopRequested:
     """This instance is to stop; ``deadline`` is when all must have ended.
 
     ``asked_at`` is when the platform asked for it, if that was noticed late.
@@ -119,12 +119,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopDue:
+class ServingEnded:
     """Nobody is served here any more, or the time for a stop is up."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Closed:
+class ConnectionsClosed:
     """All that was written is out, and nobody can connect any more."""
 
 
@@ -141,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EnginesAsked:
+class EngineListRequested:
     """The store is asked for the list of engines."""
 
 
@@ -243,21 +243,21 @@
 
 RelayEvent = (
     RequestArrived
-    | AnswerBegan
-    | StreamMoved
+    | AnswerStarted
+    | StreamProgressed
     | StreamComplete
     | AnswerComplete
-    | SendBroken
+    | SendFailed
     | ConfigurationChecked
     | RoutesOffered
     | EnginesListed
     | EnginesChanged
     | StoreLost
     | StoreRestored
-    | EnginesAsked
-    | StopBy
-    | StopDue
-    | Closed
+    | EngineListRequested
+    | StopRequested
+    | ServingEnded
+    | ConnectionsClosed
     | EngineProbed
     | EngineChecked
     | CrashesListed
--- a/src/greengagelb/coordination/relay/limited.py
+++ b/src/greengagelb/coordination/relay/limited.py
@@ -26,14 +26,14 @@
 
     def __init__(
         self,
-        parts: calls.Parts,
+        parts: calls.RelayParts,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
         running: dict[int, exchanges.Exchange],
     ) -> None:
         self.parts = parts
-        self.keeper = parts.held.keeper
-        self.waiting = parts.held.waiting
+        self.keeper = parts.waiting_sends.keeper
+        self.waiting = parts.waiting_sends.waiting
         self.calls = call_relay
         self.streams = stream_relay
         self.running = running
@@ -191,13 +191,13 @@
         """Make a send that has its permit."""
         match held.step:
             case held_sends.CallTry(code):
-                return self.calls.send_to(exchange, state, code, now)
+                return self.calls.send_to_engine(exchange, state, code, now)
             case held_sends.SecondTry():
-                return self.calls.send_beside(exchange, state, now)
+                return self.calls.send_hedge(exchange, state, now)
             case held_sends.StreamStart(code):
-                return self.streams.start_at(exchange, state, code, now)
+                return self.streams.start_on_engine(exchange, state, code, now)
             case held_sends.StreamFromCopy(lost=lost):
-                return self.streams.go_on_from_copy(exchange, lost, now)
+                return self.streams.resume_from_copy(exchange, lost, now)
 
     def elsewhere(
         self,
@@ -210,12 +210,12 @@
             return []
         match held.step:
             case held_sends.CallTry(code):
-                return self.calls.send_on(exchange, now, code)
+                return self.calls.send_to_next_engine(exchange, now, code)
             case held_sends.StreamStart(code):
-                return self.streams.start_afresh(exchange, now, code)
+                return self.streams.start_from_prompt(exchange, now, code)
             case held_sends.StreamFromCopy():
                 code = 'engines-failed'
-                return self.streams.start_afresh(exchange, now, code)
+                return self.streams.start_from_prompt(exchange, now, code)
         return []
 
     def why(
--- a/src/greengagelb/coordination/relay/loads.py
+++ b/src/greengagelb/coordination/relay/loads.py
@@ -8,7 +8,7 @@
 
 import dataclasses
 
-from greengagelb.coordination.relay import prompts
+from greengagelb.coordination.relay import prompt_locations
 
 # Tokens of prompts that an engine reads in a second, before any are measured:
 # eight in a millisecond, as the users state for their engines.
@@ -56,7 +56,7 @@
     def __init__(self) -> None:
         self.runs: dict[tuple[str, int], Run] = {}
         self.work: dict[str, EngineWork] = {}
-        self.prompts = prompts.PromptHolders()
+        self.prompts = prompt_locations.PromptLocations()
         self.reading_rate = READING_RATE
 
     def reading_seconds(self, tokens: int) -> float:
@@ -80,7 +80,7 @@
         """
         known = self.ended(key)
         self.runs[key] = run
-        self.prompts.read_at(run.part, run.engine, now)
+        self.prompts.note_read(run.part, run.engine, now)
         work = self.work.setdefault(run.engine, EngineWork())
         work.runs += 1
         work.memory_tokens += run.memory_tokens
@@ -109,7 +109,7 @@
         The runs of the instance ``own`` stay counted: it ends each of them
         itself, and the copies that they have there.
         """
-        self.prompts.forget(engine)
+        self.prompts.forget_engine(engine)
         work = self.work.get(engine)
         if work is None:
             return
--- a/src/greengagelb/coordination/relay/peer_words.py
+++ b/src/greengagelb/coordination/relay/peer_words.py
@@ -3,7 +3,6 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import budget
-from greengagelb.coordination.relay import copying
 from greengagelb.coordination.relay import crashing
 from greengagelb.coordination.relay import directory
 from greengagelb.coordination.relay import engine_list
@@ -11,6 +10,7 @@
 from greengagelb.coordination.relay import fleet
 from greengagelb.coordination.relay import limited
 from greengagelb.coordination.relay import restarts
+from greengagelb.coordination.relay import run_copies
 from greengagelb.coordination.relay import store_sharing
 from greengagelb.state import crashes
 from greengagelb.state import limits
@@ -33,7 +33,7 @@
         others: fleet.FleetView,
         sharing: store_sharing.StoreSharing,
         retries: budget.SharedRetryBudget,
-        copies: copying.RunCopies,
+        copies: run_copies.RunCopies,
         restarted: restarts.Restarts,
         crashing_requests: crashing.CrashingRequests,
         limited_sends: limited.LimitedSends,
@@ -133,14 +133,14 @@
         if not missing or not self.sharing.reads_for_all:
             return []
         hint = hints.NotListed(missing[:MOST_NOT_LISTED])
-        return [relay_actions.TellFleet((hint,))]
+        return [relay_actions.ForwardHints((hint,))]
 
     def not_listed(self, incarnations: tuple[str, ...]) -> list[Action]:
         """Look at the list if it lacks this instance."""
         if self.fleet.own not in incarnations:
             return []
         self.sharing.not_listed()
-        return [relay_actions.LookAtStore()]
+        return [relay_actions.RescheduleStoreRead()]
 
     def store_read(
         self, incarnation: str, hint: hints.StoreRead, now: float
@@ -169,7 +169,7 @@
         """Read the store if something newer is known to be there."""
         sharing = self.sharing
         if sharing.engines.stale or sharing.configuration.stale:
-            return [relay_actions.LookAtStore()]
+            return [relay_actions.RescheduleStoreRead()]
         return []
 
     def version_told(self, version: int, now: float) -> None:
@@ -190,10 +190,10 @@
             case hints.Failed(engine, started_at_ms=start) | hints.Replaced(
                 engine, started_at_ms=start
             ):
-                return self.copies.lost_at(engine, now, start)
+                return self.copies.replace_lost_copies(engine, now, start)
             case hints.Silent(engine, start):
                 if self.engines.silent(engine, now, start):
-                    return self.copies.lost_at(engine, now, start)
+                    return self.copies.replace_lost_copies(engine, now, start)
         return []
 
 
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -14,12 +14,11 @@
 from greengagelb.coordination.relay import answers
 from greengagelb.coordination.relay import budget
 from greengagelb.coordination.relay import calls
-from greengagelb.coordination.relay import choosing
-from greengagelb.coordination.relay import copying
 from greengagelb.coordination.relay import crash_watch
 from greengagelb.coordination.relay import crashing
 from greengagelb.coordination.relay import directory
 from greengagelb.coordination.relay import engine_list
+from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.relay import fleet
 from greengagelb.coordination.relay import held_sends
@@ -28,6 +27,7 @@
 from greengagelb.coordination.relay import peer_words
 from greengagelb.coordination.relay import restarts
 from greengagelb.coordination.relay import rulings
+from greengagelb.coordination.relay import run_copies
 from greengagelb.coordination.relay import sending
 from greengagelb.coordination.relay import stopping
 from greengagelb.coordination.relay import store_sharing
@@ -44,13 +44,13 @@
 
 DEADLINE_TIMER = 'relay-deadline'
 # When an older configuration than others have is used for want of a newer.
-OLDER_TIMER = 'relay-older-configuration'
+OLDER_CONFIGURATION_TIMER = 'relay-older-configuration'
 TIMERS = (
     DEADLINE_TIMER,
     streams.SILENCE_TIMER,
-    calls.SECOND_TRY_TIMER,
-    calls.LATE_TIMER,
-    copying.COPY_TIMER,
+    calls.HEDGE_TIMER,
+    calls.LATE_CALL_TIMER,
+    run_copies.COPY_TIMER,
 )
 
 Action = relay_actions.RelayAction
@@ -71,31 +71,31 @@
         engine_bounds: bounds.EngineBounds,
     ) -> None:
         self.rng = rng
-        self.table: routes.RouteTable | None = None
-        self.older_offer: relay_events.RoutesOffered | None = None
+        self.route_table: routes.RouteTable | None = None
+        self.deferred_offer: relay_events.RoutesOffered | None = None
         self.engines = directory.EngineDirectory(
             engine_bounds.least_lapse_seconds
         )
-        self.engines_known = False
+        self.has_engine_list = False
         self.loads = loads.RunLoads()
         self.budget = budget.SharedRetryBudget(retry_bounds)
         self.keeper = limit_keeper.LimitKeeper(own.incarnation)
-        self.sends = sending.SendTable(
+        self.send_table = sending.SendTable(
             self.engines, self.loads, self.budget, self.keeper
         )
-        chooser = choosing.Chooser(
+        selector = engine_selection.EngineSelector(
             self.engines, self.loads, self.keeper, rng, own.data_centre
         )
         self.sharing = store_sharing.StoreSharing(own.incarnation, rng)
-        self.answers = answers.Answers(rng)
+        self.answers = answers.AnswerBuilder(rng)
         self.rulings = rulings.Rulings(rng)
-        self.crashes = crash_watch.CrashWatch()
-        parts = calls.Parts(
+        self.crash_watch = crash_watch.CrashWatch()
+        parts = calls.RelayParts(
             self.engines,
-            chooser,
-            self.sends,
+            selector,
+            self.send_table,
             self.answers,
-            self.crashes,
+            self.crash_watch,
             held_sends.HeldSends(self.keeper),
         )
         self.calls = calls.CallRelay(parts)
@@ -106,17 +106,17 @@
         self.fleet = fleet.FleetView(self.loads, own.incarnation)
         self.keeper.ranking.members = self.fleet.all_heard
         self.exchanges: dict[int, exchanges.Exchange] = {}
-        self.copies = copying.RunCopies(parts, self.exchanges)
+        self.copies = run_copies.RunCopies(parts, self.exchanges)
         self.restarts = restarts.Restarts(
             parts, self.calls, self.streams, self.copies, self.exchanges
         )
-        self.crashing = crashing.CrashingRequests(
+        self.crashing_requests = crashing.CrashingRequests(
             parts, self.calls, self.streams, self.sharing, self.exchanges
         )
-        self.limited = limited.LimitedSends(
+        self.limited_sends = limited.LimitedSends(
             parts, self.calls, self.streams, self.exchanges
         )
-        self.listed = engine_list.EngineList(
+        self.engine_list = engine_list.EngineList(
             self.engines,
             self.sharing,
             self.copies,
@@ -124,77 +124,83 @@
         )
         self.peers = peer_words.PeerWords(
             self.engines,
-            self.listed,
+            self.engine_list,
             self.fleet,
             self.sharing,
             self.budget,
             self.copies,
             self.restarts,
-            self.crashing,
-            self.limited,
+            self.crashing_requests,
+            self.limited_sends,
         )
-        self.life = stopping.StoppableLife()
+        self.lifecycle = stopping.InstanceLifecycle()
 
-    def rebound(
-        self, retries: bounds.RetryBounds, of_engines: bounds.EngineBounds
+    def apply_bounds(
+        self,
+        retry_bounds: bounds.RetryBounds,
+        engine_bounds: bounds.EngineBounds,
     ) -> None:
         """Go by changed bounds from now on."""
-        self.budget.bounds = retries
-        self.engines.least_lapse_seconds = of_engines.least_lapse_seconds
-        self.succession.address_reuse = of_engines.address_reuse_seconds
+        self.budget.bounds = retry_bounds
+        self.engines.least_lapse_seconds = engine_bounds.least_lapse_seconds
+        self.succession.address_reuse = engine_bounds.address_reuse_seconds
 
     @property
-    def usable_table(self) -> routes.RouteTable | None:
+    def usable_route_table(self) -> routes.RouteTable | None:
         """Return the configuration, once there are engines to go with it."""
-        return self.table if self.engines_known else None
+        return self.route_table if self.has_engine_list else None
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the balancer may send callers here."""
-        return self.life.serving
+        return self.lifecycle.is_serving
 
     @property
     def digests(self) -> hints.Digests:
         """Return what tells others whether they know the same."""
         return hints.Digests(
-            self.crashes.records.digest(), self.keeper.table.digest()
+            self.crash_watch.records.digest(), self.keeper.table.digest()
         )
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Return whether nothing is taken any more, as the process ends."""
-        return self.life.finished
+        return self.lifecycle.is_finished
 
     def handle(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
         """Decide what an event leads to."""
-        done = self.decide(event, now)
-        done += self.limited.settle(done, now)
-        for hint in list(self.sends.untold):
+        done = self.dispatch_event(event, now)
+        done += self.limited_sends.settle(done, now)
+        for hint in list(self.send_table.pending_hints):
             done += self.peers.copies_lost_with(hint, now)
         ended: list[Action] = []
         for action in done:
-            ended += self.close_if_final(action)
-        hinted = [relay_actions.TellPeers(h) for h in self.sends.untold]
-        self.sends.untold.clear()
-        return done + ended + hinted
+            ended += self.close_if_answered(action)
+        hint_actions = [
+            relay_actions.TellPeers(h) for h in self.send_table.pending_hints
+        ]
+        self.send_table.pending_hints.clear()
+        return done + ended + hint_actions
 
-    def close_if_final(self, action: Action) -> list[Action]:
+    def close_if_answered(self, action: Action) -> list[Action]:
         """Forget an exchange that has its final answer."""
         match action:
             case (
                 relay_actions.PassAnswer(exchange=number)
                 | relay_actions.EndStream(exchange=number)
-                | relay_actions.BreakOff(exchange=number)
+                | relay_actions.AbortStream(exchange=number)
                 | relay_actions.Refuse(exchange=number)
             ):
                 exchange = self.exchanges.get(number)
-                told = told_final(exchange, action) if exchange else []
-                return [*told, *self.close(number)]
+                told = (
+                    final_answer_records(exchange, action) if exchange else []
+                )
+                return [*told, *self.close_exchange(number)]
         return []
 
-    def close(self, number: int) -> list[Action]:
+    def close_exchange(self, number: int) -> list[Action]:
         """Forget an exchange and its timers."""
         if self.exchanges.pop(number, None) is None:
             return []
@@ -203,81 +209,81 @@
             for kind in TIMERS
         ]
 
-    def decide(
+    def dispatch_event(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
         """Pass an event to the object that it concerns."""
         match event:
             case relay_events.RequestArrived(request):
-                return self.arrive(request, now)
+                return self.handle_request(request, now)
             case (
-                relay_events.AnswerBegan()
-                | relay_events.StreamMoved()
+                relay_events.AnswerStarted()
+                | relay_events.StreamProgressed()
                 | relay_events.StreamComplete()
                 | relay_events.AnswerComplete()
-                | relay_events.SendBroken()
+                | relay_events.SendFailed()
                 | relay_events.EngineProbed()
                 | relay_events.RunCopied()
             ):
-                return self.of_send(event, now)
+                return self.handle_send_event(event, now)
             case events.CallerGone(exchange):
-                return self.caller_gone(exchange)
+                return self.handle_caller_gone(exchange)
             case events.TimerFired(name):
-                return self.timer_fired(name, now)
+                return self.handle_timer(name, now)
             case relay_events.RoutesOffered():
-                return self.configure(event, now)
+                return self.apply_configuration(event, now)
             case relay_events.ConfigurationChecked():
-                return self.configuration_checked(now)
+                return self.announce_configuration(now)
             case relay_events.EnginesListed(entries, unusable):
-                self.engines_known = True
-                return self.listed.read_whole(entries, unusable, now)
+                self.has_engine_list = True
+                return self.engine_list.read_whole(entries, unusable, now)
             case relay_events.EnginesChanged(entries, removed, unusable):
-                return self.listed.read(entries, removed, unusable, now)
+                return self.engine_list.read(entries, removed, unusable, now)
             case relay_events.StoreLost(detail):
-                return self.listed.store_lost(detail)
+                return self.engine_list.store_lost(detail)
             case relay_events.StoreRestored():
-                return self.listed.restored(now)
-            case relay_events.EnginesAsked():
-                return self.listed.asked()
+                return self.engine_list.restored(now)
+            case relay_events.EngineListRequested():
+                return self.engine_list.asked()
             case relay_events.SuccessorSeen(old, new, start) if old == new:
                 return self.restarts.found(old, start, now)
             case relay_events.SuccessorSeen():
-                return self.successor_seen(event, now)
-            case relay_events.StopBy():
-                return self.life.asked(event, now)
-            case relay_events.StopDue():
-                return self.life.due(len(self.exchanges))
-            case relay_events.Closed():
-                return self.life.closed(len(self.exchanges))
+                return self.use_successor(event, now)
+            case relay_events.StopRequested():
+                return self.lifecycle.begin_stop(event, now)
+            case relay_events.ServingEnded():
+                return self.lifecycle.end_serving(len(self.exchanges))
+            case relay_events.ConnectionsClosed():
+                return self.lifecycle.end_process(len(self.exchanges))
             case relay_events.EngineChecked():
-                return self.crashing.checked(event, now)
+                return self.crashing_requests.checked(event, now)
             case relay_events.CrashesListed(reports):
-                return self.crashing.listed(reports, now)
+                return self.crashing_requests.listed(reports, now)
             case events.PauseDetected(seconds):
-                return self.paused(seconds, now)
+                return self.handle_pause(seconds, now)
         return self.peers.hear(event, now)
 
-    def successor_seen(
+    def use_successor(
         self, event: relay_events.SuccessorSeen, now: float
     ) -> list[Action]:
         """Use an engine that has taken the place of a lost one."""
         if not self.succession.seen(event, now):
             return []
         old, new = event.old, event.new
-        self.sends.untold.append(hints.Replaced(old, new))
+        self.send_table.pending_hints.append(hints.Replaced(old, new))
         return [actions.Record('engine-succeeded', f'by {new}', upstream=old)]
 
     # -- requests -----------------------------------------------------------
 
-    def arrive(
+    def handle_request(
         self, request: requests.CallerRequest, now: float
     ) -> list[Action]:
         """Take a request, or refuse it at once."""
-        ruling = self.rulings.rule(request, self.usable_table)
+        ruling = self.rulings.rule(request, self.usable_route_table)
         if isinstance(ruling, relay_actions.Refuse):
             why = f'{ruling.status} {ruling.code}'
-            if self.table is not None:
-                why += f', version {self.table.version}'
+            if self.route_table is not None:
+                why += f', version {self.route_table.version}'
             told = actions.Record(
                 'refused', why, identity.RequestId('', request.request_id)
             )
@@ -289,17 +295,17 @@
         name = timers.timer_name(DEADLINE_TIMER, request.exchange)
         done: list[Action] = [actions.SetTimer(name, ruling.deadline)]
         stream = ruling.route.repeat is routes.Repeat.STREAM
-        refused = self.crashing.refused(exchange, now)
-        if refused is not None:
-            return done + refused
-        ends_by = now + self.most_seconds(exchange, stream)
-        if self.life.too_short_for(ends_by, now, stream=stream):
-            return [self.answers.not_run(exchange, 'stopping', now)]
-        done += self.life.took(exchange, ends_by, now)
+        refusal = self.crashing_requests.refused(exchange, now)
+        if refusal is not None:
+            return done + refusal
+        expected_end_at = now + self.max_duration_seconds(exchange, stream)
+        if self.lifecycle.may_be_cut(expected_end_at, now, stream=stream):
+            return [self.answers.refuse_not_run(exchange, 'stopping', now)]
+        done += self.lifecycle.note_accepted(exchange, expected_end_at, now)
         relay = self.streams if stream else self.calls
-        return done + relay.begin(exchange, now)
+        return done + relay.start_request(exchange, now)
 
-    def most_seconds(
+    def max_duration_seconds(
         self, exchange: exchanges.Exchange, stream: bool
     ) -> float:
         """Return how long a request may take that begins now.
@@ -311,7 +317,7 @@
             return self.streams.expected_seconds(exchange)
         return exchange.ruling.route.time_limit
 
-    def of_send(
+    def handle_send_event(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
         """Handle what comes from a send, if that still counts."""
@@ -321,25 +327,37 @@
             return []
         stream = exchange.ruling.route.repeat is routes.Repeat.STREAM
         match event:
-            case relay_events.AnswerBegan():
-                return self.streams.began(exchange, sent, event, now)
-            case relay_events.StreamMoved():
-                return self.stream_moved(exchange, sent, event, now)
+            case relay_events.AnswerStarted():
+                return self.streams.handle_answer_head(
+                    exchange, sent, event, now
+                )
+            case relay_events.StreamProgressed():
+                return self.handle_stream_progress(exchange, sent, event, now)
             case relay_events.RunCopied():
-                return self.copies.copied(exchange, sent, event, now)
+                return self.copies.handle_copy_result(
+                    exchange, sent, event, now
+                )
             case relay_events.EngineProbed() if stream:
-                return self.probed(exchange, sent, event, now)
+                return self.handle_probe(exchange, sent, event, now)
             case relay_events.StreamComplete():
-                return self.streams.complete(exchange, sent, now)
+                return self.streams.end_stream(exchange, sent, now)
             case relay_events.AnswerComplete():
-                relay = self.streams.refused if stream else self.calls.answered
+                relay = (
+                    self.streams.handle_refusal
+                    if stream
+                    else self.calls.handle_answer
+                )
                 return relay(exchange, sent, event, now)
-            case relay_events.SendBroken():
-                relay = self.streams.broken if stream else self.calls.broken
+            case relay_events.SendFailed():
+                relay = (
+                    self.streams.handle_broken_send
+                    if stream
+                    else self.calls.handle_broken_send
+                )
                 return relay(exchange, sent, event, now)
         return []
 
-    def probed(
+    def handle_probe(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -351,23 +369,23 @@
         done = self.restarts.found(sent.entry.engine, start, now)
         if sent.number not in exchange.sends:
             return done
-        return done + self.streams.probed(exchange, sent, event, now)
+        return done + self.streams.handle_probe(exchange, sent, event, now)
 
-    def stream_moved(
+    def handle_stream_progress(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
-        event: relay_events.StreamMoved,
+        event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
         """Pass events on; see to a copy when the first ones are here."""
         first = not sent.events_seen
-        done = self.streams.moved(exchange, sent, event, now)
+        done = self.streams.pass_events(exchange, sent, event, now)
         if first and sent.number in exchange.sends:
-            done += self.copies.fill(exchange, sent, now)
+            done += self.copies.order_missing_copy(exchange, sent, now)
         return done
 
-    def caller_gone(self, number: int) -> list[Action]:
+    def handle_caller_gone(self, number: int) -> list[Action]:
         """Stop the work for a caller that has left."""
         exchange = self.exchanges.get(number)
         if exchange is None:
@@ -375,40 +393,43 @@
         why = f'after event {exchange.position}' if exchange.begun else ''
         return [
             sending.record(exchange, None, 'caller-gone', why),
-            *self.sends.abandon_all(exchange),
-            *self.close(number),
+            *self.send_table.abandon_all_sends(exchange),
+            *self.close_exchange(number),
         ]
 
     # -- time ---------------------------------------------------------------
 
-    def timer_fired(self, name: str, now: float) -> list[Action]:
+    def handle_timer(self, name: str, now: float) -> list[Action]:
         """Pass a timer to what had set it."""
-        if name == OLDER_TIMER and self.older_offer is not None:
-            return self.configure(self.older_offer, now)
+        if (
+            name == OLDER_CONFIGURATION_TIMER
+            and self.deferred_offer is not None
+        ):
+            return self.apply_configuration(self.deferred_offer, now)
         kind, _, rest = name.partition(':')
         if kind == succession.SUCCESSOR_TIMER:
             return self.succession.ask(int(rest), now)
         if kind == crashing.RETELL_TIMER:
-            return self.crashing.retell(rest, now)
+            return self.crashing_requests.retell(rest, now)
         if kind == crash_watch.ASK_TIMER:
-            return self.crashes.ask_again(rest)
+            return self.crash_watch.ask_again(rest)
         if kind == limited.LIMITS_TIMER:
-            return self.limited.due(now)
+            return self.limited_sends.due(now)
         exchange = self.exchanges.get(int(rest)) if rest else None
         if exchange is None:
             return []
         match kind:
             case streams.SILENCE_TIMER:
-                return self.streams.look_at(exchange, now)
-            case copying.COPY_TIMER:
-                return self.copies.renew(exchange)
-            case calls.SECOND_TRY_TIMER:
-                return self.calls.second_try(exchange, now)
-            case calls.LATE_TIMER:
-                return self.calls.late(exchange, now)
-        return self.overdue(exchange, now)
-
-    def overdue(
+                return self.streams.check_silence(exchange, now)
+            case run_copies.COPY_TIMER:
+                return self.copies.renew_copies(exchange)
+            case calls.HEDGE_TIMER:
+                return self.calls.start_hedge(exchange, now)
+            case calls.LATE_CALL_TIMER:
+                return self.calls.count_late_sends(exchange, now)
+        return self.end_overdue_request(exchange, now)
+
+    def end_overdue_request(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
         """Give a request its final answer when its time is over."""
@@ -417,19 +438,19 @@
             self.engines.failed(sent.entry.engine, now, dead=False)
         done: list[Action] = [
             sending.record(exchange, None, 'deadline-passed', ''),
-            *self.sends.abandon_all(exchange),
+            *self.send_table.abandon_all_sends(exchange),
         ]
         if exchange.may_have_run and not exchange.begun:
             return [
                 *done,
                 relay_actions.Refuse(
-                    exchange.number, answers.TIMED_OUT, 'deadline-passed'
+                    exchange.number, answers.GATEWAY_TIMEOUT, 'deadline-passed'
                 ),
             ]
         code = 'deadline-passed'
-        return [*done, self.answers.failed(exchange, code, now)]
+        return [*done, self.answers.fail_request(exchange, code, now)]
 
-    def paused(self, seconds: float, now: float) -> list[Action]:
+    def handle_pause(self, seconds: float, now: float) -> list[Action]:
         """Blame no engine for what this process itself slept through."""
         for exchange in self.exchanges.values():
             for sent in exchange.sends.values():
@@ -439,42 +460,45 @@
 
     # -- configuration and engines ------------------------------------------
 
-    def configure(
+    def apply_configuration(
         self, event: relay_events.RoutesOffered, now: float
     ) -> list[Action]:
         """Apply a configuration, unless it is older than the one in force."""
         table = event.table
-        if self.table is not None and table.version <= self.table.version:
+        if (
+            self.route_table is not None
+            and table.version <= self.route_table.version
+        ):
             return []
         usable_from = self.sharing.usable_from(table.version, now)
-        if self.table is None and now < usable_from:
-            self.older_offer = event
-            return [actions.SetTimer(OLDER_TIMER, usable_from)]
-        self.older_offer = None
-        self.table = table
-        self.listed.version = table.version
+        if self.route_table is None and now < usable_from:
+            self.deferred_offer = event
+            return [actions.SetTimer(OLDER_CONFIGURATION_TIMER, usable_from)]
+        self.deferred_offer = None
+        self.route_table = table
+        self.engine_list.version = table.version
         self.engines.services = frozenset(table.services)
         self.succession.configure(table)
-        self.life.configured()
+        self.lifecycle.begin_serving()
         why = f'version {table.version} from {event.source}'
         done: list[Action] = [actions.Record('configuration-applied', why)]
         if self.sharing.reads_for_all:
             hint = hints.ConfigurationApplied(table.version)
-            done.append(relay_actions.TellFleet((hint,)))
+            done.append(relay_actions.ForwardHints((hint,)))
         return done
 
-    def configuration_checked(self, now: float) -> list[Action]:
+    def announce_configuration(self, now: float) -> list[Action]:
         """Tell the others what is in force, in place of the reader."""
         others_wait = self.sharing.configuration.others_wait
-        if self.table is None or self.sharing.reads_for_all:
+        if self.route_table is None or self.sharing.reads_for_all:
             return []
         if not others_wait:
             return []
-        hint = hints.ConfigurationApplied(self.table.version)
-        return [relay_actions.TellFleet((hint,))]
+        hint = hints.ConfigurationApplied(self.route_table.version)
+        return [relay_actions.ForwardHints((hint,))]
 
 
-def told_final(
+def final_answer_records(
     exchange: exchanges.Exchange, action: Action
 ) -> list[actions.Record]:
     """Return the time line event of a final answer that is no success."""
@@ -484,7 +508,7 @@
             if action.retry_after is not None:
                 why += f', back in {action.retry_after:.3f} s'
             return [sending.record(exchange, None, 'refused', why)]
-        case relay_actions.BreakOff(code=code):
+        case relay_actions.AbortStream(code=code):
             why = f'{code}, after event {exchange.position}'
             return [sending.record(exchange, None, 'broken-off', why)]
         case relay_actions.PassAnswer(head=head) if not head.succeeded:
--- a/src/greengagelb/coordination/relay/restarts.py
+++ b/src/greengagelb/coordination/relay/restarts.py
@@ -8,7 +8,7 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import calls
-from greengagelb.coordination.relay import copying
+from greengagelb.coordination.relay import run_copies
 from greengagelb.coordination.relay import sending
 from greengagelb.coordination.relay import streams
 from greengagelb.state.relay import engines
@@ -26,10 +26,10 @@
 
     def __init__(
         self,
-        parts: calls.Parts,
+        parts: calls.RelayParts,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
-        copies: copying.RunCopies,
+        copies: run_copies.RunCopies,
         running: dict[int, exchanges.Exchange],
     ) -> None:
         self.parts = parts
@@ -50,7 +50,7 @@
         if entry is None:
             return []
         hint = hints.Restarted(engine, started_at_ms)
-        self.parts.sends.untold.append(hint)
+        self.parts.send_table.pending_hints.append(hint)
         return self.ended([entry], now)
 
     def heard(
@@ -74,12 +74,14 @@
             done.append(
                 actions.Record('engine-restarted', why, upstream=entry.engine)
             )
-            self.parts.sends.loads.forget(entry.engine, sending.OWN)
+            self.parts.send_table.loads.forget(
+                entry.engine, sending.OWN_INSTANCE
+            )
         for entry in entries:
             done += self.end_sends(entry, now)
         for entry in entries:
             before = entry.started_at_ms - 1
-            done += self.copies.lost_at(entry.engine, now, before)
+            done += self.copies.replace_lost_copies(entry.engine, now, before)
         return done
 
     def end_sends(
@@ -122,6 +124,8 @@
         """Go on elsewhere with a send that can't be answered any more."""
         exchange.may_have_run = True
         if exchange.ruling.route.repeat is routes.Repeat.STREAM:
-            return self.streams.go_on(exchange, sent, DETAIL, now)
-        abandoned = self.parts.sends.abandon(exchange, sent)
-        return abandoned + self.calls.lost(exchange, sent, DETAIL, now)
+            return self.streams.replace_send(exchange, sent, DETAIL, now)
+        abandoned = self.parts.send_table.abandon_send(exchange, sent)
+        return abandoned + self.calls.handle_lost_send(
+            exchange, sent, DETAIL, now
+        )
--- a/src/greengagelb/coordination/relay/rulings.py
+++ b/src/greengagelb/coordination/relay/rulings.py
@@ -29,7 +29,7 @@
         if table is None:
             return relay_actions.Refuse(
                 request.exchange,
-                answers.UNAVAILABLE,
+                answers.SERVICE_UNAVAILABLE,
                 'no-configuration',
                 NO_CONFIGURATION_WAIT,
             )
--- a/src/greengagelb/coordination/relay/copying.py
+++ b/src/greengagelb/coordination/relay/run_copies.py
@@ -19,10 +19,10 @@
 COPY_TIMER = 'relay-copy'
 # An ordered copy is renewed after this part of the time it is kept for; only
 # what the run has added since is sent.
-RENEW_SHARE = 0.75
+COPY_RENEWAL_SHARE = 0.75
 # Orders for one run. Each moves its memory once more, a quarter of a gigabyte
 # for a usual prompt, so a run whose copies keep failing goes without.
-MOST_ORDERS = 3
+MAX_COPY_ORDERS = 3
 
 Action = relay_actions.RelayAction
 
@@ -32,13 +32,13 @@
 
     def __init__(
         self,
-        parts: calls.Parts,
-        running: dict[int, exchanges.Exchange],
+        parts: calls.RelayParts,
+        open_exchanges: dict[int, exchanges.Exchange],
     ) -> None:
         self.parts = parts
-        self.running = running
+        self.open_exchanges = open_exchanges
 
-    def lost_at(
+    def replace_lost_copies(
         self,
         engine: str,
         now: float,
@@ -49,16 +49,16 @@
         What it got in a life that began after ``started_at_ms`` is not lost.
         """
         done: list[Action] = []
-        for exchange in self.running.values():
+        for exchange in self.open_exchanges.values():
             for sent in exchange.sends.values():
                 held = sent.copy_to
                 if held is None or held.engine != engine:
                     continue
                 if not engines.is_earlier(started_at_ms, held.started_at_ms):
-                    done += self.replace(exchange, sent, now)
+                    done += self.replace_copy(exchange, sent, now)
         return done
 
-    def replace(
+    def replace_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """Order a copy at another engine than the one that was lost."""
@@ -66,10 +66,10 @@
         sent.copy_to = None
         sent.copy_name = None
         sent.copy_ordered = False
-        self.parts.sends.got_copy(exchange, sent, now)
-        return self.order_new(exchange, sent, {lost}, now)
+        self.parts.send_table.update_copy_location(exchange, sent, now)
+        return self.order_new_copy(exchange, sent, {lost}, now)
 
-    def fill(
+    def order_missing_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """Order a copy of a run that has none when its first event is here.
@@ -79,9 +79,9 @@
         """
         if sent.copy_to is not None:
             return []
-        return self.order_new(exchange, sent, set(), now)
+        return self.order_new_copy(exchange, sent, set(), now)
 
-    def order_new(
+    def order_new_copy(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -93,9 +93,9 @@
         if model is None or not model.moves or not sent.events_seen:
             return []
         source = self.parts.engines.states.get(sent.entry.engine)
-        if source is None or sent.copy_orders >= MOST_ORDERS:
+        if source is None or sent.copy_orders >= MAX_COPY_ORDERS:
             return []
-        target = self.parts.chooser.for_copy(
+        target = self.parts.selector.choose_for_copy(
             exchange.ruling.service,
             exchange.request.prompt,
             source,
@@ -106,10 +106,10 @@
             return []
         sent.copy_orders += 1
         sent.copy_to = target.entry
-        self.parts.sends.got_copy(exchange, sent, now)
-        return [self.order(exchange, sent)]
+        self.parts.send_table.update_copy_location(exchange, sent, now)
+        return [self.build_copy_order(exchange, sent)]
 
-    def order(
+    def build_copy_order(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> relay_actions.CopyRun:
         """Return the order of a copy at the engine that is to have it."""
@@ -121,7 +121,7 @@
             sent.copy_to,
         )
 
-    def copied(
+    def handle_copy_result(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -131,24 +131,24 @@
         """Take in what came of an order."""
         if sent.copy_to is None or sent.copy_to.engine != event.target:
             return []
-        told = 'made' if event.handle else 'not made'
-        why = f'copy at {event.target} {told}'
+        outcome = 'made' if event.handle else 'not made'
+        why = f'copy at {event.target} {outcome}'
         done: list[Action] = [
             sending.record(exchange, sent, 'run-copied', why)
         ]
         if not event.handle:
-            return done + self.replace(exchange, sent, now)
+            return done + self.replace_copy(exchange, sent, now)
         sent.copy_name = requests.CopyName(sent.entry.address, event.handle)
         sent.copy_ordered = True
         model = exchange.ruling.service.engines
-        renew_at = now + RENEW_SHARE * model.copy_seconds
+        renew_at = now + COPY_RENEWAL_SHARE * model.copy_seconds
         name = timers.timer_name(COPY_TIMER, exchange.number)
         return [*done, actions.SetTimer(name, renew_at)]
 
-    def renew(self, exchange: exchanges.Exchange) -> list[Action]:
+    def renew_copies(self, exchange: exchanges.Exchange) -> list[Action]:
         """Order the same copy again before it lapses."""
         return [
-            self.order(exchange, sent)
+            self.build_copy_order(exchange, sent)
             for sent in exchange.sends.values()
             if sent.copy_ordered and sent.copy_to is not None
         ]
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -21,7 +21,7 @@
 
 Action = relay_actions.RelayAction
 # Names this instance's own runs among the counted ones.
-OWN = ''
+OWN_INSTANCE = ''
 
 
 class SendTable:
@@ -33,28 +33,30 @@
 
     def __init__(
         self,
-        engines_known: directory.EngineDirectory,
+        engine_directory: directory.EngineDirectory,
         run_loads: loads.RunLoads,
-        retries: budget.SharedRetryBudget,
+        retry_budget: budget.SharedRetryBudget,
         keeper: limit_keeper.LimitKeeper,
     ) -> None:
-        self.engines = engines_known
+        self.engines = engine_directory
         self.loads = run_loads
-        self.budget = retries
-        self.counter = itertools.count(1)
-        self.untold: list[hints.Hint] = []
+        self.budget = retry_budget
+        self.send_numbers = itertools.count(1)
+        self.pending_hints: list[hints.Hint] = []
         self.keeper = keeper
 
-    def has_attempts(self, exchange: exchanges.Exchange) -> bool:
+    def has_attempts_left(self, exchange: exchanges.Exchange) -> bool:
         """Return whether a request may go to one more engine at all."""
         return exchange.attempts < exchange.ruling.route.most_attempts
 
-    def may_repeat(self, exchange: exchanges.Exchange, now: float) -> bool:
+    def acquire_attempt(
+        self, exchange: exchanges.Exchange, now: float
+    ) -> bool:
         """Return whether a request may be sent once more; count it if so.
 
         The first send of a request is no repeat.
         """
-        if not self.has_attempts(exchange):
+        if not self.has_attempts_left(exchange):
             return False
         if not exchange.attempts:
             return True
@@ -64,7 +66,7 @@
             all_told=exchange.request.prompt is not None,
         )
 
-    def order(
+    def start_send(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -76,7 +78,7 @@
         request, ruling = exchange.request, exchange.ruling
         stream = ruling.route.repeat is routes.Repeat.STREAM
         sent = exchanges.Sent(
-            next(self.counter),
+            next(self.send_numbers),
             state.entry,
             began_at=now,
             moved_at=now,
@@ -94,7 +96,12 @@
         if stream:
             self.count_run(exchange, sent, now)
         return [
-            record(exchange, sent, 'sent', self.why(exchange, state, sent)),
+            record(
+                exchange,
+                sent,
+                'sent',
+                self.describe_send(exchange, state, sent),
+            ),
             relay_actions.Send(
                 exchange.number,
                 sent.number,
@@ -111,7 +118,7 @@
             ),
         ]
 
-    def heard(
+    def note_answer_head(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -124,17 +131,17 @@
         if isinstance(head.limit, limits.Unusable):
             why = f'limit-unusable: {head.limit.text}'
             return [record(exchange, sent, 'engine-limit-refused', why)]
-        news = self.keeper.update_from_answer(
+        changed_limit = self.keeper.update_from_answer(
             life, head.limit, sent.began_at, now
         )
-        if news is None:
+        if changed_limit is None:
             return []
         return [
             record(
                 exchange,
                 sent,
                 'engine-limit',
-                limit_table.describe_limit(news),
+                limit_table.describe_limit(changed_limit),
             )
         ]
 
@@ -148,7 +155,7 @@
             return 0
         return min(9, 2 + exchange.ruling.priority)
 
-    def why(
+    def describe_send(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -182,36 +189,38 @@
         prompt = exchange.request.prompt
         if prompt is None:
             return
-        held = self.loads.prompts.holder(prompt.own_part, now)
-        read = sent.from_copy or held == sent.entry.engine
-        unread = 0 if read else prompt.tokens
+        holder = self.loads.prompts.likely_holder(prompt.own_part, now)
+        has_prompt = sent.from_copy or holder == sent.entry.engine
+        unread_tokens = 0 if has_prompt else prompt.tokens
         copy_to = sent.copy_to.engine if sent.copy_to else ''
-        if unread and not self.loads.of(sent.entry.engine).runs:
-            sent.alone_with = unread
+        if unread_tokens and not self.loads.of(sent.entry.engine).runs:
+            sent.alone_with = unread_tokens
         run = loads.Run(
             sent.entry.engine,
             prompt.most_memory,
-            unread,
+            unread_tokens,
             copy_to,
             prompt.own_part,
-            attempt_told(exchange),
+            announced_attempt(exchange),
         )
-        self.count_and_tell(sent.number, run, now)
+        self.count_and_announce_run(sent.number, run, now)
 
-    def got_copy(
+    def update_copy_location(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> None:
         """Count the copy of a run at another engine than before."""
-        known = self.loads.runs.get((OWN, sent.number))
+        known = self.loads.runs.get((OWN_INSTANCE, sent.number))
         if known is not None:
             copy_to = sent.copy_to.engine if sent.copy_to else ''
             run = dataclasses.replace(known, copy_to=copy_to)
-            self.count_and_tell(sent.number, run, now)
+            self.count_and_announce_run(sent.number, run, now)
 
-    def count_and_tell(self, number: int, run: loads.Run, now: float) -> None:
+    def count_and_announce_run(
+        self, number: int, run: loads.Run, now: float
+    ) -> None:
         """Count a run here, and have the other instances count it."""
-        self.loads.began((OWN, number), run, now)
-        self.untold.append(
+        self.loads.began((OWN_INSTANCE, number), run, now)
+        self.pending_hints.append(
             hints.Placed(
                 number,
                 run.engine,
@@ -223,7 +232,7 @@
             )
         )
 
-    def found_replaced(
+    def note_engine_replaced(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> None:
         """Note that a send met another engine than the one it was for.
@@ -232,13 +241,15 @@
         request may go to, and costs no attempt.
         """
         exchange.attempts -= 1
-        met = sent.entry
-        self.engines.was_replaced(met.engine, met.started_at_ms)
-        self.untold.append(
-            hints.Replaced(met.engine, started_at_ms=met.started_at_ms)
+        replaced = sent.entry
+        self.engines.was_replaced(replaced.engine, replaced.started_at_ms)
+        self.pending_hints.append(
+            hints.Replaced(
+                replaced.engine, started_at_ms=replaced.started_at_ms
+            )
         )
 
-    def release(
+    def release_send(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> None:
         """Count a send no longer; what it still brings is dropped."""
@@ -246,25 +257,25 @@
         state = self.engines.states.get(sent.entry.engine)
         if state is not None:
             state.in_flight -= 1
-        if self.loads.ended((OWN, sent.number)):
-            self.untold.append(hints.Ended(sent.number))
+        if self.loads.ended((OWN_INSTANCE, sent.number)):
+            self.pending_hints.append(hints.Ended(sent.number))
 
-    def abandon(
+    def abandon_send(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> list[Action]:
         """Release a send and close its connection."""
-        self.release(exchange, sent)
+        self.release_send(exchange, sent)
         return [relay_actions.AbandonSend(exchange.number, sent.number)]
 
-    def abandon_all(self, exchange: exchanges.Exchange) -> list[Action]:
+    def abandon_all_sends(self, exchange: exchanges.Exchange) -> list[Action]:
         """Abandon whatever runs for an exchange."""
         done: list[Action] = []
         for sent in list(exchange.sends.values()):
-            done += self.abandon(exchange, sent)
+            done += self.abandon_send(exchange, sent)
         return done
 
 
-def attempt_told(exchange: exchanges.Exchange) -> int:
+def announced_attempt(exchange: exchanges.Exchange) -> int:
     """Return what the others are told of a send that was just ordered.
 
     In place of one that could not be connected it is no new request, and no
@@ -274,7 +285,7 @@
     return exchange.attempts if first or exchange.attempts > 1 else 0
 
 
-def lost(
+def lost_send_record(
     exchange: exchanges.Exchange,
     sent: exchanges.Sent,
     detail: str,
--- a/src/greengagelb/coordination/relay/stopping.py
+++ b/src/greengagelb/coordination/relay/stopping.py
@@ -19,13 +19,13 @@
 # that its caller has kept, is not worth the risk: how long it takes is only
 # known from others, and if it is cut at the end of the stop, its caller has
 # lost it.
-STREAMS_WHILE_STOPPING = 2.5
+STREAM_ACCEPT_SECONDS = 2.5
 # Of a short stop no more than this part: how long a stream takes may not be
 # known yet, and one needs about two seconds at least.
-STREAMS_SHARE = 1.0 / 3.0
+STREAM_ACCEPT_SHARE = 1.0 / 3.0
 
 
-class StoppableLife:
+class InstanceLifecycle:
     """The life cycle of an instance, and the deadlines of its stop.
 
     ``stop_by`` is when all must be over, and ``streams_until`` from when on
@@ -34,34 +34,35 @@
 
     def __init__(self) -> None:
         self.stop_by = float('inf')
-        self.streams_until = float('inf')
+        self.accepts_streams_until = float('inf')
         self.progress = lifecycle.Progress()
-        self.lifecycle = lifecycle.new_lifecycle(self.progress)
+        self.machine = lifecycle.new_lifecycle(self.progress)
 
     @property
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Return whether the balancer may send callers here."""
         return self.progress.phase is lifecycle.Phase.SERVING
 
     @property
-    def finished(self) -> bool:
+    def is_finished(self) -> bool:
         """Return whether nothing is taken any more, as the process ends."""
         phase = self.progress.phase
         return phase in (lifecycle.Phase.FINISHED, lifecycle.Phase.ENDED)
 
-    def configured(self) -> None:
+    def begin_serving(self) -> None:
         """Serve from now on, unless a stop was asked for."""
-        self.lifecycle.configuration_applied()
+        self.machine.configuration_applied()
 
-    def asked(
-        self, event: relay_events.StopBy, now: float
+    def begin_stop(
+        self, event: relay_events.StopRequested, now: float
     ) -> list[actions.Record]:
         """Serve on, but take only what can be finished in time."""
         asked_at = now if event.asked_at is None else event.asked_at
-        self.lifecycle.stop_requested()
+        self.machine.stop_requested()
         self.stop_by = event.deadline
-        self.streams_until = asked_at + min(
-            STREAMS_WHILE_STOPPING, STREAMS_SHARE * (self.stop_by - asked_at)
+        self.accepts_streams_until = asked_at + min(
+            STREAM_ACCEPT_SECONDS,
+            STREAM_ACCEPT_SHARE * (self.stop_by - asked_at),
         )
         why = (
             f'{event.deadline - now:.1f} s left, '
@@ -69,21 +70,23 @@
         )
         return [actions.Record('stopping', why)]
 
-    def due(self, left: int) -> list[actions.Record | actions.FinishStopping]:
+    def end_serving(
+        self, cut_requests: int
+    ) -> list[actions.Record | actions.FinishStopping]:
         """Begin to end; ``left`` requests are cut."""
-        self.lifecycle.work_finished()
+        self.machine.work_finished()
         return [
-            actions.Record('stopped', f'{left} cut'),
+            actions.Record('stopped', f'{cut_requests} cut'),
             actions.FinishStopping(),
         ]
 
-    def closed(self, left: int) -> list[actions.Record]:
+    def end_process(self, cut_requests: int) -> list[actions.Record]:
         """Let the process end; ``left`` requests are cut with it."""
-        self.lifecycle.connections_closed()
-        return [actions.Record('ended', f'{left} cut')]
+        self.machine.connections_closed()
+        return [actions.Record('ended', f'{cut_requests} cut')]
 
-    def too_short_for(
-        self, ends_by: float, now: float, *, stream: bool
+    def may_be_cut(
+        self, expected_end_at: float, now: float, *, stream: bool
     ) -> bool:
         """Return whether a request might be cut by the end of this instance.
 
@@ -91,21 +94,21 @@
         instance has begun to end could not even be answered: the process may
         be gone before its engine is done.
         """
-        if self.finished:
+        if self.is_finished:
             return True
-        if stream and now >= self.streams_until:
+        if stream and now >= self.accepts_streams_until:
             return True
-        return ends_by > self.stop_by
+        return expected_end_at > self.stop_by
 
-    def took(
-        self, exchange: exchanges.Exchange, ends_by: float, now: float
+    def note_accepted(
+        self, exchange: exchanges.Exchange, expected_end_at: float, now: float
     ) -> list[actions.Record]:
         """Note that a request is taken; tell on what, while stopping."""
-        self.lifecycle.request_accepted()
-        if self.serving:
+        self.machine.request_accepted()
+        if self.is_serving:
             return []
         left = f'{self.stop_by - now:.3f} s left'
-        need = f'needs {ends_by - now:.3f} s'
+        need = f'needs {expected_end_at - now:.3f} s'
         return [
             sending.record(
                 exchange, None, 'taken-while-stopping', f'{left}, {need}'
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -11,7 +11,7 @@
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import answers
 from greengagelb.coordination.relay import calls
-from greengagelb.coordination.relay import choosing
+from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.relay import held_sends
 from greengagelb.coordination.relay import sending
@@ -26,21 +26,21 @@
 # A stream that is silent for this part of the pause that its callers do not
 # notice is moved. What is left suffices to go on elsewhere; moving earlier
 # takes streams away from engines that are only reading another prompt.
-SILENCE_SHARE = 0.55
+MAX_SILENCE_SHARE = 0.55
 # The pause that is taken for unnoticed on routes that state none, in seconds:
 # callers give a stream up after two.
-NO_GAP_GOAL_SECONDS = 2.0
+DEFAULT_GAP_GOAL_SECONDS = 2.0
 # A prompt takes at least this part of the time that is expected for it.
-CERTAIN_SHARE = 0.8
+MIN_READING_SHARE = 0.8
 # How long past its expected time a first event may stay out, in seconds,
 # before its engine is asked for a sign of life. Moving costs a prompt that
 # was read in vain, and most engines that are late are only busy.
-FIRST_MARGIN_SECONDS = 0.5
+FIRST_EVENT_MARGIN_SECONDS = 0.5
 # The same after each sign of life.
-ALIVE_SECONDS = 1.0
+PROBED_MARGIN_SECONDS = 1.0
 # The same for a run that goes on from a copy: it has next to nothing to read
 # and is admitted first.
-COPY_FIRST_SECONDS = 0.6
+COPY_FIRST_EVENT_SECONDS = 0.6
 
 Action = relay_actions.RelayAction
 
@@ -49,46 +49,54 @@
     """Decides what happens to each stream."""
 
     def __init__(
-        self, parts: calls.Parts, successors: succession.Succession
+        self, parts: calls.RelayParts, stream_succession: succession.Succession
     ) -> None:
         self.parts = parts
-        self.successors = successors
+        self.succession = stream_succession
         self.pace = rates.DurationEstimate()
 
     def expected_seconds(self, exchange: exchanges.Exchange) -> float:
         """Return how long a stream takes that begins now; rarely longer."""
-        return self.pace.conservative_seconds(cost_of(exchange))
+        return self.pace.conservative_seconds(token_cost(exchange))
 
-    def begin(self, exchange: exchanges.Exchange, now: float) -> list[Action]:
+    def start_request(
+        self, exchange: exchanges.Exchange, now: float
+    ) -> list[Action]:
         """Start a stream, or go on where the caller's last one broke."""
         exchange.position = exchange.request.resumes_after or 0
-        return self.start_afresh(exchange, now, 'no-engine')
+        return self.start_from_prompt(exchange, now, 'no-engine')
 
-    def start_afresh(
+    def start_from_prompt(
         self, exchange: exchanges.Exchange, now: float, code: str
     ) -> list[Action]:
         """Have an engine read the prompt, and go on at the position."""
         lost = exchange.attempts > 0
-        if self.parts.crashes.blocks(exchange, now):
+        if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.failed(exchange, code, now)]
-        state = self.parts.chooser.for_stream(
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        state = self.parts.selector.choose_for_stream(
             exchange.ruling,
             exchange.request.prompt,
             exchange.refused_by,
             now,
-            choosing.LOSS_SPREAD_SECONDS if lost else choosing.JITTER_SECONDS,
+            engine_selection.LOSS_JITTER_SECONDS
+            if lost
+            else engine_selection.JITTER_SECONDS,
         )
         if state is None:
             refused_by = exchange.refused_by
-            return [self.parts.refuse(exchange, refused_by, code, now)]
+            return [
+                self.parts.refuse_without_engine(
+                    exchange, refused_by, code, now
+                )
+            ]
         step = held_sends.StreamStart(code)
-        waits = self.parts.wait_for_permit(exchange, state, step, code, now)
-        if waits is not None:
-            return waits
-        return self.start_at(exchange, state, code, now)
+        pending = self.parts.wait_for_permit(exchange, state, step, code, now)
+        if pending is not None:
+            return pending
+        return self.start_on_engine(exchange, state, code, now)
 
-    def start_at(
+    def start_on_engine(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -96,19 +104,19 @@
         now: float,
     ) -> list[Action]:
         """Have an engine that takes a stream read its prompt."""
-        if self.parts.crashes.blocks(exchange, now):
+        if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.failed(exchange, code, now)]
-        if now + self.reading_seconds(exchange, state, now) > (
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        if now + self.min_reading_seconds(exchange, state, now) > (
             exchange.ruling.deadline
         ):
             code = 'deadline-too-near'
-            return [self.parts.answers.failed(exchange, code, now)]
-        if not self.parts.sends.may_repeat(exchange, now):
-            return [self.parts.answers.failed(exchange, code, now)]
-        return self.order(exchange, state, now)
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        if not self.parts.send_table.acquire_attempt(exchange, now):
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        return self.send_stream(exchange, state, now)
 
-    def reading_seconds(
+    def min_reading_seconds(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -122,13 +130,15 @@
         prompt = exchange.request.prompt
         if prompt is None:
             return 0.0
-        held = self.parts.sends.loads.prompts.holder(prompt.own_part, now)
-        if held == state.entry.engine:
+        holder = self.parts.send_table.loads.prompts.likely_holder(
+            prompt.own_part, now
+        )
+        if holder == state.entry.engine:
             return 0.0
-        seconds = self.parts.sends.loads.reading_seconds(prompt.tokens)
-        return CERTAIN_SHARE * seconds
+        seconds = self.parts.send_table.loads.reading_seconds(prompt.tokens)
+        return MIN_READING_SHARE * seconds
 
-    def order(
+    def send_stream(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
@@ -136,48 +146,52 @@
         copy_from: requests.CopyName | None = None,
     ) -> list[Action]:
         """Send a stream to an engine, with a second one for its copy."""
-        copy_to = self.parts.chooser.for_copy(
+        copy_to = self.parts.selector.choose_for_copy(
             exchange.ruling.service,
             exchange.request.prompt,
             state,
             exchange.refused_by,
             now,
         )
-        done = self.parts.sends.order(
+        done = self.parts.send_table.start_send(
             exchange, state, now, copy_from, copy_to.entry if copy_to else None
         )
         sent = list(exchange.sends.values())[-1]
-        sent.first_due = self.first_due(state, copy_from is not None, now)
-        return [*done, self.watch(exchange, sent)]
+        sent.first_due = self.first_event_due_at(
+            state, copy_from is not None, now
+        )
+        return [*done, self.silence_timer(exchange, sent)]
 
-    def first_due(
+    def first_event_due_at(
         self, state: engine_states.EngineState, from_copy: bool, now: float
     ) -> float:
         """Return when the first event of a new send should have come."""
         if from_copy:
-            return now + COPY_FIRST_SECONDS
-        work = self.parts.sends.loads.of(state.entry.engine)
-        return max(now, work.reading_until) + FIRST_MARGIN_SECONDS
+            return now + COPY_FIRST_EVENT_SECONDS
+        work = self.parts.send_table.loads.of(state.entry.engine)
+        return max(now, work.reading_until) + FIRST_EVENT_MARGIN_SECONDS
 
     # -- silence ------------------------------------------------------------
 
-    def watch(
+    def silence_timer(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> actions.SetTimer:
         """Return the timer that looks at a send again."""
         name = timers.timer_name(SILENCE_TIMER, exchange.number)
-        return actions.SetTimer(name, self.due(exchange, sent))
+        return actions.SetTimer(name, self.next_event_due_at(exchange, sent))
 
-    def due(self, exchange: exchanges.Exchange, sent: exchanges.Sent) -> float:
+    def next_event_due_at(
+        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+    ) -> float:
         """Return when the next event of a send must have come."""
         if not sent.events_seen:
             return sent.first_due
         if sent.asked_at > sent.moved_at:
-            return sent.asked_at + ALIVE_SECONDS
-        gap = exchange.ruling.route.gap_goal or NO_GAP_GOAL_SECONDS
-        return sent.moved_at + SILENCE_SHARE * gap
+            return sent.asked_at + PROBED_MARGIN_SECONDS
+        gap = exchange.ruling.route.gap_goal or DEFAULT_GAP_GOAL_SECONDS
+        return sent.moved_at + MAX_SILENCE_SHARE * gap
 
-    def look_at(
+    def check_silence(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
         """Move a stream whose engine has been silent for too long.
@@ -188,32 +202,34 @@
         if not exchange.sends:
             return []
         sent = list(exchange.sends.values())[-1]
-        if now < self.due(exchange, sent):
-            return [self.watch(exchange, sent)]
+        if now < self.next_event_due_at(exchange, sent):
+            return [self.silence_timer(exchange, sent)]
         first = not sent.events_seen and not sent.from_copy
         unasked = sent.asked_at <= sent.moved_at
-        uncovered = sent.events_seen and self.copy_of(sent, now) is None
+        uncovered = (
+            sent.events_seen and self.usable_copy_engine(sent, now) is None
+        )
         if first or (uncovered and unasked):
-            return self.probe(exchange, sent, now)
+            return self.probe_engine(exchange, sent, now)
         exchange.may_have_run = True
         silent = now - sent.moved_at
         detail = f'silent for {silent:.3f} s'
-        return self.lost(exchange, sent, detail, now, dead=False)
+        return self.handle_lost_send(exchange, sent, detail, now, dead=False)
 
-    def probe(
+    def probe_engine(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """Ask an engine that owes an event for a sign of life."""
-        sent.first_due = now + ALIVE_SECONDS
+        sent.first_due = now + PROBED_MARGIN_SECONDS
         sent.asked_at = now
         return [
             relay_actions.ProbeEngine(
                 exchange.number, sent.number, sent.entry
             ),
-            self.watch(exchange, sent),
+            self.silence_timer(exchange, sent),
         ]
 
-    def probed(
+    def handle_probe(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -233,15 +249,15 @@
         detail = 'no answer to a probe'
         if restarted:
             detail = 'probe answered by a later life'
-        return self.lost(exchange, sent, detail, now)
+        return self.handle_lost_send(exchange, sent, detail, now)
 
     # -- progress -----------------------------------------------------------
 
-    def began(
+    def handle_answer_head(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
-        event: relay_events.AnswerBegan,
+        event: relay_events.AnswerStarted,
         now: float,
     ) -> list[Action]:
         """Keep the head of an answer until its first event is here.
@@ -251,17 +267,21 @@
         """
         exchange.may_have_run = True
         if not event.head.sealed:
-            return self.lost(exchange, sent, 'unsigned answer', now)
+            return self.handle_lost_send(
+                exchange, sent, 'unsigned answer', now
+            )
         sent.head = event.head
         sent.answered_at = now
         sent.moved_at = now
-        return self.parts.sends.heard(exchange, sent, event.head, now)
+        return self.parts.send_table.note_answer_head(
+            exchange, sent, event.head, now
+        )
 
-    def moved(
+    def pass_events(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
-        event: relay_events.StreamMoved,
+        event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
         """Pass on the events that come next, and none twice."""
@@ -276,16 +296,16 @@
             exchange.position + 1, exchange.position + 1 + len(fresh)
         )
         if [e.number for e in fresh] != list(expected):
-            return self.lost(exchange, sent, 'gap in events', now)
+            return self.handle_lost_send(exchange, sent, 'gap in events', now)
         if first:
             self.parts.engines.worked(sent.entry.engine, now)
             waited = now - sent.began_at
             if sent.alone_with:
-                self.parts.sends.loads.read(sent.alone_with, waited)
+                self.parts.send_table.loads.read(sent.alone_with, waited)
             why = f'first event after {waited:.3f} s'
             done.append(sending.record(exchange, sent, 'stream-moving', why))
-            done.append(self.watch(exchange, sent))
-            done.append(self.measure(exchange, now))
+            done.append(self.silence_timer(exchange, sent))
+            done.append(self.measure_wait(exchange, now))
         if not exchange.begun and sent.head is not None:
             exchange.begun = True
             done.append(relay_actions.BeginStream(exchange.number, sent.head))
@@ -294,40 +314,40 @@
         done.append(relay_actions.PassEvents(exchange.number, tuple(fresh)))
         return done
 
-    def measure(
+    def measure_wait(
         self, exchange: exchanges.Exchange, now: float
-    ) -> relay_actions.Measure:
+    ) -> relay_actions.ObserveDuration:
         """Return how long a caller has waited for what comes now."""
         if exchange.begun:
-            kind = relay_actions.Measured.RESUME
-            return relay_actions.Measure(kind, now - exchange.moved_at)
-        kind = relay_actions.Measured.FIRST_EVENT
+            kind = relay_actions.DurationKind.RESUME
+            return relay_actions.ObserveDuration(kind, now - exchange.moved_at)
+        kind = relay_actions.DurationKind.FIRST_EVENT
         waited = now - exchange.request.received_at
-        return relay_actions.Measure(kind, waited)
+        return relay_actions.ObserveDuration(kind, waited)
 
-    def complete(
+    def end_stream(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """End the caller's answer as complete."""
         exchange.may_have_run = True
         if not exchange.begun:
-            return self.lost(exchange, sent, 'no events', now)
-        self.parts.sends.release(exchange, sent)
-        told = self.parts.crashes.survived(exchange, now)
-        self.parts.sends.untold.extend(told)
+            return self.handle_lost_send(exchange, sent, 'no events', now)
+        self.parts.send_table.release_send(exchange, sent)
+        told = self.parts.crash_watch.survived(exchange, now)
+        self.parts.send_table.pending_hints.extend(told)
         if not exchange.request.resumes_after:
             took = now - exchange.request.received_at
-            self.pace.observe(took, cost_of(exchange))
+            self.pace.observe(took, token_cost(exchange))
         why = f'{exchange.position} events'
         return [
             sending.record(exchange, sent, 'stream-complete', why),
-            *self.parts.sends.abandon_all(exchange),
+            *self.parts.send_table.abandon_all_sends(exchange),
             relay_actions.EndStream(exchange.number),
         ]
 
     # -- trouble ------------------------------------------------------------
 
-    def refused(
+    def handle_refusal(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -335,10 +355,12 @@
         now: float,
     ) -> list[Action]:
         """Go elsewhere after an engine answered with something else."""
-        told = self.parts.sends.heard(exchange, sent, event.head, now)
-        return told + self.go_on_after_refusal(exchange, sent, event, now)
+        told = self.parts.send_table.note_answer_head(
+            exchange, sent, event.head, now
+        )
+        return told + self.continue_after_refusal(exchange, sent, event, now)
 
-    def go_on_after_refusal(
+    def continue_after_refusal(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -351,26 +373,26 @@
         if not head.not_run:
             exchange.may_have_run = True
             if head.status < 500:
-                self.parts.sends.release(exchange, sent)
+                self.parts.send_table.release_send(exchange, sent)
                 return [
                     relay_actions.PassAnswer(exchange.number, head, event.body)
                 ]
             exchange.failed = (head, event.body)
-        self.parts.sends.release(exchange, sent)
+        self.parts.send_table.release_send(exchange, sent)
         told = sending.record(exchange, sent, 'send-refused', why)
         done: list[Action] = [told]
-        if head.status == calls.WRONG_ENGINE:
-            self.parts.sends.found_replaced(exchange, sent)
-            done += self.successors.replaced(sent.entry, now)
+        if head.status == calls.MISDIRECTED_REQUEST:
+            self.parts.send_table.note_engine_replaced(exchange, sent)
+            done += self.succession.replaced(sent.entry, now)
         if not sent.from_copy:
             exchange.refused_by.add(sent.entry.engine)
-        return done + self.start_afresh(exchange, now, 'engines-full')
+        return done + self.start_from_prompt(exchange, now, 'engines-full')
 
-    def broken(
+    def handle_broken_send(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
-        event: relay_events.SendBroken,
+        event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
         """Go on after a connection that ended before its stream did."""
@@ -381,12 +403,12 @@
             exchange.attempts -= 1
             exchange.unconnected += 1
         if sent.head is not None:
-            done = self.parts.crashes.broke_off(
+            done = self.parts.crash_watch.broke_off(
                 exchange, sent, sent.answered_at, now
             )
-        return done + self.lost(exchange, sent, event.detail, now)
+        return done + self.handle_lost_send(exchange, sent, event.detail, now)
 
-    def lost(
+    def handle_lost_send(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -403,14 +425,14 @@
         engine, start = sent.entry.engine, sent.entry.started_at_ms
         self.parts.engines.failed(engine, now, dead=dead, started_at_ms=start)
         kind = hints.Failed if dead else hints.Silent
-        self.parts.sends.untold.append(kind(engine, start))
-        heard = sent.moved_at if sent.head else self.heard_at(sent)
+        self.parts.send_table.pending_hints.append(kind(engine, start))
+        heard_at = sent.moved_at if sent.head else self.engine_heard_at(sent)
         return [
-            *self.successors.lose(sent.entry, heard, now),
-            *self.go_on(exchange, sent, detail, now),
+            *self.succession.lose(sent.entry, heard_at, now),
+            *self.replace_send(exchange, sent, detail, now),
         ]
 
-    def go_on(
+    def replace_send(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.Sent,
@@ -419,54 +441,60 @@
     ) -> list[Action]:
         """Give a send up; go on elsewhere, from the copy if there is one."""
         done: list[Action] = [
-            sending.lost(exchange, sent, detail, now),
-            *self.parts.sends.abandon(exchange, sent),
+            sending.lost_send_record(exchange, sent, detail, now),
+            *self.parts.send_table.abandon_send(exchange, sent),
         ]
-        if exchange.unconnected >= calls.MOST_UNCONNECTED:
+        if exchange.unconnected >= calls.MAX_FAILED_CONNECTIONS:
             code = 'engines-unreachable'
-            return [*done, self.parts.answers.failed(exchange, code, now)]
+            return [
+                *done,
+                self.parts.answers.fail_request(exchange, code, now),
+            ]
         if exchange.may_have_run and not exchange.ruling.route.repeatable:
             code = 'outcome-unknown'
-            return [*done, self.parts.answers.failed(exchange, code, now)]
-        if self.parts.crashes.holds(exchange, sent, now):
+            return [
+                *done,
+                self.parts.answers.fail_request(exchange, code, now),
+            ]
+        if self.parts.crash_watch.holds(exchange, sent, now):
             return done
-        return done + self.go_on_elsewhere(exchange, sent, now)
+        return done + self.start_replacement(exchange, sent, now)
 
-    def go_on_elsewhere(
+    def start_replacement(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """Order a run in place of one that was given up."""
-        copy = self.copy_of(sent, now) if sent.events_seen else None
-        if copy is None or self.parts.crashes.blocks(exchange, now):
-            return self.start_afresh(exchange, now, 'engines-failed')
+        copy = self.usable_copy_engine(sent, now) if sent.events_seen else None
+        if copy is None or self.parts.crash_watch.blocks(exchange, now):
+            return self.start_from_prompt(exchange, now, 'engines-failed')
         prompt = exchange.request.prompt
         tokens = prompt.tokens if prompt else 0
-        patience = self.parts.sends.loads.reading_seconds(tokens)
+        patience = self.parts.send_table.loads.reading_seconds(tokens)
         step = held_sends.StreamFromCopy(sent, patience)
         code = 'retry-budget-spent'
-        waits = self.parts.wait_for_permit(exchange, copy, step, code, now)
-        if waits is not None:
-            return waits
-        return self.go_on_from_copy(exchange, sent, now)
+        pending = self.parts.wait_for_permit(exchange, copy, step, code, now)
+        if pending is not None:
+            return pending
+        return self.resume_from_copy(exchange, sent, now)
 
-    def go_on_from_copy(
+    def resume_from_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
         """Have the engine go on that has the copy of a run."""
-        copy = self.copy_of(sent, now)
-        if copy is None or self.parts.crashes.blocks(exchange, now):
-            return self.start_afresh(exchange, now, 'engines-failed')
-        if not self.parts.sends.may_repeat(exchange, now):
+        copy = self.usable_copy_engine(sent, now)
+        if copy is None or self.parts.crash_watch.blocks(exchange, now):
+            return self.start_from_prompt(exchange, now, 'engines-failed')
+        if not self.parts.send_table.acquire_attempt(exchange, now):
             code = 'retry-budget-spent'
-            return [self.parts.answers.failed(exchange, code, now)]
-        return self.order(exchange, copy, now, sent.copy_name)
+            return [self.parts.answers.fail_request(exchange, code, now)]
+        return self.send_stream(exchange, copy, now, sent.copy_name)
 
-    def heard_at(self, sent: exchanges.Sent) -> float:
+    def engine_heard_at(self, sent: exchanges.Sent) -> float:
         """Return when an engine gave its last sign of life here."""
         state = self.parts.engines.states.get(sent.entry.engine)
         return state.heard_at if state else float('-inf')
 
-    def copy_of(
+    def usable_copy_engine(
         self, sent: exchanges.Sent, now: float
     ) -> engine_states.EngineState | None:
         """Return the engine with a copy of a run, if it can go on there.
@@ -484,7 +512,7 @@
         return state
 
 
-def cost_of(exchange: exchanges.Exchange) -> float:
+def token_cost(exchange: exchanges.Exchange) -> float:
     """Return the work of a stream, in tokens made.
 
     Reading a token takes about a fiftieth of the time of making one.
--- a/src/greengagelb/transport/relay/caller_side.py
+++ b/src/greengagelb/transport/relay/caller_side.py
@@ -525,7 +525,7 @@
                 connection.pass_events(action)
             case relay_actions.EndStream():
                 connection.end_stream()
-            case relay_actions.BreakOff():
+            case relay_actions.AbortStream():
                 connection.break_off()
             case relay_actions.Refuse(status=status, code=code):
                 connection.answer_refusal(status, code, action.retry_after)
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -53,7 +53,7 @@
         if self.send.stream and self.head.succeeded:
             self.cutter = event_stream.EventCutter(dialect.event_number)
             self.report(
-                relay_events.AnswerBegan(
+                relay_events.AnswerStarted(
                     self.send.exchange, self.send.send, self.head
                 )
             )
@@ -70,7 +70,7 @@
             return
         if events:
             self.report(
-                relay_events.StreamMoved(
+                relay_events.StreamProgressed(
                     self.send.exchange, self.send.send, events
                 )
             )
@@ -102,7 +102,7 @@
         """Report that there will be no whole answer."""
         self.side.forget(self.send)
         self.report(
-            relay_events.SendBroken(
+            relay_events.SendFailed(
                 self.send.exchange, self.send.send, handed_over, detail
             )
         )
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -131,7 +131,9 @@
         self.ports = [self.listen(place.caller_address, self.callers)]
         self.listen(
             place.ready_address,
-            pages.PageFactory(lambda: pages.readiness_page(self.relay.ready)),
+            pages.PageFactory(
+                lambda: pages.readiness_page(self.relay.is_ready)
+            ),
         )
         host = place.caller_address.host
         self.listen(
@@ -172,14 +174,14 @@
         self.settings = settings_changes.reloaded(former, new, effects)
         if self.settings != former:
             self.settings_since = self.reactor.seconds()
-        self.relay.rebound(self.settings.retries, self.settings.engines)
+        self.relay.apply_bounds(self.settings.retries, self.settings.engines)
         self.source.move_to(self.settings.store.address)
         why = settings_changes.summary(changes)
         self.recorder.record(actions.Record('settings-reloaded', why))
 
     def sample(self) -> metrics.Sample:
         """Return what a scrape shows of this instance's state."""
-        table = self.relay.table
+        table = self.relay.route_table
         now = self.reactor.seconds()
         place = self.settings.instance
         store = self.relay.sharing.engines
@@ -195,9 +197,9 @@
             running=len(self.relay.exchanges),
             configuration_version=table.version if table else 0,
             timeline_dropped=self.recorder.timeline.dropped,
-            suspects=len(self.relay.crashes.records.histories),
+            suspects=len(self.relay.crash_watch.records.histories),
             blocked=len(
-                self.relay.crashes.records.blocked_fingerprints(
+                self.relay.crash_watch.records.blocked_fingerprints(
                     self.reactor.seconds()
                 )
             ),
@@ -211,7 +213,7 @@
 
     def limits(self) -> routes.Limits:
         """Return the limits on callers that are in force."""
-        table = self.relay.table
+        table = self.relay.route_table
         return table.limits if table is not None else routes.Limits()
 
     def refused(self, status: int, code: str) -> None:
@@ -225,7 +227,7 @@
         self.last_pulse = now
         if late > PAUSE_SECONDS:
             self.loop.dispatch(events.PauseDetected(late))
-        if now >= self.next_beat and not self.relay.finished:
+        if now >= self.next_beat and not self.relay.is_finished:
             self.next_beat = self.relay.fleet.next_beat(now, self.relay.rng)
             self.peers.beat(known=self.relay.digests)
 
@@ -248,18 +250,18 @@
         self.stop_by = self.kill_at - LAST_SECONDS
         self.leave_at = asked_at + min(LEAVE_SECONDS, grace / 2)
         self.callers.closing = True
-        self.loop.dispatch(relay_events.StopBy(self.stop_by, asked_at))
+        self.loop.dispatch(relay_events.StopRequested(self.stop_by, asked_at))
         self.loop.repeat(STOP_POLL_SECONDS, self.look_whether_done)
 
     def look_whether_done(self) -> None:
         """Begin to end once nobody is served here, or time is up."""
         now = self.reactor.seconds()
-        if now < self.leave_at or self.relay.finished:
+        if now < self.leave_at or self.relay.is_finished:
             return
         self.callers.close_idle()
         if now < self.stop_by and self.callers.connections:
             return
-        self.loop.dispatch(relay_events.StopDue())
+        self.loop.dispatch(relay_events.ServingEnded())
 
     def finish(self) -> None:
         """Take the own entry back, then close.
@@ -295,7 +297,7 @@
         """Let the process end."""
         summary = self.watch.calls.summary()
         self.recorder.record(actions.Record('store-calls', summary))
-        self.loop.dispatch(relay_events.Closed())
+        self.loop.dispatch(relay_events.ConnectionsClosed())
         self.stopped.callback(None)
 
     # -- actions ------------------------------------------------------------
@@ -304,7 +306,7 @@
         """Carry out an action."""
         self.metrics.count(action)
         match action:
-            case relay_actions.Measure():
+            case relay_actions.ObserveDuration():
                 pass
             case relay_actions.Send():
                 self.engines.send(action)
@@ -318,17 +320,17 @@
                 self.engines.copy_run(action)
             case relay_actions.AskSuccessor():
                 self.engines.ask_successor(action)
-            case relay_actions.TellFleet(told):
+            case relay_actions.ForwardHints(told):
                 self.peers.tell_fleet(told)
             case relay_actions.TellPeers(hint):
                 self.peers.tell(hint)
             case relay_actions.TellPeer(incarnation, hint):
                 self.peers.tell_one(incarnation, hint)
-            case relay_actions.KeepCrashes(report):
+            case relay_actions.StoreCrashReport(report):
                 self.watch.keep_crashes(report)
-            case relay_actions.DropCrashes(fingerprint):
+            case relay_actions.DeleteCrashReport(fingerprint):
                 self.watch.drop_crashes(fingerprint)
-            case relay_actions.LookAtStore():
+            case relay_actions.RescheduleStoreRead():
                 self.watch.look_again()
             case actions.SetTimer(name, deadline):
                 self.loop.set_timer(name, deadline)
--- a/src/greengagelb/transport/relay/relay_metrics.py
+++ b/src/greengagelb/transport/relay/relay_metrics.py
@@ -57,14 +57,14 @@
             'unusable_entries_told', 'Mistakes in entries that were logged'
         )
         self.times = {
-            relay_actions.Measured.FIRST_EVENT: self.histogram(
+            relay_actions.DurationKind.FIRST_EVENT: self.histogram(
                 'first_event_seconds', 'Time to the first event of a stream'
             ),
-            relay_actions.Measured.RESUME: self.histogram(
+            relay_actions.DurationKind.RESUME: self.histogram(
                 'resume_seconds',
                 'Pause of a stream that went on at another engine',
             ),
-            relay_actions.Measured.CALL: self.histogram(
+            relay_actions.DurationKind.CALL: self.histogram(
                 'call_seconds', 'Time to the answer of a short call'
             ),
         }
@@ -89,11 +89,11 @@
                 self.answered(f'engine {head.status}')
             case relay_actions.EndStream():
                 self.answered('stream whole')
-            case relay_actions.BreakOff():
+            case relay_actions.AbortStream():
                 self.answered('stream broken off')
             case relay_actions.Refuse(status=status, code=code):
                 self.answered(f'own {status} {code}')
-            case relay_actions.Measure(kind, seconds):
+            case relay_actions.ObserveDuration(kind, seconds):
                 self.times[kind].observe({}, seconds)
 
     def answered(self, kind: str) -> None:
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -413,7 +413,7 @@
         call = store_calls.Call.ENGINES
         self.calls.count(call, self.sharing.cause_of(self.sharing.engines))
         self.sharing.engines.looked(now)
-        self.dispatch(relay_events.EnginesAsked())
+        self.dispatch(relay_events.EngineListRequested())
         whole = now > self.engines_read_at + CHANGES_SECONDS
         position = None if whole else self.engines_position
         try:
--- a/tests/common/crashing_fleet.py
+++ b/tests/common/crashing_fleet.py
@@ -273,9 +273,9 @@
                     found = other.own.incarnation == incarnation
                     if found and self.reached(instance, other):
                         self.after(self.peer_seconds, other.handle, told)
-            case relay_actions.KeepCrashes(report):
+            case relay_actions.StoreCrashReport(report):
                 self.store[report.fingerprint] = (self.now, report)
-            case relay_actions.DropCrashes(fingerprint):
+            case relay_actions.DeleteCrashReport(fingerprint):
                 self.store.pop(fingerprint, None)
             case relay_actions.CheckEngine(entry):
                 fate = relay_events.EngineFate.ENDED
@@ -283,7 +283,7 @@
                     fate = relay_events.EngineFate.ALIVE
                 checked = relay_events.EngineChecked(entry, fate)
                 self.after(2 * NETWORK_SECONDS, instance.handle, checked)
-            case relay_actions.TellFleet(told):
+            case relay_actions.ForwardHints(told):
                 for hint in told:
                     self.tell(
                         instance,
@@ -306,7 +306,7 @@
             case (
                 relay_actions.PassAnswer(exchange=exchange)
                 | relay_actions.EndStream(exchange=exchange)
-                | relay_actions.BreakOff(exchange=exchange)
+                | relay_actions.AbortStream(exchange=exchange)
                 | relay_actions.Refuse(exchange=exchange)
             ):
                 instance.answers[exchange] = action
@@ -319,7 +319,7 @@
     def deliver(self, instance, send):
         engine = self.life_of(send.engine)
         if engine is None:
-            broken = relay_events.SendBroken(
+            broken = relay_events.SendFailed(
                 send.exchange, send.send, False, 'connect: refused'
             )
             instance.handle(broken)
@@ -363,7 +363,7 @@
             return
         head = self.head_of(engine, run)
         run.instance.handle(
-            relay_events.AnswerBegan(run.send.exchange, run.send.send, head)
+            relay_events.AnswerStarted(run.send.exchange, run.send.send, head)
         )
         if run.crashes:
             self.after(CRASH_SECONDS, self.crash_by, engine, run)
@@ -376,7 +376,7 @@
             return
         moved = requests.StreamEvent(number, b'id: %d\n\n' % number)
         run.instance.handle(
-            relay_events.StreamMoved(
+            relay_events.StreamProgressed(
                 run.send.exchange, run.send.send, (moved,)
             )
         )
@@ -416,7 +416,7 @@
         for run in runs:
             if not run.ended:
                 run.ended = True
-                broken = relay_events.SendBroken(
+                broken = relay_events.SendFailed(
                     run.send.exchange, run.send.send, True, 'ConnectionLost'
                 )
                 self.after(NETWORK_SECONDS, run.instance.handle, broken)
--- a/tests/common/relay_world.py
+++ b/tests/common/relay_world.py
@@ -213,7 +213,7 @@
 
     def begin(self, send, **fields):
         return self.handle(
-            relay_events.AnswerBegan(
+            relay_events.AnswerStarted(
                 send.exchange, send.send, answer_head(**fields)
             )
         )
@@ -223,7 +223,7 @@
             requests.StreamEvent(n, b'id: %d\n\n' % n) for n in numbers
         )
         return self.handle(
-            relay_events.StreamMoved(send.exchange, send.send, moved)
+            relay_events.StreamProgressed(send.exchange, send.send, moved)
         )
 
     def complete(self, send):
@@ -245,7 +245,7 @@
 
     def lose(self, send, detail='ConnectionLost', *, handed_over=True):
         return self.handle(
-            relay_events.SendBroken(
+            relay_events.SendFailed(
                 send.exchange, send.send, handed_over, detail
             )
         )
--- a/tests/common/store_fleet.py
+++ b/tests/common/store_fleet.py
@@ -191,7 +191,7 @@
     @property
     def version(self):
         """Return the version of the configuration in force here."""
-        return self.relay.table.version if self.relay.table else 0
+        return self.relay.route_table.version if self.relay.route_table else 0
 
     def knows(self, engine):
         """Return whether an engine may get work here."""
@@ -206,14 +206,14 @@
             return
         for action in self.relay.handle(event, self.fleet.clock.seconds()):
             match action:
-                case relay_actions.TellFleet(told):
+                case relay_actions.ForwardHints(told):
                     self.fleet.told += len(told)
                     for hint in told:
                         event = relay_events.PeerTold(
                             self.own.incarnation, hint
                         )
                         self.fleet.tell_others(self, event)
-                case relay_actions.LookAtStore():
+                case relay_actions.RescheduleStoreRead():
                     self.watch.look_again()
 
     def beat(self):
--- a/tests/common/wire_store.py
+++ b/tests/common/wire_store.py
@@ -264,7 +264,7 @@
         """Have an event decided, and look at the store if it says so."""
         for action in self.relay.handle(event, self.reactor.seconds()):
             match action:
-                case relay_actions.LookAtStore():
+                case relay_actions.RescheduleStoreRead():
                     self.watch.look_again()
                 case actions.SetTimer(name, deadline):
                     wait = max(0.0, deadline - self.reactor.seconds())
@@ -274,7 +274,7 @@
     @property
     def version(self):
         """Return the version of the configuration in force."""
-        return self.relay.table.version if self.relay.table else 0
+        return self.relay.route_table.version if self.relay.route_table else 0
 
     def knows(self, engine):
         """Return whether an engine may get work."""
--- a/tests/load/test_crashing_requests.py
+++ b/tests/load/test_crashing_requests.py
@@ -149,7 +149,7 @@
         world.advance(5.0)
     assert world.sends(world.ask(body=b'x'))
     assert not world.refusals()
-    assert not world.relay.crashes.records.histories
+    assert not world.relay.crash_watch.records.histories
 
 
 def test_a_request_not_yet_begun_on_a_crashed_engine_is_no_suspect():
@@ -165,7 +165,7 @@
         world.lose(world.last_send(waiting))
         world.leave(begun)
     assert world.refusals(world.ask(body=b'begun'))
-    assert len(world.relay.crashes.records.histories) == 1
+    assert len(world.relay.crash_watch.records.histories) == 1
 
 
 def crash_under(world, send):
@@ -266,7 +266,7 @@
         assert len(world.of_kind(relay_actions.CheckEngine)) == asked
         world.advance(0.1)
     assert len(world.of_kind(relay_actions.CheckEngine)) == 3
-    assert not world.relay.crashes.questions
+    assert not world.relay.crash_watch.questions
 
 
 def test_heartbeats_of_instances_started_together_spread_out():
--- a/tests/load/test_limits_under_faults.py
+++ b/tests/load/test_limits_under_faults.py
@@ -197,7 +197,7 @@
     played.press(KIND, 10.0, 20.0)
     assert not any(a.at >= since for n in names for a in played.got[n])
     codes = {answer.code for answer in played.refusals()}
-    assert codes == {answers.LIMITED}
+    assert codes == {answers.ENGINES_LIMITED}
     played.limit(None, *names)
     played.press(KIND, 10.0, limit_table.ZERO_LIMIT_SECONDS)
     refused = len(played.refusals())
@@ -227,7 +227,7 @@
     assert max(held for held, _ in refused.values()) <= 0.13
     waits = {round(a.retry_after, 3) for _, a in refused.values()}
     assert len(waits) > 50
-    assert all(a.code == answers.LIMITED for _, a in refused.values())
+    assert all(a.code == answers.ENGINES_LIMITED for _, a in refused.values())
 
 
 def test_no_message_is_sent_while_no_engine_has_a_limit():
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -100,7 +100,7 @@
     callers.side.carry_out(relay_actions.BeginStream(1, HEAD))
     moved = (requests.StreamEvent(1, b'id: 1\n\n'),)
     callers.side.carry_out(relay_actions.PassEvents(1, moved))
-    callers.side.carry_out(relay_actions.BreakOff(1))
+    callers.side.carry_out(relay_actions.AbortStream(1))
     assert connection.transport.aborted
     assert answers(connection) == [(200, None)]
 
--- a/tests/relay/test_configuration_machine.py
+++ b/tests/relay/test_configuration_machine.py
@@ -35,7 +35,7 @@
     def __init__(self):
         super().__init__()
         self.world = relay_world.RelayWorld()
-        self.highest = self.world.relay.table.version
+        self.highest = self.world.relay.route_table.version
         self.heard_of = self.highest
         self.word_at = float('-inf')
         self.heard_at = float('-inf')
@@ -94,7 +94,7 @@
 
     @invariant()
     def version_never_falls(self):
-        assert self.relay.table.version == self.highest
+        assert self.relay.route_table.version == self.highest
 
     @invariant()
     def silence_of_the_neighbour_is_not_waited_out(self):
--- a/tests/relay/test_copies.py
+++ b/tests/relay/test_copies.py
@@ -67,7 +67,7 @@
     assert world.last_send(send.exchange).copy_from is None
 
 
-def test_copy_made_by_hand_is_renewed_before_it_lapses():
+def test_ordered_copy_is_renewed_before_it_expires():
     """Such a copy is kept for a few seconds only.
 
     A run that goes on for longer would lose it unnoticed.
@@ -165,7 +165,7 @@
     assert 'restarted' in used
 
 
-def test_two_streams_that_fall_silent_speak_for_the_death_of_an_engine():
+def test_two_silent_streams_mark_an_engine_as_failed():
     """A data centre goes dark: its engines neither answer nor reset.
 
     One silent stream may be a lost connection. With a second one on the same
@@ -182,7 +182,7 @@
     assert len(copies(world)) == 1
 
 
-def test_two_silent_streams_of_one_instance_count_too():
+def test_two_silent_streams_of_one_instance_mark_an_engine_as_failed():
     world = relay_world.RelayWorld()
     send = streaming(world)
     held_at = send.copy_to.engine
@@ -191,7 +191,7 @@
     assert len(copies(world)) == 1
 
 
-def test_instances_tell_of_silent_engines():
+def test_silent_engine_is_announced_to_other_instances():
     world = relay_world.RelayWorld()
     send = streaming(world)
     world.advance(0.5)
@@ -199,7 +199,7 @@
     assert hints.Silent(send.engine.engine) in told
 
 
-def test_old_entry_that_is_heard_of_late_puts_out_no_engine():
+def test_old_entry_read_late_does_not_replace_a_newer_engine():
     """An instance starts while an engine restarts.
 
     It hears of the new engine first, and then finds the old one's entry in the
--- a/tests/relay/test_engine_lives.py
+++ b/tests/relay/test_engine_lives.py
@@ -155,9 +155,9 @@
     world = world_of_lives()
     send = streaming(world)
     part = f'part{send.exchange}'
-    assert world.relay.loads.prompts.holder(part, world.now)
+    assert world.relay.loads.prompts.likely_holder(part, world.now)
     world.change_engines(again(send.engine))
-    assert not world.relay.loads.prompts.holder(part, world.now)
+    assert not world.relay.loads.prompts.likely_holder(part, world.now)
 
 
 def test_new_life_has_none_of_the_runs_of_other_instances():
@@ -420,7 +420,9 @@
     entry = fleet()[0]
     before = world.relay.engines.digest()
     done = world.change_engines(again(entry))
-    [told] = [a.hints for a in done if isinstance(a, relay_actions.TellFleet)]
+    [told] = [
+        a.hints for a in done if isinstance(a, relay_actions.ForwardHints)
+    ]
     assert hints.EnginesTold((again(entry),), ()) in told
     assert world.relay.engines.digest() != before
 
--- a/tests/relay/test_placing.py
+++ b/tests/relay/test_engine_selection.py
@@ -7,7 +7,7 @@
 from tests.common import relay_world
 
 
-def test_run_and_copy_stand_on_both_sides_of_the_data_centre():
+def test_run_and_copy_are_placed_in_different_data_centres():
     """A data centre's engines die together, and links are cut.
 
     With a run and its copy both inside or both outside of its instance's data
@@ -21,7 +21,7 @@
         assert len(places) == 2
 
 
-def test_prompts_do_not_wait_for_one_another_while_engines_idle():
+def test_prompts_are_spread_over_idle_engines():
     """Engines nearby read a prompt each while those far off idle.
 
     A stream that queues nearby gets its first token a second later, and all
@@ -35,7 +35,7 @@
     assert len(set(used)) == 9
 
 
-def test_cut_link_is_found_out_by_few_requests():
+def test_few_requests_time_out_on_a_cut_link():
     """The link to other data centres is cut.
 
     Connections there time out after a quarter of a second each. A stream that
@@ -69,7 +69,7 @@
         assert send.engine.engine != 'model-north-0'
 
 
-def test_copy_is_not_put_where_engines_have_just_died():
+def test_copy_is_not_placed_in_a_failing_data_centre():
     """A data centre's engines crash together.
 
     Their entries stay in the list for seconds. A copy that is sent to one that
@@ -85,7 +85,7 @@
         assert send.copy_to.data_centre != 'north'
 
 
-def instances_of_a_large_fleet(number, hinted):
+def create_large_fleet(number, hinted):
     """Return worlds of instances that all know of the same runs."""
     worlds = [
         relay_world.RelayWorld(relay_world.fleet(per_place=15), seed=seed)
@@ -98,12 +98,12 @@
     return worlds
 
 
-def most_on_one_engine(engines):
+def max_on_one_engine(engines):
     """Return how many of some choices fell on the same engine."""
     return max(collections.Counter(engines).values())
 
 
-def test_streams_lost_together_are_not_put_on_the_same_few_engines():
+def test_streams_lost_together_are_spread_over_engines():
     """A data centre's engines die, and a stream of each of thirty instances.
 
     All choose another engine within the same millisecond, before any can hear
@@ -118,7 +118,7 @@
         for _ in range(2)
     ]
     chosen = []
-    for world in instances_of_a_large_fleet(30, busy):
+    for world in create_large_fleet(30, busy):
         exchange = world.ask()
         first = world.last_send(exchange)
         for number in range(15):
@@ -126,10 +126,10 @@
             world.handle(relay_events.PeerTold('other', hint))
         world.lose(first)
         chosen.append(world.last_send(exchange).engine.engine)
-    assert most_on_one_engine(chosen) <= 7
+    assert max_on_one_engine(chosen) <= 7
 
 
-def test_copies_lost_together_are_not_put_on_the_same_engine():
+def test_copies_lost_together_are_spread_over_engines():
     """The engine dies that holds copies for thirty instances.
 
     Each orders another copy at the same moment. Put on the emptiest engine by
@@ -143,7 +143,7 @@
     ]
     held = [(name, name) for name in names]
     chosen = []
-    for world in instances_of_a_large_fleet(30, held):
+    for world in create_large_fleet(30, held):
         send = world.last_send(world.ask())
         chosen.append(send.copy_to.engine)
-    assert most_on_one_engine(chosen) <= 12
+    assert max_on_one_engine(chosen) <= 12
--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -162,7 +162,7 @@
     reader.read_for_all()
     follower = relay_world.RelayWorld()
     spoil(reader, SPOILT, 'unheard-of')
-    actions = reader.of_kind(relay_actions.TellFleet)
+    actions = reader.of_kind(relay_actions.ForwardHints)
     told = [hint for action in actions for hint in action.hints]
     [news] = [
         h for h in told if isinstance(h, hints.EnginesTold) and h.unusable
@@ -187,7 +187,7 @@
     assert not [
         hint
         for a in again
-        if isinstance(a, relay_actions.TellFleet)
+        if isinstance(a, relay_actions.ForwardHints)
         for hint in a.hints
         if isinstance(hint, hints.EnginesTold)
     ]
@@ -391,12 +391,12 @@
     reader.handle(relay_events.PeerHeard('6-other', 'south'))
     listed = (hints.Member('other', '6-other', '127.0.0.2', 'south'),)
     done = reader.handle(relay_events.MembersListed(listed))
-    [told] = [a for a in done if isinstance(a, relay_actions.TellFleet)]
+    [told] = [a for a in done if isinstance(a, relay_actions.ForwardHints)]
     assert told.hints == (hints.NotListed(('5-own',)),)
     spoilt.relay.sharing.members_looked(spoilt.now)
     assert spoilt.relay.sharing.members_due_at(spoilt.now) > spoilt.now
     looks = spoilt.handle(relay_events.PeerTold(READER, told.hints[0]))
-    assert looks == [relay_actions.LookAtStore()]
+    assert looks == [relay_actions.RescheduleStoreRead()]
     assert spoilt.relay.sharing.members_due_at(spoilt.now) <= spoilt.now
 
 
--- a/tests/relay/test_leaving_engines.py
+++ b/tests/relay/test_leaving_engines.py
@@ -69,7 +69,7 @@
     for _ in range(10):
         world.advance(1.0)
         word = hints.StoreRead(
-            world.relay.engines.digest(), world.relay.table.version
+            world.relay.engines.digest(), world.relay.route_table.version
         )
         world.handle(relay_events.PeerTold(READER, word))
     world.advance(1.4)
@@ -91,7 +91,7 @@
     follower = relay_world.RelayWorld()
     follower.handle(relay_events.PeerHeard(READER, 'north'))
     word = hints.StoreRead(
-        follower.relay.engines.digest(), follower.relay.table.version
+        follower.relay.engines.digest(), follower.relay.route_table.version
     )
     follower.handle(relay_events.PeerTold(READER, word))
     follower.advance(1.0)
--- a/tests/relay/test_promises.py
+++ b/tests/relay/test_promises.py
@@ -17,7 +17,7 @@
 FINAL = (
     relay_actions.PassAnswer,
     relay_actions.EndStream,
-    relay_actions.BreakOff,
+    relay_actions.AbortStream,
     relay_actions.Refuse,
 )
 
--- a/tests/relay/test_full_engines.py
+++ b/tests/relay/test_reset_connections.py
@@ -3,7 +3,7 @@
 from tests.common import relay_wires
 
 
-def test_connection_reset_right_after_it_opened_has_carried_nothing():
+def test_nothing_is_sent_on_a_connection_reset_right_after_it_opened():
     """All instances lose power, and an engine still counts their connections.
 
     Until it notices, it resets new ones as soon as they are open. A call that
@@ -22,7 +22,7 @@
     assert second.broken == (False, 'reset before anything was sent')
 
 
-def test_request_is_sent_when_the_connection_holds():
+def test_request_is_sent_when_the_connection_stays_open():
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     receiver = relay_wires.Receiver()
@@ -33,7 +33,7 @@
     assert receiver.complete
 
 
-def test_other_engines_are_not_waited_for():
+def test_connections_to_other_engines_are_not_delayed():
     """The wait is for the engine that resets connections, and not for long."""
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
@@ -44,7 +44,7 @@
     assert again.transport.value()
 
 
-def test_caller_that_leaves_meanwhile_has_nothing_sent():
+def test_nothing_is_sent_for_a_caller_that_left_during_the_delay():
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     receiver = relay_wires.Receiver()
--- a/tests/relay/test_resuming.py
+++ b/tests/relay/test_resuming.py
@@ -51,7 +51,7 @@
     assert world.last_send(exchange).copy_from is None
 
 
-def test_request_finds_the_living_half_of_a_fleet():
+def test_refused_connections_do_not_use_up_attempts():
     """A whole data centre refuses connections.
 
     Each refusal costs a caller a millisecond; giving up after a few would cost
@@ -69,7 +69,7 @@
     assert len(world.sends(exchange)) <= 8
 
 
-def test_engine_that_was_replaced_gets_nothing_more():
+def test_replaced_engine_gets_no_more_requests():
     """An engine restarts under a new identity.
 
     Its old entry stays in the list for seconds. Whoever sends to it again and
@@ -112,7 +112,7 @@
     assert any(dead.engine == send.engine.engine for send in used)
 
 
-def test_caller_who_comes_back_is_sent_where_its_prompt_was_read():
+def test_resumed_request_goes_to_the_engine_that_read_its_prompt():
     """An instance dies and its callers come back through another one.
 
     That one has only heard of their runs. On any other engine the prompt would
@@ -129,7 +129,7 @@
     assert world.last_send(exchange).resume_after == 40
 
 
-def test_prompt_is_not_read_where_all_others_queue_for_one():
+def test_popular_prompt_is_spread_over_engines():
     """Many callers ask about one thing at once.
 
     All sent to the engine that has its prompt, they would wait for one another
@@ -144,7 +144,7 @@
     assert len(used) > 1
 
 
-def test_engines_that_were_replaced_cost_no_attempt():
+def test_replaced_engines_cost_no_attempt():
     """A data centre's engines restart and their old entries stay in the list.
 
     A request that meets several of them has not used up its attempts: none of
@@ -158,7 +158,7 @@
     assert len(world.sends(exchange)) == 7
 
 
-def test_word_of_a_replaced_engine_goes_round():
+def test_replaced_engine_is_announced_to_other_instances():
     """Each instance would find out by itself, one request after another.
 
     Those are counted as repeats in the budget that all share.
@@ -176,7 +176,7 @@
         assert other.last_send(other.ask()).engine != first.engine
 
 
-def test_stopping_instance_takes_no_stream_that_it_can_not_finish():
+def test_stopping_instance_refuses_a_stream_that_it_can_not_finish():
     """An instance stops, and callers come until the balancer notices.
 
     A long answer that begins now would be cut in the middle; refused at once,
@@ -191,7 +191,7 @@
         world.events(send, number)
         world.advance(0.25)
     world.complete(send)
-    world.handle(relay_events.StopBy(world.now + 7.5))
+    world.handle(relay_events.StopRequested(world.now + 7.5))
     early = world.ask()
     assert world.sends(early)
     world.advance(3.0)
@@ -203,7 +203,7 @@
     assert world.sends(world.call())
 
 
-def test_silent_stream_is_not_said_not_to_have_run():
+def test_silent_stream_is_not_reported_as_not_run():
     """An engine falls silent before its first event, and no other is left.
 
     It may be reading the prompt all the while. Told that nothing ran, a caller
@@ -219,7 +219,7 @@
     assert refusal.status == 502
 
 
-def silent_stream_without_copy():
+def start_silent_stream_without_copy():
     """Return a world, and a stream that was silent for too long.
 
     Its engine's service keeps no copies.
@@ -240,14 +240,14 @@
     return world, exchange, first
 
 
-def test_silent_stream_without_a_copy_stays_while_its_engine_lives():
+def test_silent_stream_without_a_copy_stays_on_a_live_engine():
     """An engine that reads other prompts is silent for half a second.
 
     A stream that has no copy can only go on where its prompt is read again,
     which takes longer than the silence and slows down another engine. So its
     engine is asked first whether it lives.
     """
-    world, exchange, first = silent_stream_without_copy()
+    world, exchange, first = start_silent_stream_without_copy()
     assert len(world.sends(exchange)) == 1
     [probe] = world.of_kind(relay_actions.ProbeEngine, exchange)
     assert probe.engine == first.engine
@@ -259,22 +259,22 @@
 
 
 def test_silent_stream_without_a_copy_leaves_a_dead_engine():
-    world, exchange, first = silent_stream_without_copy()
+    world, exchange, first = start_silent_stream_without_copy()
     world.advance(0.3)
     world.handle(relay_events.EngineProbed(exchange, first.send, False))
     assert len(world.sends(exchange)) == 2
     assert world.last_send(exchange).resume_after == 2
 
 
-def test_stream_that_stays_silent_leaves_a_living_engine():
+def test_stream_that_stays_silent_leaves_a_live_engine():
     """Its connection has gone silent for good, though the engine is well."""
-    world, exchange, first = silent_stream_without_copy()
+    world, exchange, first = start_silent_stream_without_copy()
     world.handle(relay_events.EngineProbed(exchange, first.send, True))
     world.advance(2.0)
     assert len(world.sends(exchange)) >= 2
 
 
-def test_stream_that_ended_without_events_is_not_said_not_to_have_run():
+def test_stream_ended_without_events_is_not_reported_as_not_run():
     """An engine ends its answer before the first event, and others are gone.
 
     The engine had the request, and may have worked on it. A caller that is
--- a/tests/relay/test_hopeless.py
+++ b/tests/relay/test_short_deadlines.py
@@ -3,7 +3,7 @@
 from tests.common import relay_world
 
 
-def test_stream_whose_prompt_can_not_be_read_in_time_is_refused_at_once():
+def test_stream_is_refused_if_its_prompt_can_not_be_read_by_the_deadline():
     """Callers come back after a long loss, with little time left.
 
     An engine would read their prompts, for a second each, and be stopped at
@@ -17,7 +17,7 @@
     assert refusal.status == 503
 
 
-def test_stream_whose_prompt_an_engine_has_is_served_with_little_time():
+def test_stream_with_a_short_deadline_is_served_from_a_cached_prompt():
     """An engine that has read the prompt goes on at once."""
     world = relay_world.RelayWorld()
     first = world.ask(prompt=relay_world.PROMPT)
@@ -29,7 +29,7 @@
     assert world.sends(again)
 
 
-def test_fast_engines_are_not_taken_for_slow_ones():
+def test_reading_rate_adapts_to_fast_engines():
     """Another fleet's engines read prompts four times as fast.
 
     Judged by the engines of today, its callers would be refused although
--- a/tests/relay/test_stop_ending.py
+++ b/tests/relay/test_stop_ending.py
@@ -26,7 +26,7 @@
 EMPTY_SECONDS = 3.7
 
 
-def ending_world():
+def create_ending_world():
     """Return an instance that waits for the store to remove its entry."""
     world = instance_world.InstanceWorld()
     world.instance.stop()
@@ -45,13 +45,13 @@
 
 
 @pytest.mark.parametrize('request_bytes', [CALL, STREAM])
-def test_request_on_a_new_connection_at_the_end_is_refused(request_bytes):
+def test_request_on_a_new_connection_while_ending_is_refused(request_bytes):
     """A caller connects while the instance waits for the store's answer.
 
     Nobody is served here any more, so the instance is about to end. A request
     that it sent to an engine now would be cut with the process.
     """
-    world = ending_world()
+    world = create_ending_world()
     before = world.engine_requests
     connection = world.connect()
     connection.dataReceived(request_bytes)
@@ -59,9 +59,9 @@
     assert_refused_as_not_run(connection)
 
 
-def test_request_in_pieces_at_the_end_is_refused():
+def test_request_in_pieces_while_ending_is_refused():
     """The bytes of a request come one by one while the entry is removed."""
-    world = ending_world()
+    world = create_ending_world()
     before = world.engine_requests
     connection = world.connect()
     for at in range(len(CALL)):
@@ -71,14 +71,14 @@
     assert_refused_as_not_run(connection)
 
 
-def test_refusal_is_out_before_the_process_ends():
+def test_refusal_is_written_before_the_process_ends():
     """The store answers just after a late request was refused.
 
     The refusal is still on its way to a caller behind a slow link. What is not
     written yet is lost with the process, and the caller sees a connection that
     ends without an answer.
     """
-    world = ending_world()
+    world = create_ending_world()
     connection = world.connect()
     connection.dataReceived(CALL)
     world.store.removals[0].callback(None)
@@ -88,7 +88,7 @@
     assert world.ended
 
 
-def test_request_that_is_half_read_when_time_is_up_is_refused():
+def test_half_read_request_at_the_stop_deadline_is_refused():
     """A caller is still sending its body when the stop has to end.
 
     The connection would end without a word, and the caller would not know
@@ -105,7 +105,7 @@
     assert_refused_as_not_run(connection)
 
 
-def test_stop_ends_in_its_time_though_the_store_is_silent():
+def test_stop_ends_in_time_while_the_store_does_not_answer():
     """The store takes the removal of the entry and never answers.
 
     A process that waited for it would be killed, and what it had still to
@@ -122,7 +122,7 @@
 
 def test_no_caller_can_connect_once_the_instance_has_ended():
     """Else a caller could be accepted whom nobody reads any more."""
-    world = ending_world()
+    world = create_ending_world()
     world.store.removals[0].callback(None)
     world.advance(0.2)
     assert world.ended
@@ -144,9 +144,9 @@
     assert world.ended
 
 
-def test_stop_that_is_asked_for_twice_begins_once():
+def test_second_stop_request_has_no_effect():
     """The platform signals again while the instance already stops."""
-    world = ending_world()
+    world = create_ending_world()
     world.instance.stop()
     world.store.removals[0].callback(None)
     world.advance(0.2)
@@ -164,7 +164,7 @@
     assert world.ended
 
 
-def nearly_empty_world():
+def create_nearly_empty_world():
     """Return an instance that is just about to look who is still served."""
     world = instance_world.InstanceWorld()
     world.instance.stop()
@@ -178,7 +178,7 @@
     Closed between them, its caller gets no answer and can't know whether the
     request has run.
     """
-    world = nearly_empty_world()
+    world = create_nearly_empty_world()
     connection = world.connect()
     connection.dataReceived(CALL[:25])
     world.advance(0.2)
@@ -188,13 +188,13 @@
     assert world.engine_requests
 
 
-def test_refusal_has_time_to_be_read_in_a_stop_too():
+def test_refusal_can_be_read_during_a_stop():
     """A caller sends too large a body just before the instance looks again.
 
     It still sends. Closed with its bytes unread, the connection would be
     reset, and the refusal could be lost on its way.
     """
-    world = nearly_empty_world()
+    world = create_nearly_empty_world()
     connection = world.connect()
     connection.dataReceived(
         b'POST /a HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n'
@@ -205,7 +205,7 @@
     assert not connection.transport.disconnecting
 
 
-def test_half_read_request_is_refused_before_the_store_is_waited_for():
+def test_half_read_request_is_refused_before_waiting_for_the_store():
     """The store is silent as the stop ends.
 
     A caller who is still sending needs the rest of the time to read that its
@@ -220,7 +220,7 @@
     assert_refused_as_not_run(connection)
 
 
-def test_others_hear_nothing_of_an_instance_that_has_said_goodbye():
+def test_no_heartbeat_is_sent_after_the_leave_message():
     """The store is silent, so the instance waits before it ends.
 
     A further heartbeat would bring it back: its neighbours would count on it
@@ -237,7 +237,7 @@
     assert beats[-1] is True
 
 
-def test_stop_ends_though_the_store_can_not_even_be_asked():
+def test_stop_ends_if_the_store_request_raises():
     """Asking the store to remove the entry raises an error at once."""
     world = instance_world.InstanceWorld()
 
--- a/tests/relay/test_store_sharing.py
+++ b/tests/relay/test_store_sharing.py
@@ -25,7 +25,7 @@
 
 
 def told(world):
-    actions = world.of_kind(relay_actions.TellFleet)
+    actions = world.of_kind(relay_actions.ForwardHints)
     return [hint for action in actions for hint in action.hints]
 
 
@@ -33,7 +33,7 @@
     """Let a reader tell of a read of the store."""
     given = {
         'digest': world.relay.engines.digest(),
-        'version': world.relay.table.version,
+        'version': world.relay.route_table.version,
         **fields,
     }
     return world.handle(
@@ -238,7 +238,7 @@
 def test_higher_version_is_fetched():
     """The configuration is too large for a datagram; its version is not."""
     world = world_with_reader()
-    read_by(world, version=world.relay.table.version + 1)
+    read_by(world, version=world.relay.route_table.version + 1)
     assert world.relay.sharing.configuration_due(world.now)
 
 
@@ -266,7 +266,7 @@
     world = world_with_reader()
     read_by(world)
     world.advance(1.0)
-    read_by(world, version=world.relay.table.version + 1)
+    read_by(world, version=world.relay.route_table.version + 1)
     read_by(world)
     assert world.relay.sharing.configuration_due(world.now)
 
@@ -315,4 +315,4 @@
     reader.relay.sharing.configuration.known(reader.now)
     reader.relay.sharing.engines.looked(reader.now)
     reader.handle(relay_events.EnginesChanged((), ()))
-    assert words(reader)[-1].version == reader.relay.table.version
+    assert words(reader)[-1].version == reader.relay.route_table.version
