--- a/src/greengagelb/coordination/relay/actions.py
+++ b/src/greengagelb/coordination/relay/actions.py
@@ -1,6 +1,6 @@
-"""What decisions about relayed requests want done.
+"""Actions that result from decisions about relayed requests.
 
-Timers and time line entries are those of
+Timers and timeline events are those of
 :mod:`greengagelb.coordination.actions`.
 """
 
@@ -16,13 +16,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """Send a request to an engine, on a connection that it has alone.
+    """Send a request to an engine, on a connection of its own.
 
-    ``deadline`` is monotonic. ``resume_after`` is the number of the last
-    event that the caller has. ``copy_from`` names a copy of the run's memory
-    that the engine holds, and ``copy_to`` the engine to which the run's
-    memory is to be copied as it grows. ``fresh`` asks for a new connection:
-    an idle one may be dead without anybody having been told.
+    ``deadline`` is a monotonic time. ``resume_after`` is the number of the
+    last event that the caller has. ``copy_from`` names a copy of the run's
+    memory that the engine holds, and ``copy_to`` is the engine to which the
+    run's memory is copied as it grows. ``fresh`` requires a new connection: an
+    idle one may be broken without either end having noticed.
     """
 
     exchange: int
@@ -41,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbandonSend:
-    """Close the connection of a send; its engine then stops the work."""
+    """Close the connection of a send, which makes its engine stop."""
 
     exchange: int
     send: int
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PassAnswer:
-    """Give the caller an engine's whole answer, unchanged."""
+    """Pass an engine's complete answer to the caller, unchanged."""
 
     exchange: int
     head: requests.AnswerHead
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BeginStream:
-    """Begin a streamed answer with the head of the engine's."""
+    """Start a streamed answer with the head of the engine's answer."""
 
     exchange: int
     head: requests.AnswerHead
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PassEvents:
-    """Pass on whole events of a stream, unchanged."""
+    """Pass complete events of a stream to the caller, unchanged."""
 
     exchange: int
     events: tuple[requests.StreamEvent, ...]
@@ -81,9 +81,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AbortStream:
-    """Reset the caller's connection: its answer can't be completed.
+    """Reset the caller's connection, as its answer can't be completed.
 
-    ``code`` tells why, on the time line.
+    ``code`` is the reason, for the timeline.
     """
 
     exchange: int
@@ -92,7 +92,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the caller a final answer of our own, at once.
+    """Send the caller a final answer from this instance, at once.
 
     ``status`` 408, 421, 429 and 503 promise that the request has not run and
     never will. ``retry_after`` is in seconds.
@@ -106,9 +106,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProbeEngine:
-    """Ask an engine for a sign of life, on a connection of its own.
+    """Probe an engine with an overdue event, on a separate connection.
 
-    Answered by exactly one ``EngineProbed`` within the time of a probe.
+    Results in exactly one ``EngineProbed`` within the time of a probe.
     """
 
     exchange: int
@@ -118,9 +118,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CheckEngine:
-    """Ask an engine whether it has ended, on a new connection.
+    """Check on a new connection whether an engine has ended.
 
-    Answered by exactly one ``EngineChecked`` within the time of a probe.
+    Results in exactly one ``EngineChecked`` within the time of a probe.
     """
 
     entry: engines.EngineEntry
@@ -130,7 +130,7 @@
 class CopyRun:
     """Have an engine copy a run's memory to another one.
 
-    Answered by exactly one ``RunCopied``.
+    Results in exactly one ``RunCopied``.
     """
 
     exchange: int
@@ -142,10 +142,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AskSuccessor:
-    """Ask who answers at the address of an engine that was lost.
+    """Ask which engine answers at the address of a lost one.
 
-    If it ``may_be_another_service`` it is asked too whether it has the memory
-    of a model engine.
+    If it ``may_be_another_service``, it is also asked whether it has the
+    memory of a model engine.
     """
 
     entry: engines.EngineEntry
@@ -155,14 +155,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellPeers:
-    """Give a hint to all other instances."""
+    """Send a hint to all other instances."""
 
     hint: hints.Hint
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TellPeer:
-    """Give a hint to one other instance."""
+    """Send a hint to one other instance."""
 
     incarnation: str
     hint: hints.Hint
@@ -170,25 +170,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreCrashReport:
-    """Have the store keep what is known of a request."""
+    """Write the crash report of a request to the store."""
 
     report: crashes.CrashReport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeleteCrashReport:
-    """Have the store keep nothing of a request any more."""
+    """Delete the crash report of a request from the store."""
 
     fingerprint: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardHints:
-    """Give hints to all others; those far away get them from one near them.
+    """Send hints to all other instances, to remote ones by forwarding.
 
-    For what is many datagrams at once, and missed by its receivers if it is
-    lost: sent to each of hundreds it would fill the link of its sender. Hints
-    of one action arrive in their order.
+    Some instances of each remote data centre forward them there. Used for
+    hints that take many datagrams at once and must not be lost: sent directly
+    to hundreds of instances, they would fill the sender's link. The hints of
+    one action arrive in order.
     """
 
     hints: tuple[hints.Hint, ...]
@@ -196,11 +197,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RescheduleStoreRead:
-    """Look whether the store is to be read sooner than was known."""
+    """Check again when the store is to be read next."""
 
 
 class DurationKind(enum.Enum):
-    """Times that are worth a histogram."""
+    """The durations that have a histogram."""
 
     FIRST_EVENT = 'first-event'
     RESUME = 'resume'
@@ -209,7 +210,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObserveDuration:
-    """Put a time into its histogram, in seconds."""
+    """Add a duration in seconds to its histogram."""
 
     kind: DurationKind
     seconds: float
--- a/src/greengagelb/coordination/relay/answers.py
+++ b/src/greengagelb/coordination/relay/answers.py
@@ -1,4 +1,4 @@
-"""Final answers of our own, and what each of them promises."""
+"""Builds the final answers that the relay itself gives to callers."""
 
 import random
 
@@ -8,21 +8,22 @@
 BAD_GATEWAY = 502
 SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
-# The code of what is answered to requests that crash engines.
+# The code of answers to requests that crash engines.
 CRASHES_ENGINES = 'request-crashes-engines'
-# The code of what is answered where engines have reached their limits.
+# The code of answers when all engines have reached their limits.
 ENGINES_LIMITED = 'engines-limited'
-# By how much waits differ of callers who are turned away at the same time.
+# Maximum random factor on the wait of callers that are refused together.
 MAX_WAIT_SPREAD_FACTOR = 2.0
-# Callers come back within this part of the time they have left, or not at
-# all; a longer wait would be a loss without need.
+# The wait is at most this share of the time until the caller's deadline.
+# Callers retry within it or not at all, so a longer wait would only lose
+# requests.
 MAX_WAIT_SHARE = 0.25
 MIN_WAIT_SECONDS = 0.05
 MAX_WAIT_SECONDS = 2.0
 
 
 class AnswerBuilder:
-    """Builds refusals and failures."""
+    """Builds refusals and failure answers."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -30,10 +31,10 @@
     def refuse_not_run(
         self, exchange: exchanges.Exchange, code: str, now: float
     ) -> relay_actions.Refuse:
-        """Refuse a request that has not run; say when to come back.
+        """Refuse a request that has not run, with a time to retry after.
 
-        The waits are spread, so that those who were turned away together do
-        not come back together.
+        The waits are random, so that callers refused together do not retry
+        together.
         """
         remaining_seconds = max(0.0, exchange.ruling.deadline - now)
         max_wait_seconds = min(
@@ -49,7 +50,7 @@
     def refuse_until(
         self, exchange: exchanges.Exchange, until: float, now: float
     ) -> relay_actions.Refuse:
-        """Refuse a request that must not run before a moment."""
+        """Refuse a crashing request until the monotonic time ``until``."""
         return relay_actions.Refuse(
             exchange.number, SERVICE_UNAVAILABLE, CRASHES_ENGINES, until - now
         )
@@ -57,9 +58,10 @@
     def refuse_limited(
         self, exchange: exchanges.Exchange, back_at: float, now: float
     ) -> relay_actions.Refuse:
-        """Refuse a request that no engine takes before a moment.
+        """Refuse a request that no engine accepts before ``back_at``.
 
-        Those that are turned away together come back one after the other.
+        The waits are random, so that callers refused together retry one after
+        another.
         """
         wait_seconds = max(MIN_WAIT_SECONDS, back_at - now)
         wait_seconds *= self.rng.uniform(1.0, MAX_WAIT_SPREAD_FACTOR)
@@ -70,10 +72,10 @@
     def fail_request(
         self, exchange: exchanges.Exchange, code: str, now: float
     ) -> relay_actions.RelayAction:
-        """Return the final answer of a request that nothing will serve.
+        """Return the final answer to a request that no engine will serve.
 
-        A stream that has begun can only be broken off. Else the status says
-        whether the request may have run.
+        A stream that has started can only be aborted. Otherwise the status
+        says whether the request may have run.
         """
         if exchange.begun:
             return relay_actions.AbortStream(exchange.number, code)
--- a/src/greengagelb/coordination/relay/calls.py
+++ b/src/greengagelb/coordination/relay/calls.py
@@ -1,4 +1,4 @@
-"""Short calls: one whole answer or none, and no repeat that may not be."""
+"""Relays short calls, and retries them only where the route allows it."""
 
 import dataclasses
 
@@ -17,16 +17,17 @@
 from greengagelb.state.relay import hints
 
 HEDGE_TIMER = 'relay-second-try'
-# When a call is later than its goal.
+# Fires when a call has exceeded the goal of its route.
 LATE_CALL_TIMER = 'relay-call-late'
-# An idempotent call that has had no answer for this part of its goal is sent
-# to a second engine beside the first: one that stands still or is slow shows
-# no other sign, and the rest of the goal still suffices for a whole call.
+# An idempotent call without an answer after this share of its goal is also
+# sent to a second engine: a stalled or slow engine shows no other sign, and
+# the rest of the goal still suffices for a whole call.
 HEDGE_DELAY_SHARE = 0.6
-# Connections that could not be opened cost no attempt, as nothing was sent.
-# Bounded all the same, so that a request does not go round a dead pool.
+# Connections that could not be opened do not count as attempts, as nothing was
+# sent. They are bounded so that a request does not try an unreachable pool
+# forever.
 MAX_FAILED_CONNECTIONS = 12
-# The status by which an engine says that it is not the one that was meant.
+# The status of an engine that is not the one the request was meant for.
 MISDIRECTED_REQUEST = 421
 
 Action = relay_actions.RelayAction
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RelayParts:
-    """What calls and streams are decided with."""
+    """The components that calls and streams share."""
 
     engines: directory.EngineDirectory
     selector: engine_selection.EngineSelector
@@ -51,10 +52,10 @@
         code: str,
         now: float,
     ) -> list[Action] | None:
-        """Have a send wait for a permit, if its engine has a limit.
+        """Queue a send for a permit if its engine has a limit.
 
-        Returns what follows, or None where the send needs no permit. It ends
-        with ``code`` if it has had all its attempts.
+        Returns the resulting actions, or None if the send needs no permit.
+        The request fails with ``code`` if it has no attempts left.
         """
         if not self.waiting_sends.needed(state):
             return None
@@ -70,9 +71,9 @@
         code: str,
         now: float,
     ) -> Action:
-        """Return the final answer to a request that no engine takes now.
+        """Return the final answer to a request that no engine accepts now.
 
-        Where engines would but for their limits, it says when they do.
+        If only the engines' limits prevent it, the answer says when to retry.
         """
         ruling = exchange.ruling
         available_at = self.selector.available_again_at(
@@ -84,7 +85,7 @@
 
 
 class CallRelay:
-    """Decides what happens to each short call."""
+    """Sends short calls, retries them and hedges them."""
 
     def __init__(self, parts: RelayParts) -> None:
         self.parts = parts
@@ -92,13 +93,13 @@
     def start_request(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
-        """Send a call for the first time, or refuse it at once."""
+        """Make the first attempt of a call, or refuse it at once."""
         return self.send_to_next_engine(exchange, now, 'no-engine')
 
     def send_to_next_engine(
         self, exchange: exchanges.Exchange, now: float, code: str
     ) -> list[Action]:
-        """Send a call to an engine that has not had it, or end it."""
+        """Send a call to an engine that it has not tried, or end it."""
         if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
             return [self.parts.answers.fail_request(exchange, code, now)]
@@ -118,7 +119,7 @@
     def choose_engine(
         self, exchange: exchanges.Exchange, now: float
     ) -> engine_states.EngineState | None:
-        """Return the engine for a call's next try, or None."""
+        """Return the engine for a call's next attempt, or None."""
         ruling = exchange.ruling
         return self.parts.selector.choose_for_call(
             ruling.service.name, exchange.tried, now, ruling.account
@@ -131,7 +132,7 @@
         code: str,
         now: float,
     ) -> list[Action]:
-        """Send a call to an engine that takes it, or end it."""
+        """Send a call to the chosen engine, or end it."""
         if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
             return [self.parts.answers.fail_request(exchange, code, now)]
@@ -146,8 +147,6 @@
             done.append(actions.SetTimer(name, now + HEDGE_DELAY_SHARE * goal))
         return done
 
-    # -- what becomes of a send ---------------------------------------------
-
     def handle_answer(
         self,
         exchange: exchanges.Exchange,
@@ -155,7 +154,7 @@
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
-        """Pass a whole answer on, or try another engine."""
+        """Handle a complete answer of an engine."""
         told = self.parts.send_table.note_answer_head(
             exchange, sent, event.head, now
         )
@@ -168,7 +167,7 @@
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
-        """Decide what the caller gets of a whole answer."""
+        """Pass a complete answer on, or try another engine."""
         head = event.head
         self.parts.send_table.release_send(exchange, sent)
         if head.not_run:
@@ -195,7 +194,7 @@
         return [*done, passed, relay_actions.ObserveDuration(call, took)]
 
     def count_engine_error(self, sent: exchanges.Sent, now: float) -> None:
-        """Count an engine's error, here and at the other instances."""
+        """Count an error of an engine here and announce it to others."""
         engine, start = sent.entry.engine, sent.entry.started_at_ms
         self.parts.engines.erred(engine, now, start)
         self.parts.send_table.pending_hints.append(hints.Erred(engine, start))
@@ -207,7 +206,7 @@
         status: int,
         now: float,
     ) -> list[Action]:
-        """Try another engine: this one says that it did not run the call."""
+        """Try another engine after one that did not run the call."""
         if status == MISDIRECTED_REQUEST:
             self.parts.send_table.note_engine_replaced(exchange, sent)
         why = f'not run, status {status}'
@@ -225,7 +224,7 @@
         event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
-        """Go on after a send that brought no answer."""
+        """Handle a send that ended without an answer."""
         self.parts.engines.failed(
             sent.entry.engine,
             now,
@@ -235,7 +234,8 @@
         self.parts.send_table.release_send(exchange, sent)
         if event.handed_over:
             exchange.may_have_run = True
-            # Nothing is heard of a call before its answer.
+            # A call shows no progress before its answer, so the run counts
+            # from the time of the send.
             asked = self.parts.crash_watch.broke_off(
                 exchange, sent, sent.began_at, now
             )
@@ -266,7 +266,7 @@
         detail: str,
         now: float,
     ) -> list[Action]:
-        """Repeat a call that may have run, if that does no harm."""
+        """Retry a call that may have run, if its route allows that."""
         done: list[Action] = [
             sending.lost_send_record(exchange, sent, detail, now)
         ]
@@ -284,12 +284,12 @@
     def count_late_sends(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
-        """Count a late answer against the engine, as an error would be.
+        """Count each late answer as an error of its engine.
 
-        An engine may leave calls without an answer while its status check is
-        good. A call that may run once only shows that when its time is over,
-        and until then each instance would give the engine more of them. The
-        answer is still waited for. Where all engines are late none is avoided.
+        An engine may stop answering calls while its status check passes. A
+        call that must not be repeated shows that only at its deadline, and
+        until then each instance would send the engine more calls. The answer
+        is still awaited. If all engines are late, none is avoided.
         """
         goal = exchange.ruling.route.goal
         for sent in exchange.sends.values():
@@ -300,7 +300,7 @@
     def start_hedge(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
-        """Send a call that stays without answer to a second engine too."""
+        """Send a call without an answer to a second engine as well."""
         if len(exchange.sends) != 1:
             return []
         if self.parts.crash_watch.blocks(exchange, now):
@@ -321,7 +321,7 @@
         state: engine_states.EngineState,
         now: float,
     ) -> list[Action]:
-        """Send a call to a second engine, if it may be repeated."""
+        """Send a call to a second engine, if a retry is allowed."""
         if not self.parts.send_table.acquire_attempt(exchange, now):
             return []
         return self.parts.send_table.start_send(exchange, state, now)
--- a/src/greengagelb/coordination/relay/engine_selection.py
+++ b/src/greengagelb/coordination/relay/engine_selection.py
@@ -1,4 +1,4 @@
-"""Chooses engines for calls, for streams, and for copies of their memory."""
+"""Selects engines for calls, streams, and copies of stream memory."""
 
 import random
 
@@ -9,57 +9,59 @@
 from greengagelb.state.relay import requests
 from greengagelb.state.relay import routes
 
-# An engine's own word on its load counts for less the older it is, and for
-# nothing after this many seconds: short calls are over by then.
+# The weight of an engine's load report falls to zero over this time, as the
+# reported short calls are over by then.
 LOAD_REPORT_MAX_AGE_SECONDS = 0.5
-# What an engine of another data centre has to be better by, as a part of its
-# slots for calls. A link between data centres may be cut at any moment.
+# The cost of an engine in another data centre, as a share of its call slots: a
+# link between data centres may be cut at any moment.
 REMOTE_CALL_PENALTY = 0.15
-# What an engine costs that fails more calls than the others, in the same
-# unit: it is used only where all slots of the others are taken.
+# The cost of an engine that fails more calls than others, in the same unit: it
+# is used only while all slots of the others are in use.
 ERRING_CALL_PENALTY = 1.0
-# What an engine costs that has named a limit, in the same unit: it is in need,
-# and the others come first as far as they have room. And what each second
-# costs for which a permit is waited for.
+# The cost of an engine that has set a rate limit, in the same unit: it is
+# short of capacity, so others with free slots come first. Each second of
+# waiting for a permit adds to the cost.
 LIMITED_CALL_PENALTY = 0.25
 PERMIT_WAIT_CALL_PENALTY_PER_SECOND = 10.0
-# The same for streams, in seconds of waiting for the first event. More would
-# crowd the engines nearby, where prompts then wait for one another.
+# The cost of an engine in another data centre for streams, in seconds until
+# the first event. With a higher one, prompts would queue at local engines
+# while remote ones are idle.
 REMOTE_STREAM_PENALTY_SECONDS = 0.03
-# What an engine costs a new stream that has named a limit, in seconds beside
-# the wait for its permit.
+# The cost of an engine with a rate limit for a new stream, in addition to the
+# wait for a permit.
 LIMITED_STREAM_PENALTY_SECONDS = 0.1
-# What each run on an engine costs a new one there, in seconds: all runs share
-# each step, and the new prompt holds up the others.
+# The cost of each run on an engine for a new one: all runs share each step,
+# and reading the new prompt delays the others.
 RUN_PENALTY_SECONDS = 0.05
-# Spreads choices that instances make at the same moment by the same figures.
+# Random cost that spreads the choices that instances make at the same time
+# from the same figures.
 JITTER_SECONDS = 0.02
-# The same for a prompt that has to be read again after a loss. The streams of
-# a data centre are lost within a millisecond, before instances can hear of
-# each other's choices; with the small spread all of them chose the few engines
-# with the least work, and their callers waited for each other's prompts. Less
-# than half of the time that an engine reads a usual prompt for.
+# The same for a prompt that has to be read again after a loss. A data
+# centre's streams are lost within a millisecond, before instances hear of
+# each other's choices. With the small jitter all of them chose the few least
+# loaded engines, and their callers waited for each other's prompts. It is less
+# than half of the time in which an engine reads a usual prompt.
 LOSS_JITTER_SECONDS = 0.4
-# Copies are put on the emptiest of so many engines that are drawn by chance,
-# for the same reason.
+# For the same reason, a copy is put on the emptiest of this many randomly
+# sampled engines.
 COPY_SAMPLE_SIZE = 3
-# What an engine without room in its memory costs: the run would wait there
-# or push out another one.
+# The cost of an engine without free memory: the run would wait there or evict
+# another one.
 FULL_ENGINE_PENALTY_SECONDS = 10.0
-# What a data centre costs whose engines fail one after the other, in seconds.
-# A link that is cut costs each request that tries it a quarter of a second a
-# time, and a prompt given to an engine that dies next costs a second.
+# The cost of a data centre whose engines fail one after another. Each attempt
+# over a cut link takes a quarter of a second, and a prompt sent to an engine
+# that fails next takes a second.
 FAILING_DATA_CENTRE_PENALTY_SECONDS = 1.5
-# What the word of another instance against an engine costs it, in seconds.
+# The cost of an engine that another instance has reported as failing.
 DOUBT_PENALTY_SECONDS = 1.0
-# Copies of memory take no more than this part of an engine's memory together
-# with its runs, counted at their greatest, so that they push out no run. A
-# run without a copy costs a prompt read again at the next loss.
+# Runs, at their maximum size, and copies together use at most this share of an
+# engine's memory, so that copies evict no run. After a loss, a run without a
+# copy has its prompt read again.
 MAX_COPIED_MEMORY_SHARE = 0.95
 
 
 class EngineSelector:
-    """Chooses by what the directory and the loads tell."""
+    """Selects engines by the directory, the run loads and the limits."""
 
     def __init__(
         self,
@@ -75,12 +77,10 @@
         self.rng = rng
         self.data_centre = data_centre
 
-    # -- limits -------------------------------------------------------------
-
     def available_engines(
         self, service: str, excluded: set[str], account: str, now: float
     ) -> list[engine_states.EngineState]:
-        """Return the engines that may take a request of an account now."""
+        """Return the engines that may accept an account's request now."""
         found = self.engines.candidates(service, excluded, now)
         if not self.keeper.table.known_limits:
             return found
@@ -94,9 +94,9 @@
     def available_again_at(
         self, service: str, excluded: set[str], now: float, account: str
     ) -> float | None:
-        """Return when engines that have reached their limits take more.
+        """Return when engines at their limits accept requests again.
 
-        None if there are no such engines.
+        The result is a monotonic time, or None if there are no such engines.
         """
         found = [
             self.keeper.next_permit_at(state.entry.life, account, now)
@@ -104,12 +104,10 @@
         ]
         return min((at for at in found if at is not None), default=None)
 
-    # -- calls --------------------------------------------------------------
-
     def choose_for_call(
         self, service: str, excluded: set[str], now: float, account: str = ''
     ) -> engine_states.EngineState | None:
-        """Return the engine that is likely to answer a short call soonest."""
+        """Return the engine likely to answer a short call first, or None."""
         found = self.available_engines(service, excluded, account, now)
         if not found:
             return None
@@ -117,7 +115,7 @@
         return min(found, key=lambda state: self.call_cost(state, now))
 
     def call_cost(self, state: engine_states.EngineState, now: float) -> float:
-        """Return how taken an engine is; lower is better."""
+        """Return the share of an engine's slots in use, plus penalties."""
         in_use = state.in_flight + self.load_from_others(state, now)
         cost = in_use / max(1, state.entry.slots)
         if state.entry.data_centre != self.data_centre:
@@ -136,7 +134,7 @@
     def load_from_others(
         self, state: engine_states.EngineState, now: float
     ) -> float:
-        """Return the work of other instances on an engine, by its word."""
+        """Return the load from other instances that an engine reported."""
         if state.load is None:
             return 0.0
         age = now - state.load_at
@@ -144,8 +142,6 @@
         reported = state.load.running + state.load.waiting
         return report_weight * max(0, reported - state.in_flight_at_load)
 
-    # -- streams ------------------------------------------------------------
-
     def choose_for_stream(
         self,
         ruling: requests.Ruling,
@@ -154,9 +150,10 @@
         now: float,
         jitter_seconds: float = JITTER_SECONDS,
     ) -> engine_states.EngineState | None:
-        """Return the engine where a prompt is likely to be read soonest.
+        """Return the engine likely to read a prompt first, or None.
 
-        Those that differ by less than ``spread`` seconds are as good.
+        Engines whose costs differ by less than ``jitter_seconds`` may be
+        chosen in any order.
         """
         service = ruling.service
         found = self.available_engines(
@@ -192,7 +189,7 @@
         needed_tokens: int,
         now: float,
     ) -> float:
-        """Return about how many seconds an engine costs a new stream."""
+        """Return the estimated delay of a new stream, plus penalties."""
         work = self.loads.of(state.entry.engine)
         cost = max(0.0, work.reading_until - now)
         cost += RUN_PENALTY_SECONDS * work.runs
@@ -207,7 +204,7 @@
         capacity_tokens = (
             service.engines.memory_tokens if service.engines else 0
         )
-        # A configuration need not say how much memory its engines have.
+        # The configuration may omit the memory size of its engines.
         if capacity_tokens > 0:
             used_tokens = work.memory_tokens + work.copied_tokens
             excess_tokens = used_tokens + needed_tokens - capacity_tokens
@@ -227,11 +224,11 @@
     ) -> engine_states.EngineState | None:
         """Return the engine that should hold a copy of a run's memory.
 
-        What kills an engine often kills its neighbours too, and links
-        between data centres are cut. So one of the two stands in this data
-        centre and the other one outside, where that can be had. Engines of a
-        data centre that is just failing come last: their entries outlive
-        them by seconds.
+        Engines of one data centre often fail together, and links between data
+        centres are cut. So, if possible, either the run or its copy is in this
+        data centre and the other one is outside. Engines of a data centre that
+        is failing come last: their entries stay listed for seconds after they
+        have failed.
         """
         if service.engines is None or not service.engines.copies:
             return None
@@ -268,10 +265,10 @@
         return min(sampled, key=self.copy_cost)
 
     def held_tokens(self, engine: str) -> int:
-        """Return the tokens that runs and copies hold on an engine."""
+        """Return the memory in use by runs and copies, in tokens."""
         work = self.loads.of(engine)
         return work.memory_tokens + work.copied_tokens
 
     def copy_cost(self, state: engine_states.EngineState) -> float:
-        """Return how much an engine holds already; lower is better."""
+        """Return the tokens in use on an engine, ties broken at random."""
         return self.held_tokens(state.entry.engine) + self.rng.random()
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -1,6 +1,7 @@
-"""What can happen to relayed requests, as typed events.
+"""Events that the relay handles.
 
-Timers, stops and pauses are those of :mod:`greengagelb.coordination.events`.
+Timers, pauses and callers that disconnect are events of
+:mod:`greengagelb.coordination.events`.
 """
 
 import dataclasses
@@ -16,14 +17,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestArrived:
-    """A caller's request is in, body and all."""
+    """A caller's request was received completely."""
 
     request: requests.CallerRequest
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerStarted:
-    """An engine has begun to answer a stream request with success."""
+    """An engine has started a successful answer to a stream request."""
 
     exchange: int
     send: int
@@ -32,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamProgressed:
-    """Whole events of a stream, in the order in which they came."""
+    """Complete events of a stream arrived, in this order."""
 
     exchange: int
     send: int
@@ -41,7 +42,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamComplete:
-    """The engine's answer ended as a whole message, at an event's end."""
+    """An engine's answer ended as a complete message after an event."""
 
     exchange: int
     send: int
@@ -49,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerComplete:
-    """A whole answer that is no stream."""
+    """A complete answer that is not a stream arrived."""
 
     exchange: int
     send: int
@@ -59,9 +60,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendFailed:
-    """A send ended without a whole answer.
+    """A send ended without a complete answer.
 
-    ``handed_over`` is false only where no byte of the request was given to a
+    ``handed_over`` is false only if no byte of the request was written to a
     connection: only then is it certain that the engine has not run it.
     """
 
@@ -73,12 +74,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationChecked:
-    """This instance has read the store; it has what is in force there."""
+    """This instance has confirmed its configuration with the store."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutesOffered:
-    """Some source has a configuration, perhaps an old one."""
+    """A source offers a configuration, which may be an old one."""
 
     table: routes.RouteTable
     source: str
@@ -86,9 +87,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesListed:
-    """The whole list of engines, as of one moment.
+    """A complete list of engines was read.
 
-    ``unusable`` names those whose entries can't be used.
+    ``unusable`` names the engines whose entries can't be used.
     """
 
     entries: tuple[engines.EngineEntry, ...]
@@ -97,9 +98,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesChanged:
-    """Entries that changed since the last look, and those removed.
+    """Entries were changed or removed since the list was last read.
 
-    ``unusable`` names those whose entries can't be used any more.
+    ``unusable`` names the engines whose entries can't be used any more.
     """
 
     entries: tuple[engines.EngineEntry, ...]
@@ -109,9 +110,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopRequested:
-    """This instance is to stop; ``deadline`` is when all must have ended.
+    """The platform has requested a stop of this instance.
 
-    ``asked_at`` is when the platform asked for it, if that was noticed late.
+    All requests must have ended by ``deadline``. ``asked_at`` is when the stop
+    was requested, if that was noticed late. Both are monotonic times.
     """
 
     deadline: float
@@ -120,36 +122,36 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServingEnded:
-    """Nobody is served here any more, or the time for a stop is up."""
+    """No caller is served any more, or the time for the stop is over."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConnectionsClosed:
-    """All that was written is out, and nobody can connect any more."""
+    """All output has been written and no caller can connect any more."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store gave no answer; what it said before may be out of date."""
+    """The store did not answer, so data read before may be outdated."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRestored:
-    """The store has come back from a copy; what was written since is gone."""
+    """The store was restored from a backup; later writes are lost."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineListRequested:
-    """The store is asked for the list of engines."""
+    """The list of engines was requested from the store."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineProbed:
-    """An engine answered a probe, or did not within its time.
+    """An engine answered a probe, or did not answer in time.
 
-    ``started_at_ms`` is when the engine that answered says it was started.
+    ``started_at_ms`` is the start time that the answering engine reported.
     """
 
     exchange: int
@@ -160,7 +162,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunCopied:
-    """A run's memory was copied; without ``handle`` it could not be."""
+    """A copy order ended; ``handle`` is empty if no copy was made."""
 
     exchange: int
     send: int
@@ -170,11 +172,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuccessorSeen:
-    """Who answers at the address of a lost engine; empty if nobody does.
+    """The engine that answers at the address of a lost one was found.
 
-    Where it is the same identity, ``started_at_ms`` is when it says that it
-    was started. ``has_model_memory`` is whether it was asked for the memory
-    of a model engine, and has it, and is not about to leave.
+    ``new`` is its identity, or empty if none answers. If that is still the
+    same, ``started_at_ms`` is the start time that it reported.
+    ``has_model_memory`` is whether it was asked for the memory of a model
+    engine, has it, and is not about to leave.
     """
 
     old: str
@@ -184,10 +187,10 @@
 
 
 class EngineFate(enum.Enum):
-    """What has become of an engine whose connections broke.
+    """The state of an engine whose connections broke.
 
-    ``ENDED`` is one where nobody listens or a later life answers, and
-    ``UNKNOWN`` one that gives no answer at all.
+    ``ENDED`` means that nothing listens at its address or that it has
+    restarted, and ``UNKNOWN`` that nothing answered.
     """
 
     ALIVE = 'alive'
@@ -197,7 +200,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineChecked:
-    """An engine was asked whether it has ended."""
+    """The check whether an engine has ended is complete."""
 
     entry: engines.EngineEntry
     fate: EngineFate
@@ -205,21 +208,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashesListed:
-    """What the store keeps of requests that crash engines."""
+    """The crash reports in the store were read."""
 
     reports: tuple[crashes.CrashReport, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembersListed:
-    """The other instances, as the list of instances has them."""
+    """The other instances were read from the list of instances."""
 
     members: tuple[hints.Member, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerHeard:
-    """Another instance says that it is there, and what it knows."""
+    """A heartbeat of another instance arrived, with its digests."""
 
     incarnation: str
     data_centre: str
@@ -228,14 +231,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerLeft:
-    """Another instance stops, or was started anew."""
+    """Another instance is stopping or has restarted."""
 
     incarnation: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerTold:
-    """Another instance gives a hint."""
+    """A hint from another instance arrived."""
 
     incarnation: str
     hint: hints.Hint
--- a/src/greengagelb/coordination/relay/prompt_locations.py
+++ b/src/greengagelb/coordination/relay/prompt_locations.py
@@ -1,23 +1,23 @@
-"""Where prompts have been read lately.
+"""Remembers which engine has recently read each prompt.
 
-An engine keeps the parts of a prompt in memory for a while after a run. A
-caller who comes back with the same prompt, since its stream was cut or its
-conversation goes on, need not wait for it to be read again there.
+An engine keeps the parts of a prompt in memory for a while after a run. If a
+caller sends the same prompt again, because its stream was cut or its
+conversation continues, that engine need not read it again.
 """
 
 import collections
 
-# Prompts that are remembered, some hundred bytes each.
+# Maximum number of remembered prompts, of some hundred bytes each.
 MAX_PROMPTS = 4_096
-# For how long an engine is likely to have a prompt, in seconds: under load
-# its memory is full of newer ones after some tens of runs.
+# How long an engine is likely to keep a prompt: under load its memory is full
+# of newer prompts after some tens of runs.
 PROMPT_KEPT_SECONDS = 30.0
 
 
 class PromptLocations:
-    """Which engine has read a prompt last, by the prompt's own part.
+    """Maps the key of a prompt's own part to the engine that read it last.
 
-    Invariant: at most ``MOST_PROMPTS`` entries, the latest ones.
+    Invariant: holds at most ``MAX_PROMPTS`` entries, the latest ones.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         ] = collections.OrderedDict()
 
     def note_read(self, part: str, engine: str, now: float) -> None:
-        """Note that an engine reads a prompt now."""
+        """Record that an engine reads a prompt now."""
         if not part:
             return
         self.location_by_part[part] = (engine, now)
@@ -35,13 +35,13 @@
             self.location_by_part.popitem(last=False)
 
     def forget_engine(self, engine: str) -> None:
-        """Note that an engine has no prompt in memory any more."""
+        """Remove all prompts of an engine that has lost its memory."""
         for part, (holder, _) in list(self.location_by_part.items()):
             if holder == engine:
                 del self.location_by_part[part]
 
     def likely_holder(self, part: str, now: float) -> str:
-        """Return the engine that is likely to have a prompt, or ''."""
+        """Return the engine likely to have a prompt in memory, or ''."""
         engine, read_since = self.location_by_part.get(
             part, ('', float('-inf'))
         )
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -1,8 +1,8 @@
-"""All decisions about relayed requests behind one method.
+"""Decides how an instance handles relayed requests.
 
-The same seam as :class:`greengagelb.coordination.node.Node`: events in,
-actions out, no I/O, no clock, and randomness only from the generator that
-was passed in.
+As in :class:`greengagelb.coordination.node.Node`, events go in and actions
+come out. There is no I/O and no clock, and randomness comes only from the
+generator that is passed in.
 """
 
 import random
@@ -43,7 +43,8 @@
 from greengagelb.state.relay import routes
 
 DEADLINE_TIMER = 'relay-deadline'
-# When an older configuration than others have is used for want of a newer.
+# Fires when a configuration older than that of other instances is applied
+# because no newer one has arrived.
 OLDER_CONFIGURATION_TIMER = 'relay-older-configuration'
 TIMERS = (
     DEADLINE_TIMER,
@@ -57,10 +58,11 @@
 
 
 class Relay:
-    """The decisions of one instance about relayed requests.
+    """Handles the relayed requests of one instance.
 
-    Invariant: the version of ``table`` never falls; an exchange is in
-    ``exchanges`` until it has its final answer or its caller is gone.
+    Invariants: the version of ``route_table`` never decreases; an exchange
+    stays in ``exchanges`` until it has its final answer or its caller has
+    disconnected.
     """
 
     def __init__(
@@ -140,37 +142,37 @@
         retry_bounds: bounds.RetryBounds,
         engine_bounds: bounds.EngineBounds,
     ) -> None:
-        """Go by changed bounds from now on."""
+        """Apply reloaded retry and engine bounds."""
         self.budget.bounds = retry_bounds
         self.engines.least_lapse_seconds = engine_bounds.least_lapse_seconds
         self.succession.address_reuse = engine_bounds.address_reuse_seconds
 
     @property
     def usable_route_table(self) -> routes.RouteTable | None:
-        """Return the configuration, once there are engines to go with it."""
+        """Return the configuration, or None until engines are listed."""
         return self.route_table if self.has_engine_list else None
 
     @property
     def is_ready(self) -> bool:
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers here."""
         return self.lifecycle.is_serving
 
     @property
     def digests(self) -> hints.Digests:
-        """Return what tells others whether they know the same."""
+        """Return digests for comparing knowledge with other instances."""
         return hints.Digests(
             self.crash_watch.records.digest(), self.keeper.table.digest()
         )
 
     @property
     def is_finished(self) -> bool:
-        """Return whether nothing is taken any more, as the process ends."""
+        """Return whether all requests are refused as the process ends."""
         return self.lifecycle.is_finished
 
     def handle(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
-        """Decide what an event leads to."""
+        """Return the actions that result from an event."""
         done = self.dispatch_event(event, now)
         done += self.limited_sends.settle(done, now)
         for hint in list(self.send_table.pending_hints):
@@ -185,7 +187,7 @@
         return done + ended + hint_actions
 
     def close_if_answered(self, action: Action) -> list[Action]:
-        """Forget an exchange that has its final answer."""
+        """Remove an exchange if an action is its final answer."""
         match action:
             case (
                 relay_actions.PassAnswer(exchange=number)
@@ -201,7 +203,7 @@
         return []
 
     def close_exchange(self, number: int) -> list[Action]:
-        """Forget an exchange and its timers."""
+        """Remove an exchange and clear its timers."""
         if self.exchanges.pop(number, None) is None:
             return []
         return [
@@ -212,7 +214,7 @@
     def dispatch_event(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
-        """Pass an event to the object that it concerns."""
+        """Dispatch an event to the component that handles it."""
         match event:
             case relay_events.RequestArrived(request):
                 return self.handle_request(request, now)
@@ -266,19 +268,17 @@
     def use_successor(
         self, event: relay_events.SuccessorSeen, now: float
     ) -> list[Action]:
-        """Use an engine that has taken the place of a lost one."""
+        """Use an engine that replaces a lost one at the same address."""
         if not self.succession.seen(event, now):
             return []
         old, new = event.old, event.new
         self.send_table.pending_hints.append(hints.Replaced(old, new))
         return [actions.Record('engine-succeeded', f'by {new}', upstream=old)]
 
-    # -- requests -----------------------------------------------------------
-
     def handle_request(
         self, request: requests.CallerRequest, now: float
     ) -> list[Action]:
-        """Take a request, or refuse it at once."""
+        """Accept a request, or refuse it at once."""
         ruling = self.rulings.rule(request, self.usable_route_table)
         if isinstance(ruling, relay_actions.Refuse):
             why = f'{ruling.status} {ruling.code}'
@@ -308,10 +308,10 @@
     def max_duration_seconds(
         self, exchange: exchanges.Exchange, stream: bool
     ) -> float:
-        """Return how long a request may take that begins now.
+        """Return how many seconds a request that starts now may take.
 
-        What would not be over when this instance stops is refused: cut off
-        at the end, nobody could tell whether it ran.
+        A request that could not finish before this instance stops is refused:
+        if it were cut off at the end, nobody could tell whether it ran.
         """
         if stream:
             return self.streams.expected_seconds(exchange)
@@ -320,7 +320,7 @@
     def handle_send_event(
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
-        """Handle what comes from a send, if that still counts."""
+        """Handle an event of a send that is still in flight."""
         exchange = self.exchanges.get(event.exchange)
         sent = exchange.sends.get(event.send) if exchange else None
         if exchange is None or sent is None:
@@ -364,7 +364,7 @@
         event: relay_events.EngineProbed,
         now: float,
     ) -> list[Action]:
-        """Take in what a probe tells of an engine, then of the run there."""
+        """Handle a probe result for the engine, then for the run on it."""
         start = event.started_at_ms
         done = self.restarts.found(sent.entry.engine, start, now)
         if sent.number not in exchange.sends:
@@ -378,7 +378,7 @@
         event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
-        """Pass events on; see to a copy when the first ones are here."""
+        """Pass events on; order a missing copy after the first ones."""
         first = not sent.events_seen
         done = self.streams.pass_events(exchange, sent, event, now)
         if first and sent.number in exchange.sends:
@@ -386,7 +386,7 @@
         return done
 
     def handle_caller_gone(self, number: int) -> list[Action]:
-        """Stop the work for a caller that has left."""
+        """Abandon the sends of a caller that has disconnected."""
         exchange = self.exchanges.get(number)
         if exchange is None:
             return []
@@ -397,10 +397,8 @@
             *self.close_exchange(number),
         ]
 
-    # -- time ---------------------------------------------------------------
-
     def handle_timer(self, name: str, now: float) -> list[Action]:
-        """Pass a timer to what had set it."""
+        """Dispatch a timer to the component that set it."""
         if (
             name == OLDER_CONFIGURATION_TIMER
             and self.deferred_offer is not None
@@ -432,7 +430,7 @@
     def end_overdue_request(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
-        """Give a request its final answer when its time is over."""
+        """Send the final answer of a request whose deadline has passed."""
         for sent in exchange.sends.values():
             exchange.may_have_run = True
             self.engines.failed(sent.entry.engine, now, dead=False)
@@ -451,19 +449,21 @@
         return [*done, self.answers.fail_request(exchange, code, now)]
 
     def handle_pause(self, seconds: float, now: float) -> list[Action]:
-        """Blame no engine for what this process itself slept through."""
+        """Extend the time limits of sends by a pause of this process.
+
+        Otherwise engines would be blamed for events that this process did
+        not read in time.
+        """
         for exchange in self.exchanges.values():
             for sent in exchange.sends.values():
                 sent.moved_at = now
                 sent.first_due += seconds
         return [actions.Record('own-pause', f'{seconds:.3f} s')]
 
-    # -- configuration and engines ------------------------------------------
-
     def apply_configuration(
         self, event: relay_events.RoutesOffered, now: float
     ) -> list[Action]:
-        """Apply a configuration, unless it is older than the one in force."""
+        """Apply a configuration if it is newer than the one in force."""
         table = event.table
         if (
             self.route_table is not None
@@ -488,7 +488,10 @@
         return done
 
     def announce_configuration(self, now: float) -> list[Action]:
-        """Tell the others what is in force, in place of the reader."""
+        """Announce the configuration in force if other instances wait for it.
+
+        Does nothing on the instance that reads the store for all.
+        """
         others_wait = self.sharing.configuration.others_wait
         if self.route_table is None or self.sharing.reads_for_all:
             return []
@@ -501,12 +504,12 @@
 def final_answer_records(
     exchange: exchanges.Exchange, action: Action
 ) -> list[actions.Record]:
-    """Return the time line event of a final answer that is no success."""
+    """Return the timeline event of a final answer that reports failure."""
     match action:
         case relay_actions.Refuse(status=status, code=code):
             why = f'{status} {code}'
             if action.retry_after is not None:
-                why += f', back in {action.retry_after:.3f} s'
+                why += f', retry after {action.retry_after:.3f} s'
             return [sending.record(exchange, None, 'refused', why)]
         case relay_actions.AbortStream(code=code):
             why = f'{code}, after event {exchange.position}'
--- a/src/greengagelb/coordination/relay/run_copies.py
+++ b/src/greengagelb/coordination/relay/run_copies.py
@@ -1,9 +1,9 @@
-"""Orders a new copy of a run's memory when its first one is lost.
+"""Orders a new copy of a run's memory when the first one is lost.
 
-The engine of a run sends its memory along to one other engine, chosen when
-the run begins. When that one dies the run goes on uncovered, and the next
-loss would have its prompt read again. Ordered copies fill the gap. They lapse
-after some seconds and are renewed until the run ends.
+The engine of a run sends its memory to one other engine, which is chosen when
+the run starts. If that one fails, the run has no copy, and its prompt would
+be read again after the next loss. Ordered copies replace the lost one. They
+expire after some seconds and are renewed until the run ends.
 """
 
 from greengagelb.coordination import actions
@@ -17,18 +17,19 @@
 from greengagelb.state.relay import requests
 
 COPY_TIMER = 'relay-copy'
-# An ordered copy is renewed after this part of the time it is kept for; only
-# what the run has added since is sent.
+# An ordered copy is renewed after this share of its lifetime. Only the memory
+# that the run has added since is sent.
 COPY_RENEWAL_SHARE = 0.75
-# Orders for one run. Each moves its memory once more, a quarter of a gigabyte
-# for a usual prompt, so a run whose copies keep failing goes without.
+# Maximum copy orders for one run. Each one sends all of its memory, a quarter
+# of a gigabyte for a usual prompt, so a run whose copies keep failing
+# continues without.
 MAX_COPY_ORDERS = 3
 
 Action = relay_actions.RelayAction
 
 
 class RunCopies:
-    """Keeps the copies of running streams."""
+    """Orders, replaces and renews the copies of running streams."""
 
     def __init__(
         self,
@@ -44,9 +45,10 @@
         now: float,
         started_at_ms: int = engines.UNKNOWN_START,
     ) -> list[Action]:
-        """Order new copies of the runs whose copies an engine held.
+        """Order new copies of the runs whose copies an engine has lost.
 
-        What it got in a life that began after ``started_at_ms`` is not lost.
+        Copies made after a restart of the engine, later than
+        ``started_at_ms``, are not lost.
         """
         done: list[Action] = []
         for exchange in self.open_exchanges.values():
@@ -61,7 +63,7 @@
     def replace_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Order a copy at another engine than the one that was lost."""
+        """Order a copy in place of one that was lost or not made."""
         lost = sent.copy_to.engine if sent.copy_to else ''
         sent.copy_to = None
         sent.copy_name = None
@@ -72,10 +74,10 @@
     def order_missing_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Order a copy of a run that has none when its first event is here.
+        """Order a copy of a run without one when its first event arrives.
 
-        Before, there is nothing to copy; so a copy whose engine dies while
-        the prompt is read can be replaced only now.
+        Before that there is nothing to copy, so a copy whose engine failed
+        while the prompt was read can be replaced only now.
         """
         if sent.copy_to is not None:
             return []
@@ -88,7 +90,7 @@
         excluded: set[str],
         now: float,
     ) -> list[Action]:
-        """Order a copy at another engine than some, if that is possible."""
+        """Order a copy on an engine that is not excluded, if possible."""
         model = exchange.ruling.service.engines
         if model is None or not model.moves or not sent.events_seen:
             return []
@@ -112,7 +114,7 @@
     def build_copy_order(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> relay_actions.CopyRun:
-        """Return the order of a copy at the engine that is to have it."""
+        """Return the action that copies a run to its chosen engine."""
         return relay_actions.CopyRun(
             exchange.number,
             sent.number,
@@ -128,7 +130,7 @@
         event: relay_events.RunCopied,
         now: float,
     ) -> list[Action]:
-        """Take in what came of an order."""
+        """Handle the result of a copy order."""
         if sent.copy_to is None or sent.copy_to.engine != event.target:
             return []
         outcome = 'made' if event.handle else 'not made'
@@ -146,7 +148,7 @@
         return [*done, actions.SetTimer(name, renew_at)]
 
     def renew_copies(self, exchange: exchanges.Exchange) -> list[Action]:
-        """Order the same copy again before it lapses."""
+        """Order the same copies again before they expire."""
         return [
             self.build_copy_order(exchange, sent)
             for sent in exchange.sends.values()
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -1,4 +1,4 @@
-"""Sends requests to engines, and counts what is under way."""
+"""Sends requests to engines and counts those in flight."""
 
 import dataclasses
 import itertools
@@ -20,15 +20,17 @@
 from greengagelb.state.relay import routes
 
 Action = relay_actions.RelayAction
-# Names this instance's own runs among the counted ones.
+# The instance key of this instance's own runs in the run loads.
 OWN_INSTANCE = ''
 
 
 class SendTable:
-    """Orders and abandons sends, and counts them where they matter.
+    """Starts and abandons sends, and counts them for each engine.
 
-    Invariant: each send in an exchange's ``sends`` is counted once in its
-    engine's ``in_flight``, and no other is.
+    ``pending_hints`` are those that other instances have not been sent yet.
+
+    Invariant: an engine's ``in_flight`` counts exactly the sends to it that
+    are in the ``sends`` of an exchange, each once.
     """
 
     def __init__(
@@ -46,15 +48,15 @@
         self.keeper = keeper
 
     def has_attempts_left(self, exchange: exchanges.Exchange) -> bool:
-        """Return whether a request may go to one more engine at all."""
+        """Return whether the route allows one more attempt."""
         return exchange.attempts < exchange.ruling.route.most_attempts
 
     def acquire_attempt(
         self, exchange: exchanges.Exchange, now: float
     ) -> bool:
-        """Return whether a request may be sent once more; count it if so.
+        """Return whether a request may be sent, counting it as a retry.
 
-        The first send of a request is no repeat.
+        The first attempt does not count as a retry.
         """
         if not self.has_attempts_left(exchange):
             return False
@@ -74,7 +76,7 @@
         copy_from: requests.CopyName | None = None,
         copy_to: engines.EngineEntry | None = None,
     ) -> list[Action]:
-        """Send a request, from the caller's position on."""
+        """Send a request to an engine, from the caller's position on."""
         request, ruling = exchange.request, exchange.ruling
         stream = ruling.route.repeat is routes.Repeat.STREAM
         sent = exchanges.Sent(
@@ -125,7 +127,7 @@
         head: requests.AnswerHead,
         now: float,
     ) -> list[Action]:
-        """Take in what the head of an answer tells of its engine."""
+        """Record the load and the limit that an answer's head reports."""
         self.engines.told_load(sent.entry.engine, head.load, now)
         life = sent.entry.life
         if isinstance(head.limit, limits.Unusable):
@@ -146,10 +148,10 @@
         ]
 
     def priority_of(self, exchange: exchanges.Exchange) -> int:
-        """Return an engine's priority for a send, 0 the most urgent.
+        """Return the priority of a send at its engine, 0 the most urgent.
 
-        A stream that goes on is admitted ahead of those that begin: its
-        caller is already reading.
+        A resumed stream is admitted ahead of new ones, as its caller is
+        already reading.
         """
         if exchange.begun:
             return 0
@@ -161,7 +163,7 @@
         state: engine_states.EngineState,
         sent: exchanges.Sent,
     ) -> str:
-        """Return the figures that a send was decided by."""
+        """Return the figures behind the choice of an engine for a send."""
         work = self.loads.of(state.entry.engine)
         parts = [
             f'attempt {exchange.attempts}',
@@ -185,7 +187,7 @@
     def count_run(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> None:
-        """Count a run's memory and its unread prompt at its engine."""
+        """Count a run's memory and unread prompt for its engine."""
         prompt = exchange.request.prompt
         if prompt is None:
             return
@@ -208,7 +210,7 @@
     def update_copy_location(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> None:
-        """Count the copy of a run at another engine than before."""
+        """Count the copy of a run for the engine that now holds it."""
         known = self.loads.runs.get((OWN_INSTANCE, sent.number))
         if known is not None:
             copy_to = sent.copy_to.engine if sent.copy_to else ''
@@ -218,7 +220,7 @@
     def count_and_announce_run(
         self, number: int, run: loads.Run, now: float
     ) -> None:
-        """Count a run here, and have the other instances count it."""
+        """Count a run here, and announce it to the other instances."""
         self.loads.began((OWN_INSTANCE, number), run, now)
         self.pending_hints.append(
             hints.Placed(
@@ -235,10 +237,10 @@
     def note_engine_replaced(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> None:
-        """Note that a send met another engine than the one it was for.
+        """Record that another engine answered at a send's address.
 
-        The one that was meant has ended, so it is none of those that the
-        request may go to, and costs no attempt.
+        The intended engine no longer exists, so the send does not count as
+        an attempt.
         """
         exchange.attempts -= 1
         replaced = sent.entry
@@ -252,7 +254,7 @@
     def release_send(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> None:
-        """Count a send no longer; what it still brings is dropped."""
+        """Stop counting a send; its later events are ignored."""
         del exchange.sends[sent.number]
         state = self.engines.states.get(sent.entry.engine)
         if state is not None:
@@ -268,7 +270,7 @@
         return [relay_actions.AbandonSend(exchange.number, sent.number)]
 
     def abandon_all_sends(self, exchange: exchanges.Exchange) -> list[Action]:
-        """Abandon whatever runs for an exchange."""
+        """Abandon all sends of an exchange."""
         done: list[Action] = []
         for sent in list(exchange.sends.values()):
             done += self.abandon_send(exchange, sent)
@@ -276,10 +278,10 @@
 
 
 def announced_attempt(exchange: exchanges.Exchange) -> int:
-    """Return what the others are told of a send that was just ordered.
+    """Return the attempt number that other instances count for a send.
 
-    In place of one that could not be connected it is no new request, and no
-    repeat: the engine before has got nothing.
+    It is 0 if the send replaces one that could not connect: the other engine
+    received nothing, so this is neither a new request nor a retry.
     """
     first = len(exchange.tried) == 1
     return exchange.attempts if first or exchange.attempts > 1 else 0
@@ -291,8 +293,8 @@
     detail: str,
     now: float,
 ) -> actions.Record:
-    """Return the time line event of a send that brought no whole answer."""
-    progress = 'no answer begun'
+    """Return the timeline event of a send without a complete answer."""
+    progress = 'no answer started'
     if sent.answered_at <= now:
         seconds = now - sent.answered_at
         progress = f'{sent.events_seen} events in {seconds:.3f} s'
@@ -305,7 +307,7 @@
     kind: str,
     reason: str,
 ) -> actions.Record:
-    """Return a time line event about an exchange."""
+    """Return a timeline event about an exchange."""
     return actions.Record(
         kind,
         reason,
--- a/src/greengagelb/coordination/relay/stopping.py
+++ b/src/greengagelb/coordination/relay/stopping.py
@@ -1,9 +1,10 @@
-"""What a relaying instance takes from its start to the end of its stop.
+"""Decides which requests an instance accepts until the end of its stop.
 
-The platform stops an instance within a fixed time, and its balancer goes on
-sending callers for a part of it. So the instance serves on, but takes only
-what will be over in time; once it has begun to end it takes nothing. All times
-count from when the platform asked, not from when that was noticed.
+The platform stops an instance within a fixed time, and its load balancer keeps
+sending callers for a part of it. So the instance continues to serve, but
+accepts only requests that will finish in time, and none once it has begun to
+end. All times count from when the platform requested the stop, not from when
+the instance noticed that.
 """
 
 from greengagelb.coordination import actions
@@ -12,24 +13,26 @@
 from greengagelb.coordination.relay import sending
 from greengagelb.state.relay import exchanges
 
-# How long after it was asked to stop an instance takes streams, in seconds.
-# The balancer asks once a second and goes by two misses in a row, so it sends
-# no new callers after two; half a second is room for a stop that is noticed
-# late and for the way of a request. A stream that comes later, on a connection
-# that its caller has kept, is not worth the risk: how long it takes is only
-# known from others, and if it is cut at the end of the stop, its caller has
-# lost it.
+# How long an instance accepts streams after it was requested to stop. The load
+# balancer checks once a second and acts on two failures in a row, so it sends
+# no new callers after two seconds; half a second allows for a stop that is
+# noticed late and for the latency of a request. Later streams, on connections
+# that callers have kept open, are refused: how long one takes is only
+# estimated from others, and its caller loses it if it is cut at the end of the
+# stop.
 STREAM_ACCEPT_SECONDS = 2.5
-# Of a short stop no more than this part: how long a stream takes may not be
-# known yet, and one needs about two seconds at least.
+# In a short stop, streams are accepted for at most this share of it: the
+# duration of streams may not be known yet, and one takes about two seconds or
+# more.
 STREAM_ACCEPT_SHARE = 1.0 / 3.0
 
 
 class InstanceLifecycle:
     """The life cycle of an instance, and the deadlines of its stop.
 
-    ``stop_by`` is when all must be over, and ``streams_until`` from when on
-    streams are refused; both are monotonic times.
+    ``stop_by`` is when all requests must have ended, and
+    ``accepts_streams_until`` is when streams begin to be refused; both are
+    monotonic times.
     """
 
     def __init__(self) -> None:
@@ -40,23 +43,23 @@
 
     @property
     def is_serving(self) -> bool:
-        """Return whether the balancer may send callers here."""
+        """Return whether the load balancer may send callers here."""
         return self.progress.phase is lifecycle.Phase.SERVING
 
     @property
     def is_finished(self) -> bool:
-        """Return whether nothing is taken any more, as the process ends."""
+        """Return whether all requests are refused as the process ends."""
         phase = self.progress.phase
         return phase in (lifecycle.Phase.FINISHED, lifecycle.Phase.ENDED)
 
     def begin_serving(self) -> None:
-        """Serve from now on, unless a stop was asked for."""
+        """Start to serve, unless a stop was requested."""
         self.machine.configuration_applied()
 
     def begin_stop(
         self, event: relay_events.StopRequested, now: float
     ) -> list[actions.Record]:
-        """Serve on, but take only what can be finished in time."""
+        """Set the stop deadlines; accept only what can finish in time."""
         asked_at = now if event.asked_at is None else event.asked_at
         self.machine.stop_requested()
         self.stop_by = event.deadline
@@ -73,7 +76,7 @@
     def end_serving(
         self, cut_requests: int
     ) -> list[actions.Record | actions.FinishStopping]:
-        """Begin to end; ``left`` requests are cut."""
+        """Stop serving; ``cut_requests`` requests are cut."""
         self.machine.work_finished()
         return [
             actions.Record('stopped', f'{cut_requests} cut'),
@@ -81,7 +84,7 @@
         ]
 
     def end_process(self, cut_requests: int) -> list[actions.Record]:
-        """Let the process end; ``left`` requests are cut with it."""
+        """Let the process end; it cuts ``cut_requests`` requests."""
         self.machine.connections_closed()
         return [actions.Record('ended', f'{cut_requests} cut')]
 
@@ -90,9 +93,9 @@
     ) -> bool:
         """Return whether a request might be cut by the end of this instance.
 
-        ``ends_by`` is when it is taken to be over. What comes once this
-        instance has begun to end could not even be answered: the process may
-        be gone before its engine is done.
+        ``expected_end_at`` is the monotonic time by which it should be over.
+        Once the instance has begun to end, no request can be answered: the
+        process may exit before an engine is done.
         """
         if self.is_finished:
             return True
@@ -103,7 +106,7 @@
     def note_accepted(
         self, exchange: exchanges.Exchange, expected_end_at: float, now: float
     ) -> list[actions.Record]:
-        """Note that a request is taken; tell on what, while stopping."""
+        """Record an accepted request, with the time left in a stop."""
         self.machine.request_accepted()
         if self.is_serving:
             return []
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -1,9 +1,8 @@
-"""Keeps each stream going while engines fail.
+"""Continues streams on other engines when engines fail.
 
-The memory of every run is copied to a second engine as it grows. When the
-first engine is lost, the second one goes on at the next event without
-reading the prompt again, which would take longer than any pause that callers
-do not notice.
+The memory of each run is copied to a second engine as it grows. If the first
+engine is lost, the second one continues with the next event. Reading the
+prompt again would take longer than any pause that callers do not notice.
 """
 
 from greengagelb.coordination import actions
@@ -23,30 +22,31 @@
 from greengagelb.state.relay import requests
 
 SILENCE_TIMER = 'relay-silence'
-# A stream that is silent for this part of the pause that its callers do not
-# notice is moved. What is left suffices to go on elsewhere; moving earlier
-# takes streams away from engines that are only reading another prompt.
+# A stream is moved after it has been silent for this share of the pause that
+# its callers do not notice. The rest suffices to continue on another engine;
+# moving earlier takes streams away from engines that are only reading another
+# prompt.
 MAX_SILENCE_SHARE = 0.55
-# The pause that is taken for unnoticed on routes that state none, in seconds:
-# callers give a stream up after two.
+# The pause that callers do not notice, for routes that state none: callers
+# give up on a stream after two seconds.
 DEFAULT_GAP_GOAL_SECONDS = 2.0
-# A prompt takes at least this part of the time that is expected for it.
+# Reading a prompt takes at least this share of the expected time.
 MIN_READING_SHARE = 0.8
-# How long past its expected time a first event may stay out, in seconds,
-# before its engine is asked for a sign of life. Moving costs a prompt that
-# was read in vain, and most engines that are late are only busy.
+# How long a first event may be overdue before its engine is probed. Moving
+# the stream wastes the work of reading its prompt, and most late engines are
+# only busy.
 FIRST_EVENT_MARGIN_SECONDS = 0.5
-# The same after each sign of life.
+# How long an engine has to send the next event after a probe.
 PROBED_MARGIN_SECONDS = 1.0
-# The same for a run that goes on from a copy: it has next to nothing to read
-# and is admitted first.
+# The time for the first event of a run that resumes from a copy: it has
+# almost nothing to read, and engines admit it first.
 COPY_FIRST_EVENT_SECONDS = 0.6
 
 Action = relay_actions.RelayAction
 
 
 class StreamRelay:
-    """Decides what happens to each stream."""
+    """Starts streams and moves them between engines."""
 
     def __init__(
         self, parts: calls.RelayParts, stream_succession: succession.Succession
@@ -56,20 +56,20 @@
         self.pace = rates.DurationEstimate()
 
     def expected_seconds(self, exchange: exchanges.Exchange) -> float:
-        """Return how long a stream takes that begins now; rarely longer."""
+        """Return the seconds within which nearly all such streams end."""
         return self.pace.conservative_seconds(token_cost(exchange))
 
     def start_request(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action]:
-        """Start a stream, or go on where the caller's last one broke."""
+        """Start a stream, after the last event that the caller has."""
         exchange.position = exchange.request.resumes_after or 0
         return self.start_from_prompt(exchange, now, 'no-engine')
 
     def start_from_prompt(
         self, exchange: exchanges.Exchange, now: float, code: str
     ) -> list[Action]:
-        """Have an engine read the prompt, and go on at the position."""
+        """Have an engine read the prompt and continue at the position."""
         lost = exchange.attempts > 0
         if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
@@ -103,7 +103,7 @@
         code: str,
         now: float,
     ) -> list[Action]:
-        """Have an engine that takes a stream read its prompt."""
+        """Send a stream to the chosen engine, which reads its prompt."""
         if self.parts.crash_watch.blocks(exchange, now):
             code = answers.CRASHES_ENGINES
             return [self.parts.answers.fail_request(exchange, code, now)]
@@ -122,10 +122,10 @@
         state: engine_states.EngineState,
         now: float,
     ) -> float:
-        """Return the least time in which an engine reads a prompt.
+        """Return the minimum seconds in which an engine reads a prompt.
 
-        A caller with less time than that gets no event at all; its prompt
-        would be read for nothing, ahead of those of others.
+        A caller with less time than that would get no event at all, and
+        reading its prompt would only delay those of others.
         """
         prompt = exchange.request.prompt
         if prompt is None:
@@ -145,7 +145,7 @@
         now: float,
         copy_from: requests.CopyName | None = None,
     ) -> list[Action]:
-        """Send a stream to an engine, with a second one for its copy."""
+        """Send a stream to an engine, and choose another for its copy."""
         copy_to = self.parts.selector.choose_for_copy(
             exchange.ruling.service,
             exchange.request.prompt,
@@ -165,25 +165,23 @@
     def first_event_due_at(
         self, state: engine_states.EngineState, from_copy: bool, now: float
     ) -> float:
-        """Return when the first event of a new send should have come."""
+        """Return the monotonic time by which the first event is due."""
         if from_copy:
             return now + COPY_FIRST_EVENT_SECONDS
         work = self.parts.send_table.loads.of(state.entry.engine)
         return max(now, work.reading_until) + FIRST_EVENT_MARGIN_SECONDS
 
-    # -- silence ------------------------------------------------------------
-
     def silence_timer(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> actions.SetTimer:
-        """Return the timer that looks at a send again."""
+        """Return the timer at which a send is checked for silence."""
         name = timers.timer_name(SILENCE_TIMER, exchange.number)
         return actions.SetTimer(name, self.next_event_due_at(exchange, sent))
 
     def next_event_due_at(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent
     ) -> float:
-        """Return when the next event of a send must have come."""
+        """Return the monotonic time by which the next event is due."""
         if not sent.events_seen:
             return sent.first_due
         if sent.asked_at > sent.moved_at:
@@ -196,8 +194,8 @@
     ) -> list[Action]:
         """Move a stream whose engine has been silent for too long.
 
-        Without a copy the prompt has to be read again elsewhere, which takes
-        longer than the silence; so the engine is asked first whether it lives.
+        Without a copy, another engine has to read the prompt again, which
+        takes longer than the silence, so the engine is probed first.
         """
         if not exchange.sends:
             return []
@@ -219,7 +217,7 @@
     def probe_engine(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Ask an engine that owes an event for a sign of life."""
+        """Probe an engine whose next event is overdue."""
         sent.first_due = now + PROBED_MARGIN_SECONDS
         sent.asked_at = now
         return [
@@ -236,10 +234,10 @@
         event: relay_events.EngineProbed,
         now: float,
     ) -> list[Action]:
-        """Move a stream away from an engine that gives no sign of life.
+        """Move a stream away from an engine that does not answer a probe.
 
-        The sign of a later life of the engine is none: it has not got the
-        run, or would have begun with it by now.
+        An engine that has restarted counts as not answering: it does not have
+        the run, or would have started it by now.
         """
         moved_since = sent.events_seen and sent.moved_at > sent.asked_at
         restarted = sent.entry.ended_before(event.started_at_ms)
@@ -248,11 +246,9 @@
         exchange.may_have_run = True
         detail = 'no answer to a probe'
         if restarted:
-            detail = 'probe answered by a later life'
+            detail = 'probe answered after a restart of the engine'
         return self.handle_lost_send(exchange, sent, detail, now)
 
-    # -- progress -----------------------------------------------------------
-
     def handle_answer_head(
         self,
         exchange: exchanges.Exchange,
@@ -260,10 +256,10 @@
         event: relay_events.AnswerStarted,
         now: float,
     ) -> list[Action]:
-        """Keep the head of an answer until its first event is here.
+        """Store the head of an answer until its first event arrives.
 
-        Given to the caller before, it would rule out another answer if the
-        engine failed in between.
+        Once the head is sent to the caller, no other answer can be given if
+        the engine fails before the first event.
         """
         exchange.may_have_run = True
         if not event.head.sealed:
@@ -284,7 +280,7 @@
         event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
-        """Pass on the events that come next, and none twice."""
+        """Pass the next events on to the caller, and skip duplicates."""
         fresh = [e for e in event.events if e.number > exchange.position]
         done: list[Action] = []
         first = not sent.events_seen
@@ -317,7 +313,7 @@
     def measure_wait(
         self, exchange: exchanges.Exchange, now: float
     ) -> relay_actions.ObserveDuration:
-        """Return how long a caller has waited for what comes now."""
+        """Return the seconds that a caller waited for the current event."""
         if exchange.begun:
             kind = relay_actions.DurationKind.RESUME
             return relay_actions.ObserveDuration(kind, now - exchange.moved_at)
@@ -328,7 +324,7 @@
     def end_stream(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """End the caller's answer as complete."""
+        """End the caller's answer as complete, unless it has no events."""
         exchange.may_have_run = True
         if not exchange.begun:
             return self.handle_lost_send(exchange, sent, 'no events', now)
@@ -345,8 +341,6 @@
             relay_actions.EndStream(exchange.number),
         ]
 
-    # -- trouble ------------------------------------------------------------
-
     def handle_refusal(
         self,
         exchange: exchanges.Exchange,
@@ -354,7 +348,7 @@
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
-        """Go elsewhere after an engine answered with something else."""
+        """Handle an answer that is not a stream."""
         told = self.parts.send_table.note_answer_head(
             exchange, sent, event.head, now
         )
@@ -367,7 +361,7 @@
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
-        """Pass on an answer that is final, or start the stream elsewhere."""
+        """Pass on a final answer, or start the stream on another engine."""
         head = event.head
         why = f'status {head.status}'
         if not head.not_run:
@@ -395,7 +389,7 @@
         event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
-        """Go on after a connection that ended before its stream did."""
+        """Handle a connection that ended before its stream did."""
         done: list[Action] = []
         if event.handed_over:
             exchange.may_have_run = True
@@ -417,10 +411,10 @@
         *,
         dead: bool = True,
     ) -> list[Action]:
-        """Distrust the engine of a send, and go on elsewhere.
+        """Record the failure of a send's engine, and replace the send.
 
-        ``dead`` tells that the engine seems to have died. One that was only
-        silent may still be reading another prompt.
+        ``dead`` is whether the engine seems to have failed. An engine that was
+        only silent may still be reading another prompt.
         """
         engine, start = sent.entry.engine, sent.entry.started_at_ms
         self.parts.engines.failed(engine, now, dead=dead, started_at_ms=start)
@@ -439,7 +433,7 @@
         detail: str,
         now: float,
     ) -> list[Action]:
-        """Give a send up; go on elsewhere, from the copy if there is one."""
+        """Abandon a send; continue elsewhere, from a copy if there is one."""
         done: list[Action] = [
             sending.lost_send_record(exchange, sent, detail, now),
             *self.parts.send_table.abandon_send(exchange, sent),
@@ -463,7 +457,7 @@
     def start_replacement(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Order a run in place of one that was given up."""
+        """Start a run in place of an abandoned one."""
         copy = self.usable_copy_engine(sent, now) if sent.events_seen else None
         if copy is None or self.parts.crash_watch.blocks(exchange, now):
             return self.start_from_prompt(exchange, now, 'engines-failed')
@@ -480,7 +474,7 @@
     def resume_from_copy(
         self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Have the engine go on that has the copy of a run."""
+        """Resume a run on the engine that holds its copy."""
         copy = self.usable_copy_engine(sent, now)
         if copy is None or self.parts.crash_watch.blocks(exchange, now):
             return self.start_from_prompt(exchange, now, 'engines-failed')
@@ -490,17 +484,17 @@
         return self.send_stream(exchange, copy, now, sent.copy_name)
 
     def engine_heard_at(self, sent: exchanges.Sent) -> float:
-        """Return when an engine gave its last sign of life here."""
+        """Return the monotonic time when an engine was last heard from."""
         state = self.parts.engines.states.get(sent.entry.engine)
         return state.heard_at if state else float('-inf')
 
     def usable_copy_engine(
         self, sent: exchanges.Sent, now: float
     ) -> engine_states.EngineState | None:
-        """Return the engine with a copy of a run, if it can go on there.
+        """Return the engine with a copy of a run, if it can resume it.
 
-        A later life of that engine has no copy, although it answers to the
-        same identity.
+        After a restart the engine answers under the same identity but has no
+        copy.
         """
         if sent.copy_to is None or sent.copy_name is None:
             return None
@@ -513,9 +507,9 @@
 
 
 def token_cost(exchange: exchanges.Exchange) -> float:
-    """Return the work of a stream, in tokens made.
+    """Return the work of a stream, in generated tokens.
 
-    Reading a token takes about a fiftieth of the time of making one.
+    Reading a token takes about a fiftieth of the time of generating one.
     """
     prompt = exchange.request.prompt
     if prompt is None:
--- a/tests/relay/test_copies.py
+++ b/tests/relay/test_copies.py
@@ -1,4 +1,4 @@
-"""Copies of a run's memory, over the life of the run."""
+"""Copies of a run's memory during the run."""
 
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import events as relay_events
@@ -8,7 +8,7 @@
 
 
 def streaming(world):
-    """Start a stream and let it run; return its send."""
+    """Start a stream, pass its first event and return its send."""
     send = world.last_send(world.ask())
     world.begin(send)
     world.events(send, 1)
@@ -20,10 +20,10 @@
 
 
 def test_run_gets_another_copy_when_the_first_is_lost():
-    """The engine with the copy of a run crashes, then that of the run.
+    """The engine with a run's copy crashes, then the engine of the run.
 
-    Without a new copy in between, the prompt is read again and the caller's
-    text stands still for more than a second.
+    Without a new copy in between, the prompt is read again and the caller gets
+    no text for more than a second.
     """
     world = relay_world.RelayWorld()
     send = streaming(world)
@@ -47,10 +47,10 @@
 
 
 def test_copy_that_could_not_be_made_is_not_used():
-    """The new engine has no room for a copy.
+    """The chosen engine has no free memory for a copy.
 
-    A request that asked for it there would be refused, and lose its time on
-    the way.
+    An attempt to resume from the missing copy would be refused and only take
+    time.
     """
     world = relay_world.RelayWorld()
     send = streaming(world)
@@ -68,9 +68,9 @@
 
 
 def test_ordered_copy_is_renewed_before_it_expires():
-    """Such a copy is kept for a few seconds only.
+    """An ordered copy is kept for a few seconds only.
 
-    A run that goes on for longer would lose it unnoticed.
+    A longer run would lose it unnoticed.
     """
     world = relay_world.RelayWorld()
     send = streaming(world)
@@ -91,7 +91,7 @@
 
 
 def test_run_before_its_first_event_is_not_copied():
-    """Nothing of it is there yet that would be worth a transfer."""
+    """Before its first event a run has no memory to copy."""
     world = relay_world.RelayWorld()
     send = world.last_send(world.ask())
     world.handle(
@@ -101,11 +101,11 @@
 
 
 def test_copy_lost_while_the_prompt_is_read_is_replaced_at_the_first_event():
-    """The engine that is to have the copy dies while the prompt is read.
+    """The engine chosen for the copy fails while the prompt is read.
 
-    Reading takes a second and more, so a wave of crashes often falls into it.
-    The run would go on uncovered to its end, and the next wave have its prompt
-    read again.
+    Reading takes a second or more, so crashes often happen in that time. The
+    run would have no copy until its end, and the prompt would be read again
+    after the next crash.
     """
     world = relay_world.RelayWorld()
     send = world.last_send(world.ask())
@@ -122,7 +122,7 @@
 
 
 def test_copy_that_could_not_be_made_is_ordered_elsewhere():
-    """The engine that was chosen has died too, or has no room any more."""
+    """The chosen engine has failed too, or has no free memory left."""
     world = relay_world.RelayWorld(relay_world.fleet(per_place=6))
     send = streaming(world)
     world.handle(
@@ -142,11 +142,11 @@
 
 
 def test_copies_are_replaced_when_their_engine_has_restarted():
-    """An engine goes dark, and restarts before anybody has missed it.
+    """An engine that holds only copies restarts before this is noticed.
 
-    Nobody had a stream there, only copies. Its old entry stays in the list for
-    seconds, but another engine has registered at its address: what the old one
-    held is gone. Found out at the next loss, the stream is read again.
+    Its old entry stays listed for seconds, but a new engine registers at its
+    address, so the copies are lost. If that were noticed only at the next
+    loss, the prompt would be read again.
     """
     world = relay_world.RelayWorld()
     world.advance(5.0)
@@ -166,11 +166,11 @@
 
 
 def test_two_silent_streams_mark_an_engine_as_failed():
-    """A data centre goes dark: its engines neither answer nor reset.
+    """The engines of a data centre neither answer nor reset connections.
 
-    One silent stream may be a lost connection. With a second one on the same
-    engine, seen here or by another instance, its copies count as lost, and are
-    made elsewhere before the next data centre fails.
+    One silent stream may be a lost connection. After a second one on the same
+    engine, seen here or by another instance, its copies count as lost and are
+    replaced before the next data centre fails.
     """
     world = relay_world.RelayWorld()
     send = streaming(world)
@@ -202,9 +202,9 @@
 def test_old_entry_read_late_does_not_replace_a_newer_engine():
     """An instance starts while an engine restarts.
 
-    It hears of the new engine first, and then finds the old one's entry in the
-    list, where it stands until it lapses. Taken for a successor, the old one
-    would have the new one left alone for good.
+    It hears of the new engine first and then reads the old one's entry, which
+    has not expired yet. If it took the old engine for the successor, it would
+    never use the new one.
     """
     world = relay_world.RelayWorld()
     new = relay_world.engine('new', relay_world.STREAMS, 'north')
--- a/tests/relay/test_engine_selection.py
+++ b/tests/relay/test_engine_selection.py
@@ -1,4 +1,4 @@
-"""Where runs and their copies are put."""
+"""Selection of engines for streams and for copies of their memory."""
 
 import collections
 
@@ -8,10 +8,10 @@
 
 
 def test_run_and_copy_are_placed_in_different_data_centres():
-    """A data centre's engines die together, and links are cut.
+    """All engines of a data centre fail at once, or its links are cut.
 
-    With a run and its copy both inside or both outside of its instance's data
-    centre, one such event would take the two of them.
+    If a run and its copy were both inside or both outside the instance's data
+    centre, one such failure would lose both.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=4))
     for _ in range(12):
@@ -22,10 +22,10 @@
 
 
 def test_prompts_are_spread_over_idle_engines():
-    """Engines nearby read a prompt each while those far off idle.
+    """Each local engine reads a prompt while remote engines are idle.
 
-    A stream that queues nearby gets its first token a second later, and all
-    streams there stand still while two prompts are read.
+    A stream that queues at a local engine gets its first token a second later,
+    and all streams there stall while two prompts are read.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=3))
     for _ in range(10):
@@ -38,8 +38,8 @@
 def test_few_requests_time_out_on_a_cut_link():
     """The link to other data centres is cut.
 
-    Connections there time out after a quarter of a second each. A stream that
-    tries one engine after the other behind the cut stands still for seconds.
+    Each connection attempt there times out after a quarter of a second. A
+    stream that tries several engines behind the cut stalls for seconds.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=6))
     for number in range(24):
@@ -55,10 +55,10 @@
 
 
 def test_engine_full_of_copies_gets_no_run_while_others_have_room():
-    """Copies of other engines' runs fill an engine's memory.
+    """An engine's memory is full of copies of other engines' runs.
 
-    A run that is sent there waits until they are gone, for many seconds,
-    although its neighbour has room.
+    A run that is sent there waits for many seconds until they are gone, though
+    other engines have free memory.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=2))
     for number in range(10):
@@ -70,11 +70,10 @@
 
 
 def test_copy_is_not_placed_in_a_failing_data_centre():
-    """A data centre's engines crash together.
+    """All engines of a data centre crash, but stay listed for seconds.
 
-    Their entries stay in the list for seconds. A copy that is sent to one that
-    nobody has tried since is lost before it begins, and so is the stream at
-    the next failure.
+    A copy placed on one that has not been tried since is lost at once, and the
+    stream then has no copy at the next failure.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=4))
     for engine in ('model-north-0', 'model-north-1'):
@@ -86,7 +85,7 @@
 
 
 def create_large_fleet(number, hinted):
-    """Return worlds of instances that all know of the same runs."""
+    """Return simulated instances that all know of the same runs."""
     worlds = [
         relay_world.RelayWorld(relay_world.fleet(per_place=15), seed=seed)
         for seed in range(number)
@@ -99,17 +98,16 @@
 
 
 def max_on_one_engine(engines):
-    """Return how many of some choices fell on the same engine."""
+    """Return the number of choices of the most chosen engine."""
     return max(collections.Counter(engines).values())
 
 
 def test_streams_lost_together_are_spread_over_engines():
-    """A data centre's engines die, and a stream of each of thirty instances.
+    """Thirty instances each lose a stream when a data centre fails.
 
-    All choose another engine within the same millisecond, before any can hear
-    of the others. The few engines with the least work would get all of the
-    prompts, one after the other, and their callers wait six seconds instead of
-    one. Streams of this size take turns of a second each at an engine.
+    They choose other engines within a millisecond, before any hears of the
+    others' choices. If all prompts went to the few least loaded engines, which
+    read one in a second, callers would wait six seconds instead of one.
     """
     busy = [
         (f'model-{place}-{number}', '')
@@ -130,11 +128,11 @@
 
 
 def test_copies_lost_together_are_spread_over_engines():
-    """The engine dies that holds copies for thirty instances.
+    """Thirty instances lose the engine that holds their copies.
 
-    Each orders another copy at the same moment. Put on the emptiest engine by
-    all of them, most would find no room there, and their streams would be read
-    again at the next loss.
+    All order another copy at the same time. On the same, emptiest engine most
+    copies would not fit, and the prompts of those streams would be read again
+    after the next loss.
     """
     names = [
         f'model-{place}-{number}'
--- a/tests/relay/test_promises.py
+++ b/tests/relay/test_promises.py
@@ -1,4 +1,4 @@
-"""What callers are promised, over random histories of the relay."""
+"""Guarantees to callers, tested over random histories of the relay."""
 
 import collections
 
@@ -23,10 +23,10 @@
 
 
 class Promises(relay_invariants.CountsAddUp, stateful.RuleBasedStateMachine):
-    """Callers, engines and other instances do what they like, at any time.
+    """Runs random events of callers, engines and other instances.
 
-    ``may_have_run`` counts, by exchange, the sends that an engine may have
-    begun to work on.
+    ``may_have_run`` counts, for each exchange, the sends that an engine may
+    have started to work on.
     """
 
     def __init__(self):
@@ -40,10 +40,8 @@
         self.seen = 0
         self.heartbeat = 1
 
-    # -- what the relay does ------------------------------------------------
-
     def take_actions(self):
-        """Follow what the relay wanted since the last time."""
+        """Check the actions since the last call, and track open sends."""
         fresh = self.world.actions[self.seen :]
         self.seen = len(self.world.actions)
         for action in fresh:
@@ -65,15 +63,13 @@
                 assert self.finals[action.exchange] == 1
 
     def pick(self, data):
-        """Choose one of the sends that are under way."""
+        """Choose one of the sends in flight."""
         keys = sorted(self.open)
         return self.open[data.draw(st.sampled_from(keys))]
 
     def under_way(self):
         return bool(self.open)
 
-    # -- what happens -------------------------------------------------------
-
     @stateful.rule(resumes_after=st.sampled_from([None, None, 3]))
     def ask_for_a_stream(self, resumes_after):
         number = self.world.last_exchange + 1
@@ -100,7 +96,8 @@
         start = (send.resume_after or 0) + 1
         self.world.begin(send)
         self.take_actions()
-        # From its start again, as a duplicate of what is known already.
+        # Starts over at the first event of the send, so that events which the
+        # caller has already are sent as duplicates.
         until = max(start, self.given[send.exchange] + count)
         self.world.events(send, *range(start, until + 1))
         self.take_actions()
@@ -216,8 +213,6 @@
             self.world.handle(relay_events.PeerTold('other', hint))
         self.take_actions()
 
-    # -- what holds all the while -------------------------------------------
-
     @stateful.invariant()
     def call_runs_at_most_once(self):
         for exchange in self.calls:
--- a/tests/relay/test_reset_connections.py
+++ b/tests/relay/test_reset_connections.py
@@ -1,15 +1,15 @@
-"""Engines that take no more connections."""
+"""Engines that reset new connections."""
 
 from tests.common import relay_wires
 
 
 def test_nothing_is_sent_on_a_connection_reset_right_after_it_opened():
-    """All instances lose power, and an engine still counts their connections.
+    """An engine at its connection limit resets connections once open.
 
-    Until it notices, it resets new ones as soon as they are open. A call that
-    was written by then may have run for all anybody knows, so its caller gets
-    an error and can't try again; most of a fleet's calls end like this for
-    seconds. Once an engine has done it, the next calls wait a moment first.
+    It happens for seconds after all instances lost power, while the engine
+    still counts their old connections. A call that was already written may
+    have run, so its caller gets an error and can't retry. After one reset, the
+    next calls wait briefly before they are written.
     """
     server = relay_wires.Server()
     first = relay_wires.Receiver()
@@ -34,7 +34,7 @@
 
 
 def test_connections_to_other_engines_are_not_delayed():
-    """The wait is for the engine that resets connections, and not for long."""
+    """Only the engine that reset connections is affected, for seconds."""
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     other = server.ask(relay_wires.Receiver(), fresh=True, key='engine-2')
--- a/tests/relay/test_resuming.py
+++ b/tests/relay/test_resuming.py
@@ -1,4 +1,4 @@
-"""Streams that go on after the loss of an engine."""
+"""Streams that resume on another engine after the loss of theirs."""
 
 import dataclasses
 
@@ -13,8 +13,8 @@
 def test_stream_goes_on_from_the_copy_at_the_next_event():
     """An engine is reset in the middle of a stream.
 
-    Reading its prompt again would take a second, and the caller would see its
-    text stand still.
+    Reading its prompt again would take a second, in which the caller gets no
+    text.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
@@ -36,10 +36,10 @@
 
 
 def test_no_copy_is_asked_for_before_the_first_event():
-    """A copy of a run grows only once the run makes tokens.
+    """A run has no copy before it generates tokens.
 
-    Asking for one that is not there costs an attempt each time, and after a
-    few the caller gets an error although engines are free.
+    Each attempt to resume from a missing copy is wasted, and after a few the
+    caller would get an error although engines are free.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
@@ -52,10 +52,10 @@
 
 
 def test_refused_connections_do_not_use_up_attempts():
-    """A whole data centre refuses connections.
+    """All engines of a data centre refuse connections.
 
-    Each refusal costs a caller a millisecond; giving up after a few would cost
-    it its answer.
+    Each refusal takes a millisecond. If a request were given up after a few of
+    them, its caller would get no answer although other engines are available.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=8))
     exchange = world.ask()
@@ -72,9 +72,8 @@
 def test_replaced_engine_gets_no_more_requests():
     """An engine restarts under a new identity.
 
-    Its old entry stays in the list for seconds. Whoever sends to it again and
-    again uses up the attempts of a request on an engine that does not exist
-    any more.
+    Its old entry stays listed for seconds. Sending to it repeatedly would use
+    up the attempts of requests on an engine that no longer exists.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
@@ -87,10 +86,9 @@
 
 
 def test_refused_connection_counts_until_the_engine_registers_again():
-    """An engine crashes and its entry lapses only seconds later.
+    """An engine crashes, and its entry expires only seconds later.
 
-    It must not be tried again, or be given copies, on the strength of its old
-    entry.
+    The old entry must not cause requests or copies to be sent to it.
     """
     entries = relay_world.fleet()
     world = relay_world.RelayWorld(entries)
@@ -113,10 +111,10 @@
 
 
 def test_resumed_request_goes_to_the_engine_that_read_its_prompt():
-    """An instance dies and its callers come back through another one.
+    """An instance fails, and its callers retry through another one.
 
-    That one has only heard of their runs. On any other engine the prompt would
-    be read again, for a second in which the caller's text stands still.
+    That one knows their runs only from hints. Any other engine would read the
+    prompt again, which takes a second without text for the caller.
     """
     world = relay_world.RelayWorld()
     hint = hints.Placed(7, 'model-west-1', 8_780, 8_000, '', 'my-part')
@@ -130,10 +128,10 @@
 
 
 def test_popular_prompt_is_spread_over_engines():
-    """Many callers ask about one thing at once.
+    """Many callers send the same prompt at once.
 
-    All sent to the engine that has its prompt, they would wait for one another
-    while the others idle.
+    If all of them were sent to the engine that has the prompt in memory, they
+    would wait for one another while other engines are idle.
     """
     world = relay_world.RelayWorld()
     prompt = requests.Prompt(8_000, 780, 'popular')
@@ -145,10 +143,10 @@
 
 
 def test_replaced_engines_cost_no_attempt():
-    """A data centre's engines restart and their old entries stay in the list.
+    """A data centre's engines restart, but their old entries stay listed.
 
-    A request that meets several of them has not used up its attempts: none of
-    those engines exists any more.
+    A request that tries several of the old entries must not run out of
+    attempts, as none of those engines exists any more.
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=6))
     exchange = world.ask()
@@ -159,9 +157,9 @@
 
 
 def test_replaced_engine_is_announced_to_other_instances():
-    """Each instance would find out by itself, one request after another.
+    """Otherwise each instance would find out with a request of its own.
 
-    Those are counted as repeats in the budget that all share.
+    Those requests count as retries in the shared retry budget.
     """
     world = relay_world.RelayWorld()
     first = world.last_send(world.ask())
@@ -177,10 +175,10 @@
 
 
 def test_stopping_instance_refuses_a_stream_that_it_can_not_finish():
-    """An instance stops, and callers come until the balancer notices.
+    """Callers arrive at a stopping instance until the balancer reacts.
 
-    A long answer that begins now would be cut in the middle; refused at once,
-    its caller is served elsewhere in time.
+    A long answer that starts now would be cut in the middle. If it is refused
+    at once, another instance can still serve it in time.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
@@ -204,10 +202,10 @@
 
 
 def test_silent_stream_is_not_reported_as_not_run():
-    """An engine falls silent before its first event, and no other is left.
+    """The only engine falls silent before its first event.
 
-    It may be reading the prompt all the while. Told that nothing ran, a caller
-    would pay for the same work twice without knowing.
+    It may still be reading the prompt. If the caller were told that nothing
+    ran, it could pay for the same work twice without knowing.
     """
     entry = relay_world.engine('only', relay_world.STREAMS, 'north')
     world = relay_world.RelayWorld([entry])
@@ -220,9 +218,9 @@
 
 
 def start_silent_stream_without_copy():
-    """Return a world, and a stream that was silent for too long.
+    """Return a stream that is silent for too long, and its simulation.
 
-    Its engine's service keeps no copies.
+    The service of its engine keeps no copies.
     """
     plain = dataclasses.replace(relay_world.MODEL, copies=False)
     services = (
@@ -243,9 +241,9 @@
 def test_silent_stream_without_a_copy_stays_on_a_live_engine():
     """An engine that reads other prompts is silent for half a second.
 
-    A stream that has no copy can only go on where its prompt is read again,
-    which takes longer than the silence and slows down another engine. So its
-    engine is asked first whether it lives.
+    Without a copy, another engine would have to read the prompt again, which
+    takes longer than the silence and slows that engine down. So the silent
+    engine is probed first.
     """
     world, exchange, first = start_silent_stream_without_copy()
     assert len(world.sends(exchange)) == 1
@@ -267,7 +265,7 @@
 
 
 def test_stream_that_stays_silent_leaves_a_live_engine():
-    """Its connection has gone silent for good, though the engine is well."""
+    """The connection has failed silently, but the engine is healthy."""
     world, exchange, first = start_silent_stream_without_copy()
     world.handle(relay_events.EngineProbed(exchange, first.send, True))
     world.advance(2.0)
@@ -275,10 +273,10 @@
 
 
 def test_stream_ended_without_events_is_not_reported_as_not_run():
-    """An engine ends its answer before the first event, and others are gone.
+    """An engine ends its answer before the first event, others are lost.
 
-    The engine had the request, and may have worked on it. A caller that is
-    told that it has not run would believe a promise which nobody can give.
+    The engine received the request and may have worked on it, so the caller
+    must not be told that it has not run.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
--- a/tests/relay/test_short_deadlines.py
+++ b/tests/relay/test_short_deadlines.py
@@ -1,14 +1,13 @@
-"""Requests that can't be served any more in the time that is left."""
+"""Requests that can't be served in the time until their deadline."""
 
 from tests.common import relay_world
 
 
 def test_stream_is_refused_if_its_prompt_can_not_be_read_by_the_deadline():
-    """Callers come back after a long loss, with little time left.
+    """Callers retry after a long outage, shortly before their deadlines.
 
-    An engine would read their prompts, for a second each, and be stopped at
-    their deadlines before the first event. Those who still have time would
-    wait behind them.
+    Engines would read each of their prompts for a second, reach the deadline
+    before the first event, and delay callers that still have time.
     """
     world = relay_world.RelayWorld()
     late = world.ask(seconds=0.5, resumes_after=100)
@@ -18,7 +17,7 @@
 
 
 def test_stream_with_a_short_deadline_is_served_from_a_cached_prompt():
-    """An engine that has read the prompt goes on at once."""
+    """An engine that has the prompt in memory resumes at once."""
     world = relay_world.RelayWorld()
     first = world.ask(prompt=relay_world.PROMPT)
     world.leave(first)
@@ -30,10 +29,10 @@
 
 
 def test_reading_rate_adapts_to_fast_engines():
-    """Another fleet's engines read prompts four times as fast.
+    """Engines read prompts four times as fast as the default rate.
 
-    Judged by the engines of today, its callers would be refused although
-    there is time enough for their answers.
+    By the default rate, callers would be refused although there is enough time
+    to answer them.
     """
     world = relay_world.RelayWorld()
     for _ in range(20):
--- a/tests/relay/test_stop_ending.py
+++ b/tests/relay/test_stop_ending.py
@@ -1,14 +1,11 @@
-"""The end of a planned stop: what still comes is answered or never read.
-
-An instance that was asked to stop serves on until its last caller is gone,
-takes its entry back in the store, and ends. On days on which all instances
-were stopped in turn, callers lost calls that had come in the last
-milliseconds: the instance had no caller left and waited for the store's
-answer, its port was open, and it sent the call to an engine as at any other
-time. Then the process ended. The caller got no answer, and as the call must
-not repeat nobody could send it again. The log proved it: the call was sent
-4 ms after the line that tells of the end of the stop. The cause is that
-nothing but the process itself ended the taking of requests.
+"""The end of a planned stop: late requests are refused or never read.
+
+A stopping instance serves until its last caller is gone, removes its entry
+from the store, and ends. A call that arrived while it waited for the store's
+answer was still sent to an engine, and the process ended milliseconds later
+(4 ms in one log). Its caller got no answer, and a call that must not be
+repeated could not be retried. So requests must be refused before the process
+ends.
 """
 
 import pytest
@@ -21,8 +18,8 @@
     b'\r\nhi'
 )
 STREAM = CALL.replace(b'/booking/', b'/drafts/')
-# By then the balancer sends no new callers, and an instance that nobody uses
-# takes its entry back.
+# By then the load balancer sends no new callers, and an instance without
+# callers removes its entry.
 EMPTY_SECONDS = 3.7
 
 
@@ -36,7 +33,7 @@
 
 
 def assert_refused_as_not_run(connection):
-    """Check for the one answer that promises that nothing has run."""
+    """Check for the one answer which promises that nothing has run."""
     [(status, _)] = instance_world.answers(connection)
     assert status == 503
     raw = connection.transport.value().lower()
@@ -48,8 +45,8 @@
 def test_request_on_a_new_connection_while_ending_is_refused(request_bytes):
     """A caller connects while the instance waits for the store's answer.
 
-    Nobody is served here any more, so the instance is about to end. A request
-    that it sent to an engine now would be cut with the process.
+    The instance has no callers and is about to end. A request sent to an
+    engine now would be cut when the process ends.
     """
     world = create_ending_world()
     before = world.engine_requests
@@ -60,7 +57,7 @@
 
 
 def test_request_in_pieces_while_ending_is_refused():
-    """The bytes of a request come one by one while the entry is removed."""
+    """A request arrives byte by byte while the entry is removed."""
     world = create_ending_world()
     before = world.engine_requests
     connection = world.connect()
@@ -74,9 +71,8 @@
 def test_refusal_is_written_before_the_process_ends():
     """The store answers just after a late request was refused.
 
-    The refusal is still on its way to a caller behind a slow link. What is not
-    written yet is lost with the process, and the caller sees a connection that
-    ends without an answer.
+    The refusal has not been written completely to a caller on a slow link. If
+    the process ended now, the caller's connection would end without an answer.
     """
     world = create_ending_world()
     connection = world.connect()
@@ -91,7 +87,7 @@
 def test_half_read_request_at_the_stop_deadline_is_refused():
     """A caller is still sending its body when the stop has to end.
 
-    The connection would end without a word, and the caller would not know
+    If the connection were closed without an answer, the caller would not know
     whether its request has run.
     """
     world = instance_world.InstanceWorld()
@@ -106,10 +102,10 @@
 
 
 def test_stop_ends_in_time_while_the_store_does_not_answer():
-    """The store takes the removal of the entry and never answers.
+    """The store never answers the removal of the entry.
 
-    A process that waited for it would be killed, and what it had still to
-    write would be lost.
+    A process that kept waiting would be killed, and its unwritten output would
+    be lost.
     """
     world = instance_world.InstanceWorld()
     connection = world.connect()
@@ -121,7 +117,7 @@
 
 
 def test_no_caller_can_connect_once_the_instance_has_ended():
-    """Else a caller could be accepted whom nobody reads any more."""
+    """Otherwise a connection could be accepted but never read."""
     world = create_ending_world()
     world.store.removals[0].callback(None)
     world.advance(0.2)
@@ -130,10 +126,10 @@
 
 
 def test_time_for_a_stop_counts_from_the_signal():
-    """The loop is busy while the signal comes, and looks 0.6 s later.
+    """A busy event loop notices the stop 0.6 s after the signal.
 
-    The platform counts from the signal. An instance that counted from its own
-    look would be killed while it still serves.
+    The platform counts from the signal. An instance that counted from the
+    notice would be killed while it still serves.
     """
     world = instance_world.InstanceWorld()
     connection = world.connect()
@@ -155,7 +151,7 @@
 
 
 def test_instance_without_a_configuration_can_be_stopped():
-    """It is asked to stop just after its start, with the store away."""
+    """It is stopped just after its start, without a reachable store."""
     world = instance_world.InstanceWorld(configured=False)
     world.instance.stop()
     world.advance(EMPTY_SECONDS)
@@ -165,7 +161,7 @@
 
 
 def create_nearly_empty_world():
-    """Return an instance that is just about to look who is still served."""
+    """Return an instance that is about to check for remaining callers."""
     world = instance_world.InstanceWorld()
     world.instance.stop()
     world.advance(3.45)
@@ -173,10 +169,10 @@
 
 
 def test_connection_with_half_a_head_is_not_closed_as_idle():
-    """The head of a request comes in two parts while a stop goes on.
+    """The head of a request arrives in two parts during a stop.
 
-    Closed between them, its caller gets no answer and can't know whether the
-    request has run.
+    If the connection were closed in between, its caller would not know whether
+    the request has run.
     """
     world = create_nearly_empty_world()
     connection = world.connect()
@@ -189,10 +185,10 @@
 
 
 def test_refusal_can_be_read_during_a_stop():
-    """A caller sends too large a body just before the instance looks again.
+    """A caller sends a body that is too large just before the check.
 
-    It still sends. Closed with its bytes unread, the connection would be
-    reset, and the refusal could be lost on its way.
+    It is still sending. If the connection were closed with unread bytes, it
+    would be reset, and the refusal could be lost.
     """
     world = create_nearly_empty_world()
     connection = world.connect()
@@ -206,9 +202,9 @@
 
 
 def test_half_read_request_is_refused_before_waiting_for_the_store():
-    """The store is silent as the stop ends.
+    """The store does not answer at the end of the stop.
 
-    A caller who is still sending needs the rest of the time to read that its
+    A caller that is still sending needs the remaining time to read that its
     request has not run.
     """
     world = instance_world.InstanceWorld()
@@ -221,10 +217,10 @@
 
 
 def test_no_heartbeat_is_sent_after_the_leave_message():
-    """The store is silent, so the instance waits before it ends.
+    """The store does not answer, so the instance waits before it ends.
 
-    A further heartbeat would bring it back: its neighbours would count on it
-    to read the store for them, seconds after it has gone.
+    After a further heartbeat, other instances would rely on it to read the
+    store for them, seconds after it has ended.
     """
     world = instance_world.InstanceWorld()
     beats = []
@@ -238,7 +234,7 @@
 
 
 def test_stop_ends_if_the_store_request_raises():
-    """Asking the store to remove the entry raises an error at once."""
+    """The request to remove the entry raises an error at once."""
     world = instance_world.InstanceWorld()
 
     def broken(member):
@@ -251,10 +247,10 @@
 
 
 def test_entry_that_may_have_been_written_is_removed():
-    """A stop is asked for while the store has not answered the registration.
+    """A stop is requested before the store has answered the registration.
 
-    The entry may be there already. Left behind, it would make the others count
-    on an instance that is gone.
+    The entry may be in the store already. If it were left, other instances
+    would rely on an instance that has ended.
     """
     world = instance_world.InstanceWorld(registers=False)
     world.instance.stop()
--- a/tests/relay/test_stopping.py
+++ b/tests/relay/test_stopping.py
@@ -1,11 +1,11 @@
-"""Requests that come while an instance stops."""
+"""Requests that arrive while an instance stops."""
 
 from greengagelb.coordination.relay import events as relay_events
 from tests.common import relay_world
 
 
 def assert_refused_as_not_run(world, exchange):
-    """Check that a request reached no engine, and may come back."""
+    """Check that a request was not sent and may be retried."""
     assert not world.sends(exchange)
     [refusal] = world.refusals(exchange)
     assert refusal.status == 503
@@ -13,10 +13,10 @@
 
 
 def test_call_just_before_the_stop_deadline_is_refused():
-    """A caller sends a call a moment before the process ends.
+    """A call arrives just before the process ends.
 
-    Taken, its answer would be cut off, and nobody could tell whether it ran;
-    refused, it is safe to send elsewhere.
+    If it were accepted, its answer would be cut off, and nobody could tell
+    whether it ran. A refused call can be sent to another instance.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StopRequested(world.now + 7.0))
@@ -26,12 +26,11 @@
 
 
 def test_stream_late_in_a_stop_is_refused_even_if_it_would_fit():
-    """A caller sends a stream on a connection that it has kept.
+    """A stream arrives on a kept connection, four seconds into a stop.
 
-    The instance was asked to stop four seconds before. By what streams have
-    taken so far this one would just be over in time, but its prompt waits
-    behind others, and it is cut in the middle of its answer. New callers are
-    not sent here any more by then, and refused it is served elsewhere whole.
+    By the durations seen so far it would just finish in time. But its prompt
+    may wait behind others, so that it would be cut. If it is refused, another
+    instance can serve it completely.
     """
     world = relay_world.RelayWorld()
     for _ in range(20):
@@ -49,12 +48,12 @@
 
 
 def test_stream_is_refused_soon_after_the_stop_was_requested():
-    """A stop is noticed late, as the instance was busy.
+    """An instance notices a stop late because it was busy.
 
-    A stream that a caller sends three seconds after the stop was asked for is
-    then still within three seconds of the notice. Its prompt waits behind
-    others, and it is cut at the end of the stop: what is taken has to be tied
-    to the time at which the stop was asked for, with room for both.
+    A stream that arrives three seconds after the stop request is then within
+    three seconds of the notice. Its prompt waits behind others, and it would
+    be cut at the end of the stop. So the limit counts from the request, with
+    a margin for a late notice and for the latency of the stream's request.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StopRequested(world.now + 7.6))
@@ -64,9 +63,10 @@
 
 
 def test_stream_limit_counts_from_the_stop_signal():
-    """The loop was busy, and looked 0.6 s after the signal.
+    """A busy event loop notices the stop 0.6 s after the signal.
 
-    A stream that comes 2.0 s after that look comes 2.6 s after the signal.
+    A stream that arrives 2.0 s after the notice arrives 2.6 s after the
+    signal.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StopRequested(world.now + 7.0, world.now - 0.6))
@@ -75,10 +75,10 @@
 
 
 def test_stream_is_refused_near_the_end_of_a_short_stop():
-    """The platform gives an instance three seconds for its stop.
+    """The platform allows three seconds for the stop of an instance.
 
-    Nobody has seen a stream end there yet, so how long one takes is unknown.
-    Taken with 0.2 s left, it would be cut before its first event.
+    No stream has ended there yet, so how long one takes is unknown. A stream
+    accepted 0.2 s before the end would be cut before its first event.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StopRequested(world.now + 2.6))
