--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -294,7 +294,7 @@
     now: float,
 ) -> actions.Record:
     """Return the timeline event of a send without a complete answer."""
-    progress = 'no answer started'
+    progress = 'no answer begun'
     if sent.answered_at <= now:
         seconds = now - sent.answered_at
         progress = f'{sent.events_seen} events in {seconds:.3f} s'
