--- a/tests/relay/test_full_engines.py
+++ b/tests/relay/test_reset_connections.py
@@ -1,15 +1,15 @@
-"""Engines that take no more connections."""
+"""Engines that reset new connections."""
 
 from tests.common import relay_wires
 
 
-def test_connection_reset_right_after_it_opened_has_carried_nothing():
-    """All instances lose power, and an engine still counts their connections.
+def test_nothing_is_sent_on_a_connection_reset_right_after_it_opened():
+    """An engine at its connection limit resets connections once open.
 
-    Until it notices, it resets new ones as soon as they are open. A call that
-    was written by then may have run for all anybody knows, so its caller gets
-    an error and can't try again; most of a fleet's calls end like this for
-    seconds. Once an engine has done it, the next calls wait a moment first.
+    It happens for seconds after all instances lost power, while the engine
+    still counts their old connections. A call that was already written may
+    have run, so its caller gets an error and can't retry. After one reset, the
+    next calls wait briefly before they are written.
     """
     server = relay_wires.Server()
     first = relay_wires.Receiver()
@@ -22,7 +22,7 @@
     assert second.broken == (False, 'reset before anything was sent')
 
 
-def test_request_is_sent_when_the_connection_holds():
+def test_request_is_sent_when_the_connection_stays_open():
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     receiver = relay_wires.Receiver()
@@ -33,8 +33,8 @@
     assert receiver.complete
 
 
-def test_other_engines_are_not_waited_for():
-    """The wait is for the engine that resets connections, and not for long."""
+def test_connections_to_other_engines_are_not_delayed():
+    """Only the engine that reset connections is affected, for seconds."""
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     other = server.ask(relay_wires.Receiver(), fresh=True, key='engine-2')
@@ -44,7 +44,7 @@
     assert again.transport.value()
 
 
-def test_caller_that_leaves_meanwhile_has_nothing_sent():
+def test_nothing_is_sent_for_a_caller_that_left_during_the_delay():
     server = relay_wires.Server()
     relay_wires.reset(server.ask(relay_wires.Receiver(), fresh=True))
     receiver = relay_wires.Receiver()
--- a/tests/relay/test_hopeless.py
+++ b/tests/relay/test_short_deadlines.py
@@ -1,14 +1,13 @@
-"""Requests that can't be served any more in the time that is left."""
+"""Requests that can't be served in the time until their deadline."""
 
 from tests.common import relay_world
 
 
-def test_stream_whose_prompt_can_not_be_read_in_time_is_refused_at_once():
-    """Callers come back after a long loss, with little time left.
+def test_stream_is_refused_if_its_prompt_can_not_be_read_by_the_deadline():
+    """Callers retry after a long outage, shortly before their deadlines.
 
-    An engine would read their prompts, for a second each, and be stopped at
-    their deadlines before the first event. Those who still have time would
-    wait behind them.
+    Engines would read each of their prompts for a second, reach the deadline
+    before the first event, and delay callers that still have time.
     """
     world = relay_world.RelayWorld()
     late = world.ask(seconds=0.5, resumes_after=100)
@@ -17,8 +16,8 @@
     assert refusal.status == 503
 
 
-def test_stream_whose_prompt_an_engine_has_is_served_with_little_time():
-    """An engine that has read the prompt goes on at once."""
+def test_stream_with_a_short_deadline_is_served_from_a_cached_prompt():
+    """An engine that has the prompt in memory resumes at once."""
     world = relay_world.RelayWorld()
     first = world.ask(prompt=relay_world.PROMPT)
     world.leave(first)
@@ -29,11 +28,11 @@
     assert world.sends(again)
 
 
-def test_fast_engines_are_not_taken_for_slow_ones():
-    """Another fleet's engines read prompts four times as fast.
+def test_reading_rate_adapts_to_fast_engines():
+    """Engines read prompts four times as fast as the default rate.
 
-    Judged by the engines of today, its callers would be refused although
-    there is time enough for their answers.
+    By the default rate, callers would be refused although there is enough time
+    to answer them.
     """
     world = relay_world.RelayWorld()
     for _ in range(20):
