--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -23,11 +23,11 @@
 from tests.common import watches
 
 READER = '0-before-all-others'
-SPOILT = 'model-north-0'
-WHY = 'unknown state lost'
+AFFECTED_ENGINE = 'model-north-0'
+MISTAKE = 'unknown state lost'
 
 
-def spoil(world, *names, entries=()):
+def make_unusable(world, *names, entries=()):
     """Read a change of the list in which entries can't be used."""
     return world.handle(
         relay_events.EnginesChanged(tuple(entries), (), tuple(names))
@@ -41,8 +41,10 @@
     }
 
 
-def spoilt_entry(**fields):
-    return relay_world.engine(SPOILT, relay_world.STREAMS, 'north', **fields)
+def usable_entry(**fields):
+    return relay_world.engine(
+        AFFECTED_ENGINE, relay_world.STREAMS, 'north', **fields
+    )
 
 
 def records(world, kind):
@@ -60,14 +62,14 @@
     which nobody knows whether it serves.
     """
     world = relay_world.RelayWorld()
-    assert SPOILT in engines_used(world)
-    spoil(world, SPOILT)
-    assert SPOILT not in engines_used(world)
+    assert AFFECTED_ENGINE in engines_used(world)
+    make_unusable(world, AFFECTED_ENGINE)
+    assert AFFECTED_ENGINE not in engines_used(world)
     [told] = records(world, 'engine-leaving')
-    assert told.upstream == SPOILT
+    assert told.upstream == AFFECTED_ENGINE
 
 
-def test_unusable_entry_has_no_moment_of_grace_after_an_outage():
+def test_unusable_entry_has_no_grace_period_after_an_outage():
     """The store comes back after an outage, and an entry is unusable.
 
     Entries that are missing then may come back in a moment. This one has not
@@ -77,10 +79,10 @@
     world.advance(1.0)
     world.handle(relay_events.StoreLost('away'))
     world.advance(5.0)
-    world.change_engines(removed=[SPOILT])
-    assert SPOILT in engines_used(world)
-    spoil(world, SPOILT)
-    assert SPOILT not in engines_used(world)
+    world.change_engines(removed=[AFFECTED_ENGINE])
+    assert AFFECTED_ENGINE in engines_used(world)
+    make_unusable(world, AFFECTED_ENGINE)
+    assert AFFECTED_ENGINE not in engines_used(world)
 
 
 def test_entry_that_is_unusable_in_a_whole_list_names_no_engine():
@@ -89,9 +91,13 @@
     world.advance(1.0)
     world.handle(relay_events.StoreLost('away'))
     world.advance(5.0)
-    others = tuple(e for e in relay_world.fleet() if e.engine != SPOILT)
-    world.handle(relay_events.EnginesListed(others, (SPOILT, 'unheard-of')))
-    assert SPOILT not in engines_used(world)
+    others = tuple(
+        e for e in relay_world.fleet() if e.engine != AFFECTED_ENGINE
+    )
+    world.handle(
+        relay_events.EnginesListed(others, (AFFECTED_ENGINE, 'unheard-of'))
+    )
+    assert AFFECTED_ENGINE not in engines_used(world)
 
 
 def test_engine_is_used_again_when_its_entry_is():
@@ -100,9 +106,9 @@
     Left out for good, each such accident would cost an engine.
     """
     world = relay_world.RelayWorld()
-    spoil(world, SPOILT)
-    world.change_engines(spoilt_entry(heartbeat=2))
-    assert SPOILT in engines_used(world)
+    make_unusable(world, AFFECTED_ENGINE)
+    world.change_engines(usable_entry(heartbeat=2))
+    assert AFFECTED_ENGINE in engines_used(world)
 
 
 def test_engine_that_had_said_that_it_leaves_is_not_used_again():
@@ -112,10 +118,10 @@
     What an engine said of its end stays true.
     """
     world = relay_world.RelayWorld()
-    world.change_engines(spoilt_entry(heartbeat=2, leaving=True))
-    spoil(world, SPOILT)
-    world.change_engines(spoilt_entry(heartbeat=1))
-    assert SPOILT not in engines_used(world)
+    world.change_engines(usable_entry(heartbeat=2, leaving=True))
+    make_unusable(world, AFFECTED_ENGINE)
+    world.change_engines(usable_entry(heartbeat=1))
+    assert AFFECTED_ENGINE not in engines_used(world)
 
 
 def test_running_stream_goes_on_at_the_engine():
@@ -129,7 +135,7 @@
     send = world.last_send(exchange)
     world.begin(send)
     world.events(send, 1, 2)
-    spoil(world, send.engine.engine)
+    make_unusable(world, send.engine.engine)
     world.events(send, 3)
     world.complete(send)
     assert world.passed_events(exchange) == [1, 2, 3]
@@ -148,12 +154,12 @@
     send = world.last_send(exchange)
     world.begin(send)
     world.events(send, 1)
-    spoil(world, send.copy_to.engine)
+    make_unusable(world, send.copy_to.engine)
     [ordered] = world.of_kind(relay_actions.CopyRun, exchange)
     assert ordered.target.engine != send.copy_to.engine
 
 
-def test_neighbours_learn_of_it_from_the_one_that_reads():
+def test_peers_learn_of_unusable_entries_from_the_reader():
     """One instance of a data centre reads the list for its neighbours.
 
     They would go on using the engine until they read the list themselves.
@@ -161,32 +167,34 @@
     reader = relay_world.RelayWorld()
     reader.read_for_all()
     follower = relay_world.RelayWorld()
-    spoil(reader, SPOILT, 'unheard-of')
+    make_unusable(reader, AFFECTED_ENGINE, 'unheard-of')
     actions = reader.of_kind(relay_actions.ForwardHints)
     told = [hint for action in actions for hint in action.hints]
     [news] = [
         h for h in told if isinstance(h, hints.EnginesTold) and h.unusable
     ]
-    assert news.unusable == (SPOILT,)
+    assert news.unusable == (AFFECTED_ENGINE,)
     raw = relay_hints.encode_hint(READER, news)
     assert relay_hints.decode(raw) == (READER, news)
     follower.handle(relay_events.PeerTold(READER, news))
-    assert SPOILT not in engines_used(follower)
+    assert AFFECTED_ENGINE not in engines_used(follower)
     assert follower.relay.engines.digest() == reader.relay.engines.digest()
 
 
-def test_neighbours_are_told_once():
+def test_peers_are_told_once_of_an_unusable_entry():
     """An unusable entry stays, and is read again with each whole list."""
     reader = relay_world.RelayWorld()
     reader.read_for_all()
-    spoil(reader, SPOILT)
+    make_unusable(reader, AFFECTED_ENGINE)
     before = len(reader.actions)
-    spoil(reader, SPOILT)
-    again = reader.actions[before:]
-    assert not [a for a in again if isinstance(a, common_actions.Record)]
+    make_unusable(reader, AFFECTED_ENGINE)
+    later_actions = reader.actions[before:]
+    assert not [
+        a for a in later_actions if isinstance(a, common_actions.Record)
+    ]
     assert not [
         hint
-        for a in again
+        for a in later_actions
         if isinstance(a, relay_actions.ForwardHints)
         for hint in a.hints
         if isinstance(hint, hints.EnginesTold)
@@ -201,31 +209,31 @@
     the list says something else.
     """
     world = relay_world.RelayWorld()
-    moved = relay_world.engine(SPOILT, relay_world.CALLS, 'north', 2)
+    moved = relay_world.engine(AFFECTED_ENGINE, relay_world.CALLS, 'north', 2)
     world.change_engines(moved)
-    assert SPOILT not in engines_used(world)
+    assert AFFECTED_ENGINE not in engines_used(world)
     for _ in range(20):
         exchange = world.query()
-        assert world.last_send(exchange).engine.engine != SPOILT
+        assert world.last_send(exchange).engine.engine != AFFECTED_ENGINE
         world.answer(world.last_send(exchange))
     # It is forgotten in the end, and can then be anything.
     world.advance(70.0)
     world.change_engines()
-    assert SPOILT not in world.relay.engines.states
+    assert AFFECTED_ENGINE not in world.relay.engines.states
     world.change_engines(moved)
-    assert SPOILT in world.relay.engines.by_service[relay_world.CALLS]
+    assert AFFECTED_ENGINE in world.relay.engines.by_service[relay_world.CALLS]
 
 
-def test_entry_names_its_former_service_again():
+def test_engine_is_used_once_its_entry_names_its_service_again():
     world = relay_world.RelayWorld()
     world.change_engines(
-        relay_world.engine(SPOILT, relay_world.CALLS, 'north', 2)
+        relay_world.engine(AFFECTED_ENGINE, relay_world.CALLS, 'north', 2)
     )
-    world.change_engines(spoilt_entry(heartbeat=3))
-    assert SPOILT in engines_used(world)
+    world.change_engines(usable_entry(heartbeat=3))
+    assert AFFECTED_ENGINE in engines_used(world)
 
 
-def test_service_that_no_configuration_names_gets_no_work_and_harms_nobody():
+def test_engine_of_an_unconfigured_service_gets_no_work_and_replaces_none():
     """An entry names a service that is not configured, at a known address.
 
     Requests go by the services of the configuration, so its engine gets none,
@@ -233,7 +241,7 @@
     at that address either, which would take that engine out.
     """
     world = relay_world.RelayWorld()
-    [known] = [e for e in relay_world.fleet() if e.engine == SPOILT]
+    [known] = [e for e in relay_world.fleet() if e.engine == AFFECTED_ENGINE]
     world.advance(10.0)
     world.change_engines(
         relay_world.engine(
@@ -241,18 +249,18 @@
         )
     )
     used = engines_used(world)
-    assert SPOILT in used
+    assert AFFECTED_ENGINE in used
     assert 'stray' not in used
 
 
 # -- what is logged and counted ----------------------------------------------
 
 
-def mistake(name=SPOILT, why=WHY):
+def mistake(name=AFFECTED_ENGINE, why=MISTAKE):
     return unusable_entries.UnusableEntry(name, why)
 
 
-HERE = positions.Position(positions.NO_ERA, 7)
+POSITION = positions.Position(positions.NO_ERA, 7)
 
 
 class StoreOfOthers:
@@ -273,7 +281,7 @@
         if position is not None:
             return defer.fail(errors.HistoryGone('gone'))
         read = store_watch.ConfigurationRead(
-            HERE, None, self.configuration_mistake
+            POSITION, None, self.configuration_mistake
         )
         return task.deferLater(self.clock, 0.3, lambda: read)
 
@@ -281,7 +289,7 @@
         if position is not None:
             return defer.fail(errors.HistoryGone('gone'))
         return defer.succeed(
-            store_watch.EnginesRead(HERE, (), (), self.engine_mistakes)
+            store_watch.EnginesRead(POSITION, (), (), self.engine_mistakes)
         )
 
     def register(self, member):
@@ -294,7 +302,7 @@
         )
 
 
-def watching(source, dispatched=None):
+def start_watch(source, dispatched=None):
     """Return a clock, a watch of a source, and what it records."""
     recorded = []
     dispatch = None if dispatched is None else dispatched.append
@@ -314,19 +322,19 @@
     """
     source = StoreOfOthers()
     dispatched = []
-    clock, watch, recorded = watching(source, dispatched)
+    clock, watch, recorded = start_watch(source, dispatched)
     clock.pump([0.1] * 300)
     expected = ['bad-configuration', 'bad-engine-entry', 'bad-instance-entry']
     assert kinds(recorded) == expected
     named = {record.upstream for record in recorded}
-    assert named == {'', SPOILT, 'front-2'}
+    assert named == {'', AFFECTED_ENGINE, 'front-2'}
     listed = [
         event
         for event in dispatched
         if isinstance(event, relay_events.EnginesListed)
     ]
     assert len(listed) > 10
-    assert all(event.unusable == (SPOILT,) for event in listed)
+    assert all(event.unusable == (AFFECTED_ENGINE,) for event in listed)
     source.engine_mistakes = (mistake(why='bad address'),)
     clock.pump([0.1] * 30)
     assert kinds(recorded) == sorted([*expected, 'bad-engine-entry'])
@@ -340,7 +348,7 @@
 def test_unusable_entries_are_counted():
     """Whoever is on call sees how many there are now, and that they came."""
     source = StoreOfOthers()
-    clock, watch, _ = watching(source)
+    clock, watch, _ = start_watch(source)
     clock.pump([0.1] * 30)
     figures = relay_metrics.RelayMetrics()
     figures.unusable = watch.unusable_counts
@@ -361,7 +369,7 @@
     assert b'greengagelb_unusable_entries{kind="engine"} 0' in page.body
 
 
-def test_own_entry_that_was_spoilt_is_written_again():
+def test_own_entry_that_was_overwritten_is_written_again():
     """Another program overwrites the entry of this instance.
 
     Instances that start later would never hear of this one, as they greet
@@ -369,7 +377,7 @@
     """
     source = StoreOfOthers()
     source.members = (watches.OWN,)
-    clock, watch, _ = watching(source)
+    clock, watch, _ = start_watch(source)
     watch.sharing.reads_for_all = True
     clock.pump([0.1] * 200)
     assert source.registered == 1
@@ -386,18 +394,26 @@
     """
     reader = relay_world.RelayWorld()
     reader.read_for_all()
-    spoilt = relay_world.RelayWorld()
+    unlisted_instance = relay_world.RelayWorld()
     reader.handle(relay_events.PeerHeard('5-own', 'south'))
     reader.handle(relay_events.PeerHeard('6-other', 'south'))
     listed = (hints.Member('other', '6-other', '127.0.0.2', 'south'),)
     done = reader.handle(relay_events.MembersListed(listed))
     [told] = [a for a in done if isinstance(a, relay_actions.ForwardHints)]
     assert told.hints == (hints.NotListed(('5-own',)),)
-    spoilt.relay.sharing.members_looked(spoilt.now)
-    assert spoilt.relay.sharing.members_due_at(spoilt.now) > spoilt.now
-    looks = spoilt.handle(relay_events.PeerTold(READER, told.hints[0]))
+    unlisted_instance.relay.sharing.note_members_read(unlisted_instance.now)
+    assert (
+        unlisted_instance.relay.sharing.members_due_at(unlisted_instance.now)
+        > unlisted_instance.now
+    )
+    looks = unlisted_instance.handle(
+        relay_events.PeerTold(READER, told.hints[0])
+    )
     assert looks == [relay_actions.RescheduleStoreRead()]
-    assert spoilt.relay.sharing.members_due_at(spoilt.now) <= spoilt.now
+    assert (
+        unlisted_instance.relay.sharing.members_due_at(unlisted_instance.now)
+        <= unlisted_instance.now
+    )
 
 
 class StrictSocket:
@@ -433,12 +449,12 @@
     assert len(bad) == 1
 
 
-def test_an_own_entry_that_is_gone_is_told_once():
+def test_loss_of_the_own_entry_is_recorded_once():
     """Guards against staff who can't see which instances a copy lacked."""
     source = StoreOfOthers()
     source.members = (watches.OWN,)
     source.member_mistakes = ()
-    clock, watch, recorded = watching(source, [])
+    clock, watch, recorded = start_watch(source, [])
     watch.sharing.reads_for_all = True
     clock.pump([0.1] * 300)
     assert 'entry-written-again' not in kinds(recorded)
--- a/tests/relay/test_leaving_engines.py
+++ b/tests/relay/test_leaving_engines.py
@@ -13,7 +13,7 @@
 from tests.common import watches
 
 READER = '0-before-all-others'
-GONE = 'model-north-0'
+REMOVED_ENGINE = 'model-north-0'
 
 
 def engines_used(world, requests=40):
@@ -37,11 +37,11 @@
     world.advance(0.6)
     world.handle(relay_events.StoreLost('no answer in time'))
     world.advance(0.1)
-    world.change_engines(removed=[GONE])
-    assert GONE not in engines_used(world)
+    world.change_engines(removed=[REMOVED_ENGINE])
+    assert REMOVED_ENGINE not in engines_used(world)
 
 
-def test_engines_missing_after_an_outage_are_kept_for_a_moment():
+def test_engines_missing_after_an_outage_are_kept_for_a_grace_period():
     """The store is away for longer than entries live without renewal.
 
     Its list is empty when it comes back, and engines need a moment to write
@@ -51,13 +51,13 @@
     world.advance(1.0)
     world.handle(relay_events.StoreLost('away'))
     world.advance(5.0)
-    world.change_engines(removed=[GONE])
-    assert GONE in engines_used(world)
+    world.change_engines(removed=[REMOVED_ENGINE])
+    assert REMOVED_ENGINE in engines_used(world)
     world.advance(2.1)
-    assert GONE not in engines_used(world)
+    assert REMOVED_ENGINE not in engines_used(world)
 
 
-def test_word_of_a_neighbour_counts_as_knowing_the_list():
+def test_read_notification_confirms_the_engine_list():
     """The neighbour that reads for all is stopped, and one own read fails.
 
     Until then its word came each second. Measured from the last own read
@@ -68,18 +68,18 @@
     world.handle(relay_events.PeerHeard(READER, 'north'))
     for _ in range(10):
         world.advance(1.0)
-        word = hints.StoreRead(
+        hint = hints.StoreRead(
             world.relay.engines.digest(), world.relay.route_table.version
         )
-        world.handle(relay_events.PeerTold(READER, word))
+        world.handle(relay_events.PeerTold(READER, hint))
     world.advance(1.4)
     world.handle(relay_events.StoreLost('ConnectionLost'))
     world.advance(0.1)
-    world.change_engines(removed=[GONE])
-    assert GONE not in engines_used(world)
+    world.change_engines(removed=[REMOVED_ENGINE])
+    assert REMOVED_ENGINE not in engines_used(world)
 
 
-def test_news_of_a_configuration_say_nothing_of_the_engines():
+def test_configuration_hint_does_not_confirm_the_engine_list():
     """The neighbour that reads for all applies a configuration.
 
     It tells the others at once, but it has not looked at the list of engines
@@ -90,10 +90,10 @@
     reader.handle(relay_events.PeerHeard('~after-all-others', 'north'))
     follower = relay_world.RelayWorld()
     follower.handle(relay_events.PeerHeard(READER, 'north'))
-    word = hints.StoreRead(
+    hint = hints.StoreRead(
         follower.relay.engines.digest(), follower.relay.route_table.version
     )
-    follower.handle(relay_events.PeerTold(READER, word))
+    follower.handle(relay_events.PeerTold(READER, hint))
     follower.advance(1.0)
     reader.advance(1.0)
     before = len(reader.actions)
@@ -102,39 +102,39 @@
         if hasattr(action, 'hint'):
             follower.handle(relay_events.PeerTold(READER, action.hint))
     follower.advance(0.45)
-    assert follower.relay.sharing.engines_due(follower.now)
-    assert follower.relay.sharing.configuration_due(follower.now)
+    assert follower.relay.sharing.is_engines_read_due(follower.now)
+    assert follower.relay.sharing.is_configuration_read_due(follower.now)
 
 
-HERE = positions.Position(positions.NO_ERA, 7)
+POSITION = positions.Position(positions.NO_ERA, 7)
 
 
 class ForgetfulStore:
     """A source that has lost its history; counts reads of the whole list."""
 
     def __init__(self):
-        self.whole_lists = 0
-        self.whole_configurations = 0
+        self.whole_list_reads = 0
+        self.whole_configuration_reads = 0
 
     def read_configuration(self, position, wait_seconds):
         if position is not None:
             return defer.fail(errors.HistoryGone('gone'))
-        self.whole_configurations += 1
-        if self.whole_configurations > 1:
+        self.whole_configuration_reads += 1
+        if self.whole_configuration_reads > 1:
             return defer.Deferred()
-        return defer.succeed(store_watch.ConfigurationRead(HERE, None))
+        return defer.succeed(store_watch.ConfigurationRead(POSITION, None))
 
     def read_engines(self, position):
         if position is not None:
             return defer.fail(errors.HistoryGone('gone'))
-        self.whole_lists += 1
-        return defer.succeed(store_watch.EnginesRead(HERE, (), ()))
+        self.whole_list_reads += 1
+        return defer.succeed(store_watch.EnginesRead(POSITION, (), ()))
 
     def register(self, member):
         return defer.Deferred()
 
 
-def test_whole_list_is_read_as_soon_as_the_history_is_gone():
+def test_whole_list_is_read_at_once_when_the_history_is_gone():
     """The store forgets its history, so that changes can't be read on.
 
     Waiting for the next look costs another second, in which an engine that
@@ -145,7 +145,7 @@
     watch = watches.watch_on(source, clock)
     watch.sharing.reads_for_all = True
     watch.start()
-    assert source.whole_lists == 1
-    clock.advance(store_sharing.READ_SECONDS + 0.06)
-    assert source.whole_lists == 2
-    assert source.whole_configurations == 2
+    assert source.whole_list_reads == 1
+    clock.advance(store_sharing.READ_INTERVAL_SECONDS + 0.06)
+    assert source.whole_list_reads == 2
+    assert source.whole_configuration_reads == 2
--- a/tests/relay/test_retry_budget.py
+++ b/tests/relay/test_retry_budget.py
@@ -8,8 +8,8 @@
 
 from greengagelb.coordination import actions as common_actions
 from greengagelb.coordination.relay import actions as relay_actions
-from greengagelb.coordination.relay import budget
 from greengagelb.coordination.relay import events as relay_events
+from greengagelb.coordination.relay import shared_retry_budget
 from greengagelb.state.relay import hints
 from tests.common import relay_world
 
@@ -29,9 +29,11 @@
     Together they would finish off the engines that are left.
     """
     bounds = relay_world.RETRIES
-    budgets = [budget.SharedRetryBudget(bounds) for _ in instances]
+    budgets = [
+        shared_retry_budget.SharedRetryBudget(bounds) for _ in instances
+    ]
     for one in budgets:
-        one.resize(len(instances))
+        one.set_fleet_size(len(instances))
     requests = [0] * 25
     repeats = [0] * 25
     for second in range(25):
@@ -41,7 +43,7 @@
                 one.count_request('s', float(second))
             requests[second] += asked
             repeats[second] += sum(
-                one.spend('s', float(second)) for _ in range(wanted)
+                one.try_spend('s', float(second)) for _ in range(wanted)
             )
     for start in range(25 - 10):
         window = slice(start, start + 10)
@@ -54,24 +56,25 @@
 
     Each of them taking the whole budget would multiply it by their number.
     """
-    one = budget.SharedRetryBudget(relay_world.RETRIES)
-    taken = sum(one.spend('s', 1.0) for _ in range(100))
+    one = shared_retry_budget.SharedRetryBudget(relay_world.RETRIES)
+    taken = sum(one.try_spend('s', 1.0) for _ in range(100))
     assert 1 <= taken <= 3
 
 
 # The larger fleets: about as many instances, and requests of streams that each
 # of them has in ten seconds.
-MANY = 90
+FLEET_SIZE = 90
 REQUESTS_EACH = 5
 
 
-def fleet_of_budgets(number=MANY):
+def fleet_of_budgets(number=FLEET_SIZE):
     """Return the budgets of a fleet that has served for a window."""
     budgets = [
-        budget.SharedRetryBudget(relay_world.RETRIES) for _ in range(number)
+        shared_retry_budget.SharedRetryBudget(relay_world.RETRIES)
+        for _ in range(number)
     ]
     for one in budgets:
-        one.resize(number, number)
+        one.set_fleet_size(number, number)
     for one in budgets:
         for _ in range(REQUESTS_EACH):
             request(budgets, one)
@@ -83,20 +86,20 @@
     one.count_request('s', now)
     for other in budgets:
         if other is not one:
-            other.told('s', now, repeat=False)
+            other.count_peer_send('s', now, repeat=False)
 
 
 def repeat(budgets, one, now=1.0):
     """Have one instance ask for a repeat, and tell the others of it."""
-    if not one.spend('s', now, all_told=True):
+    if not one.try_spend('s', now, announced=True):
         return False
     for other in budgets:
         if other is not one:
-            other.told('s', now, repeat=True)
+            other.count_peer_send('s', now, repeat=True)
     return True
 
 
-def test_instance_that_is_hit_hard_may_use_what_the_others_leave():
+def test_instance_may_use_the_allowance_that_others_leave():
     """Engines die, and most of their streams are those of one instance.
 
     A ninetieth of the budget is five repeats in ten seconds. On played days of
@@ -112,34 +115,34 @@
     budgets = fleet_of_budgets()
     taken = sum(repeat(budgets, one) for one in budgets for _ in range(1_000))
     bounds = relay_world.RETRIES
-    assert taken <= bounds.ratio * MANY * REQUESTS_EACH + bounds.slack
+    assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
 
 
-def test_parts_that_do_not_hear_each_other_keep_to_the_bound():
+def test_partitioned_fleet_keeps_to_the_bound():
     """The data centres are cut off from each other, and engines die in each.
 
     Those who hear less than all of them must not take all of the budget.
     """
-    parts = [fleet_of_budgets(MANY // 3) for _ in range(3)]
+    parts = [fleet_of_budgets(FLEET_SIZE // 3) for _ in range(3)]
     taken = 0
     for budgets in parts:
         for one in budgets:
-            one.resize(MANY, MANY // 3)
+            one.set_fleet_size(FLEET_SIZE, FLEET_SIZE // 3)
         taken += sum(
             repeat(budgets, one) for one in budgets for _ in range(1_000)
         )
     bounds = relay_world.RETRIES
-    assert taken <= bounds.ratio * MANY * REQUESTS_EACH + bounds.slack
+    assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
 
 
-def test_repeats_that_nobody_tells_of_keep_to_the_own_part():
+def test_unannounced_repeats_keep_to_the_own_allowance():
     """Short calls are not told of, as there are too many of them."""
     budgets = fleet_of_budgets()
-    taken = sum(budgets[0].spend('s', 1.0) for _ in range(100))
+    taken = sum(budgets[0].try_spend('s', 1.0) for _ in range(100))
     assert taken <= relay_world.RETRIES.ratio * REQUESTS_EACH + 2
 
 
-def test_run_that_is_told_of_twice_counts_once():
+def test_run_announced_twice_counts_once():
     """An instance tells again of a run when its copy is placed elsewhere."""
     world = relay_world.RelayWorld()
     placed = hints.Placed(7, 'model-north-0', 6_000, 0, '', attempt=2)
@@ -147,11 +150,11 @@
         hint = dataclasses.replace(placed, copy_to=copy_to)
         world.handle(relay_events.PeerTold('one', hint))
     window = world.relay.budget.window(relay_world.STREAMS, world.now)
-    assert len(window.others_repeats) == 1
-    assert not window.others_requests
+    assert len(window.peer_repeats) == 1
+    assert not window.peer_requests
 
 
-def attempts_told(world):
+def announced_attempts(world):
     """Return what the others were told of each send."""
     return [
         action.hint.attempt
@@ -164,10 +167,10 @@
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.lose(world.last_send(exchange))
-    assert attempts_told(world) == [1, 2]
+    assert announced_attempts(world) == [1, 2]
 
 
-def test_send_that_never_left_is_neither_request_nor_repeat():
+def test_unconnected_send_is_neither_request_nor_repeat():
     """A data centre is cut off, and each of its connections fails to open.
 
     Told of as repeats they would use up the budget of all instances; told of
@@ -176,10 +179,10 @@
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.lose(world.last_send(exchange), handed_over=False)
-    assert attempts_told(world) == [1, 0]
+    assert announced_attempts(world) == [1, 0]
 
 
-def test_log_tells_that_a_stream_was_cut_for_want_of_a_repeat():
+def test_timeline_shows_that_the_retry_budget_ended_a_stream():
     """A caller's stream ends in the middle although engines are free.
 
     Who looks up its request finds that nothing was tried, and must find why.
@@ -188,7 +191,7 @@
     exchange = world.ask()
     world.begin(world.last_send(exchange))
     world.events(world.last_send(exchange), 1)
-    while world.relay.budget.spend(relay_world.STREAMS, world.now):
+    while world.relay.budget.try_spend(relay_world.STREAMS, world.now):
         pass
     world.lose(world.last_send(exchange))
     reasons = [
--- a/tests/relay/test_store_call_counts.py
+++ b/tests/relay/test_store_call_counts.py
@@ -35,7 +35,7 @@
     assert sum(counts.values()) == len(fleet.store.calls)
 
 
-def test_calls_in_an_outage_are_told_apart():
+def test_calls_in_an_outage_are_counted_separately():
     """The store is away for a while, and the bill is high that day."""
     fleet = store_fleet.StoreFleet(6)
     fleet.play(5.0)
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -22,8 +22,8 @@
 FAST_LINK = 10_000_000
 ENGINES = 6
 # Writes a second that the store of the smallest fleets in use takes.
-MOST_WRITES = 400
-VERDICT = store_eras.Verdict
+MAX_WRITES_PER_SECOND = 400
+EraVerdict = store_eras.EraVerdict
 
 
 def running_instance(era=1):
@@ -109,7 +109,7 @@
     assert not instance.knows('new')
 
 
-def test_an_engine_that_has_left_is_not_back_with_the_copy():
+def test_a_removed_engine_does_not_return_with_the_copy():
     """Guards against work for an engine that only the copy still shows."""
     instance = running_instance()
     copy = instance.store.copy()
@@ -186,13 +186,13 @@
     instance.store.drop('servers', 'e0')
     instance.play(3.0)
     assert instance.knows('e0')
-    assert instance.relay.engines.lost
+    assert instance.relay.engines.is_store_lost
     instance.store.era = 5
     instance.play(5.0)
     assert not instance.knows('e0')
 
 
-def test_what_is_read_and_written_again_is_told_once():
+def test_reads_and_writes_after_a_restore_are_recorded_once():
     """Guards against staff who can't see whether a restore is over.
 
     The copy is from before this instance had registered.
@@ -223,7 +223,7 @@
     assert kinds.count('store-read-again') == 1
 
 
-def test_two_restores_within_ten_seconds_are_borne():
+def test_two_restores_within_ten_seconds_are_both_noticed():
     """Guards against a second copy that is taken for a late answer."""
     instance = running_instance()
     copy = instance.store.copy()
@@ -303,26 +303,26 @@
 
 
 @pytest.mark.parametrize('late', [3, positions.NO_ERA])
-def test_a_late_answer_is_told_from_a_store_that_stays_so(late):
+def test_a_late_answer_is_distinguished_from_a_store_that_stays_behind(late):
     """Guards against an old answer that is believed, and against deafness."""
     eras = store_eras.StoreEras()
-    assert eras.read(4, 0.0) is VERDICT.CURRENT
-    assert eras.read(late, 1.0) is VERDICT.LATE
-    assert eras.read(4, 2.0) is VERDICT.CURRENT
-    assert eras.read(late, 20.0) is VERDICT.LATE
-    assert eras.read(late, 31.0) is VERDICT.LATE
-    assert eras.read(late, 32.5) is VERDICT.RESTORED
+    assert eras.check_answer(4, 0.0) is EraVerdict.CURRENT
+    assert eras.check_answer(late, 1.0) is EraVerdict.LATE
+    assert eras.check_answer(4, 2.0) is EraVerdict.CURRENT
+    assert eras.check_answer(late, 20.0) is EraVerdict.LATE
+    assert eras.check_answer(late, 31.0) is EraVerdict.LATE
+    assert eras.check_answer(late, 32.5) is EraVerdict.RESTORED
     assert eras.era == late
 
 
 @given(st.lists(st.integers(0, 5)))
-def test_no_era_falls_back_while_it_is_heard(found):
+def test_the_known_era_does_not_fall_at_once(found):
     """Guards against positions that are compared over a restore."""
     eras = store_eras.StoreEras()
     highest = positions.NO_ERA
     for era in found:
-        verdict = eras.read(era, 0.0)
-        assert (verdict is VERDICT.LATE) == (era < highest)
+        verdict = eras.check_answer(era, 0.0)
+        assert (verdict is EraVerdict.LATE) == (era < highest)
         highest = max(highest, era)
         assert eras.era == highest
 
@@ -337,7 +337,7 @@
     """
     world = relay_world.RelayWorld()
     world.now += 5.0
-    world.relay.sharing.eras.read(1, world.now)
+    world.relay.sharing.eras.check_answer(1, world.now)
     world.list_engines(relay_world.fleet())
     for hint in (
         hints.StoreRestored(2),
@@ -352,9 +352,9 @@
 def test_the_reader_tells_the_era_before_what_is_missing():
     """Guards against gaps that reach the others before their reason."""
     world = relay_world.RelayWorld()
-    world.relay.sharing.eras.read(1, world.now)
+    world.relay.sharing.eras.check_answer(1, world.now)
     world.read_for_all()
-    world.relay.sharing.eras.read(2, world.now)
+    world.relay.sharing.eras.check_answer(2, world.now)
     world.handle(relay_events.StoreRestored())
     done = world.change_engines(removed=('model-north-0',))
     [told] = [a.hints for a in done if hasattr(a, 'hints')]
@@ -385,7 +385,7 @@
     assert fleet.store.count('members') <= size
     writes = [at for kind, _, at in fleet.store.calls if kind == 'register']
     busiest = max(sum(t <= at < t + 1.0 for at in writes) for t in writes)
-    assert busiest <= MOST_WRITES
+    assert busiest <= MAX_WRITES_PER_SECOND
 
 
 @pytest.mark.parametrize('what', ['killed', 'cut', 'turned away', 'frozen'])
--- a/tests/relay/test_store_sharing.py
+++ b/tests/relay/test_store_sharing.py
@@ -7,13 +7,13 @@
 from greengagelb.state.relay import hints
 from tests.common import relay_world
 
-FIRST = '0-before-all-others'
+READER = '0-before-all-others'
 
 
 def world_with_reader(place='north'):
     """Return a world in which another instance reads the store."""
     world = relay_world.RelayWorld()
-    world.handle(relay_events.PeerHeard(FIRST, place))
+    world.handle(relay_events.PeerHeard(READER, place))
     return world
 
 
@@ -24,12 +24,12 @@
     return world
 
 
-def told(world):
+def announced_hints(world):
     actions = world.of_kind(relay_actions.ForwardHints)
     return [hint for action in actions for hint in action.hints]
 
 
-def read_by(world, sender=FIRST, **fields):
+def notify_read(world, sender=READER, **fields):
     """Let a reader tell of a read of the store."""
     given = {
         'digest': world.relay.engines.digest(),
@@ -52,10 +52,10 @@
     sharing = world.relay.sharing
     for _ in range(30):
         world.advance(1.0)
-        world.handle(relay_events.PeerHeard(FIRST, 'north'))
-        read_by(world)
-        assert not sharing.engines_due(world.now)
-        assert not sharing.configuration_due(world.now)
+        world.handle(relay_events.PeerHeard(READER, 'north'))
+        notify_read(world)
+        assert not sharing.is_engines_read_due(world.now)
+        assert not sharing.is_configuration_read_due(world.now)
 
 
 def test_instance_alone_reads_for_itself():
@@ -64,39 +64,39 @@
     It goes on hearing of nobody, and serves callers all the while.
     """
     world = world_with_reader('south')
-    read_by(world)
+    notify_read(world)
     world.advance(1.4)
     sharing = world.relay.sharing
     for _ in range(5):
-        assert sharing.engines_due(world.now)
-        assert sharing.configuration_due(world.now)
-        sharing.engines.looked(world.now)
+        assert sharing.is_engines_read_due(world.now)
+        assert sharing.is_configuration_read_due(world.now)
+        sharing.engines.note_read_asked(world.now)
         world.change_engines()
         world.advance(1.0)
 
 
-def test_of_two_readers_one_goes_on():
+def test_one_of_two_readers_remains():
     """Two data centres were cut off from each other, and hear again.
 
     Each had a reader. Two that go on cost twice as many calls for nothing.
     """
     world = reading_world()
-    read_by(world, sender='~after-all-others')
+    notify_read(world, sender='~after-all-others')
     assert world.relay.sharing.reads_for_all
-    read_by(world)
+    notify_read(world)
     assert not world.relay.sharing.reads_for_all
 
 
-def test_reader_that_steps_back_during_a_read_does_not_come_back():
+def test_reader_that_yields_during_a_read_does_not_resume():
     """The store is slow, and two readers hear of each other all the while.
 
     The answer to the last read of the one that steps back is still on its way.
     Taken for a look that others wait for, it would make it a reader again.
     """
     world = reading_world()
-    world.relay.sharing.engines.looked(world.now)
+    world.relay.sharing.engines.note_read_asked(world.now)
     world.advance(0.1)
-    read_by(world)
+    notify_read(world)
     world.change_engines()
     assert not world.relay.sharing.reads_for_all
 
@@ -105,12 +105,12 @@
     """The store turns the reader away and serves all others."""
     world = reading_world()
     sharing = world.relay.sharing
-    sharing.engines.looked(world.now)
-    sharing.engines_failed()
+    sharing.engines.note_read_asked(world.now)
+    sharing.note_engines_read_failed()
     world.advance(0.5)
-    read_by(world, sender='~after-all-others')
-    assert not sharing.engines_due(world.now)
-    assert not sharing.configuration_due(world.now)
+    notify_read(world, sender='~after-all-others')
+    assert not sharing.is_engines_read_due(world.now)
+    assert not sharing.is_configuration_read_due(world.now)
 
 
 def test_reader_whose_reads_take_long_leaves_it_to_another():
@@ -120,13 +120,13 @@
     on, it would read for nobody.
     """
     world = reading_world()
-    world.relay.sharing.engines.looked(world.now)
+    world.relay.sharing.engines.note_read_asked(world.now)
     world.advance(1.5)
     world.change_engines()
     assert not world.relay.sharing.reads_for_all
 
 
-def test_instances_that_start_together_do_not_tell_each_other():
+def test_instances_that_start_together_announce_nothing():
     """All instances lose power at once, and start within a moment.
 
     Each reads the whole list then. Passed on by each to all, that would be
@@ -135,12 +135,12 @@
     world = relay_world.RelayWorld()
     for number in range(40):
         world.handle(relay_events.PeerHeard(f'{number}-other', 'north'))
-    world.relay.sharing.engines.looked(world.now)
+    world.relay.sharing.engines.note_read_asked(world.now)
     world.list_engines(relay_world.fleet())
-    assert told(world) == []
+    assert announced_hints(world) == []
 
 
-def test_reader_that_falls_silent_is_not_waited_for():
+def test_followers_read_soon_after_the_reader_falls_silent():
     """The instance that reads for all is killed.
 
     An engine that leaves next must get no more work within two seconds, so the
@@ -148,13 +148,13 @@
     dead.
     """
     world = world_with_reader()
-    read_by(world)
+    notify_read(world)
     world.advance(1.45)
-    assert world.relay.sharing.engines_due(world.now)
-    assert world.relay.sharing.configuration_due(world.now)
+    assert world.relay.sharing.is_engines_read_due(world.now)
+    assert world.relay.sharing.is_configuration_read_due(world.now)
 
 
-def test_news_reach_those_who_do_not_read():
+def test_changes_reach_followers():
     """An engine starts to leave.
 
     Who only hears of it must send it nothing more, just like the one who has
@@ -164,99 +164,99 @@
     leaving = relay_world.engine(
         'model-north-0', relay_world.STREAMS, 'north', 2, leaving=True
     )
-    reader.relay.sharing.engines.looked(reader.now)
+    reader.relay.sharing.engines.note_read_asked(reader.now)
     reader.change_engines(leaving, removed=['model-south-0'])
     follower = world_with_reader()
-    for hint in told(reader):
-        follower.handle(relay_events.PeerTold(FIRST, hint))
-    assert not follower.relay.sharing.engines_due(follower.now)
+    for hint in announced_hints(reader):
+        follower.handle(relay_events.PeerTold(READER, hint))
+    assert not follower.relay.sharing.is_engines_read_due(follower.now)
     used = {
         follower.last_send(follower.ask()).engine.engine for _ in range(40)
     }
     assert not used & {'model-north-0', 'model-south-0'}
 
 
-def test_one_lost_answer_does_not_put_off_the_next_look():
+def test_one_lost_answer_does_not_delay_the_next_read():
     """The reader is dead, and the store loses one answer.
 
     The next look has to come while the bound on engines that leave still
     holds, so only failures after that one make it rarer.
     """
     world = world_with_reader()
-    read_by(world)
+    notify_read(world)
     world.advance(1.45)
     engines = world.relay.sharing.engines
-    engines.looked(world.now)
-    engines.failed()
+    engines.note_read_asked(world.now)
+    engines.note_read_failed()
     world.advance(0.75)
-    assert world.relay.sharing.engines_due(world.now)
-    engines.looked(world.now)
-    engines.failed()
+    assert world.relay.sharing.is_engines_read_due(world.now)
+    engines.note_read_asked(world.now)
+    engines.note_read_failed()
     world.advance(0.75)
-    assert not world.relay.sharing.engines_due(world.now)
+    assert not world.relay.sharing.is_engines_read_due(world.now)
     world.advance(2.0)
-    assert world.relay.sharing.engines_due(world.now)
+    assert world.relay.sharing.is_engines_read_due(world.now)
 
 
-def test_something_newer_is_fetched_at_once_after_failures():
+def test_newer_list_is_read_at_once_after_failures():
     """The store was away, and a neighbour has just read it again."""
     world = world_with_reader()
-    read_by(world)
+    notify_read(world)
     world.advance(1.45)
     for _ in range(4):
-        world.relay.sharing.engines.looked(world.now)
-        world.relay.sharing.engines.failed()
+        world.relay.sharing.engines.note_read_asked(world.now)
+        world.relay.sharing.engines.note_read_failed()
     world.advance(0.75)
-    read_by(world, digest=12345)
-    assert world.relay.sharing.engines_due(world.now)
+    notify_read(world, digest=12345)
+    assert world.relay.sharing.is_engines_read_due(world.now)
 
 
-def test_who_was_told_of_something_newer_tells_nobody():
+def test_follower_that_reads_a_newer_list_announces_nothing():
     """All neighbours hear at once that their lists are old.
 
     Each of them reads the store. Told by each to each, that would be some
     hundreds of datagrams for one lost one.
     """
     world = world_with_reader()
-    read_by(world, digest=12345)
-    before = len(told(world))
-    world.relay.sharing.engines.looked(world.now)
+    notify_read(world, digest=12345)
+    before = len(announced_hints(world))
+    world.relay.sharing.engines.note_read_asked(world.now)
     world.change_engines(*relay_world.fleet())
-    assert told(world)[before:] == []
+    assert announced_hints(world)[before:] == []
 
 
-def test_lost_news_are_noticed():
+def test_lost_change_is_noticed_by_its_digest():
     """A datagram is lost, and with it the word that an engine leaves.
 
     The next word of the reader shows that something is missing.
     """
     world = world_with_reader()
-    read_by(world, digest=12345)
-    assert world.relay.sharing.engines_due(world.now)
+    notify_read(world, digest=12345)
+    assert world.relay.sharing.is_engines_read_due(world.now)
 
 
 def test_higher_version_is_fetched():
     """The configuration is too large for a datagram; its version is not."""
     world = world_with_reader()
-    read_by(world, version=world.relay.route_table.version + 1)
-    assert world.relay.sharing.configuration_due(world.now)
+    notify_read(world, version=world.relay.route_table.version + 1)
+    assert world.relay.sharing.is_configuration_read_due(world.now)
 
 
-def test_heartbeats_of_engines_are_no_news():
+def test_engine_renewals_are_not_announced():
     """Every engine renews its entry each second.
 
     Passed on, that would be more traffic than the calls to the store that are
     saved.
     """
     world = reading_world()
-    before = len(told(world))
-    world.relay.sharing.engines.looked(world.now)
+    before = len(announced_hints(world))
+    world.relay.sharing.engines.note_read_asked(world.now)
     world.change_engines(*relay_world.fleet(heartbeat=5))
-    [hint] = told(world)[before:]
+    [hint] = announced_hints(world)[before:]
     assert isinstance(hint, hints.StoreRead)
 
 
-def test_word_of_one_that_lags_does_not_put_off_a_known_version():
+def test_lagging_peer_does_not_delay_the_read_of_a_newer_version():
     """Two instances nearby read the store, and one of them is turned away.
 
     The first has told of a new version, and the second goes on telling of the
@@ -264,19 +264,21 @@
     refused for as long as the store turns that one away.
     """
     world = world_with_reader()
-    read_by(world)
+    notify_read(world)
     world.advance(1.0)
-    read_by(world, version=world.relay.route_table.version + 1)
-    read_by(world)
-    assert world.relay.sharing.configuration_due(world.now)
+    notify_read(world, version=world.relay.route_table.version + 1)
+    notify_read(world)
+    assert world.relay.sharing.is_configuration_read_due(world.now)
 
 
-def words(world):
+def read_notifications(world):
     """Return what was told of whole reads of the store."""
-    return [h for h in told(world) if isinstance(h, hints.StoreRead)]
+    return [
+        h for h in announced_hints(world) if isinstance(h, hints.StoreRead)
+    ]
 
 
-def test_read_that_took_long_is_no_word_on_what_stands_there_now():
+def test_slow_read_is_not_announced_as_current():
     """The reader's link is slow, and a read of the list takes 1.5 seconds.
 
     What it has read is that old. Neighbours that took its word for news of
@@ -288,18 +290,18 @@
     leaving = relay_world.engine(
         'model-north-0', relay_world.STREAMS, 'north', 2, leaving=True
     )
-    before = len(words(reader))
-    reader.relay.sharing.engines.looked(reader.now)
+    before = len(read_notifications(reader))
+    reader.relay.sharing.engines.note_read_asked(reader.now)
     reader.advance(1.5)
     reader.handle(relay_events.EnginesChanged((leaving,), ()))
-    assert len(words(reader)) == before
+    assert len(read_notifications(reader)) == before
     assert any(
         isinstance(hint, hints.EnginesTold) and hint.entries == (leaving,)
-        for hint in told(reader)
+        for hint in announced_hints(reader)
     )
 
 
-def test_reader_that_can_not_read_the_configuration_has_no_word_on_it():
+def test_reader_without_configuration_reads_announces_no_version():
     """The reader reads the list of engines, but not the configuration.
 
     Its neighbours must not take the version that it has for the newest: they
@@ -307,12 +309,15 @@
     calls for the configuration fail.
     """
     reader = reading_world()
-    reader.relay.sharing.configuration.looked(reader.now)
-    reader.relay.sharing.configuration.failed()
-    reader.relay.sharing.engines.looked(reader.now)
+    reader.relay.sharing.configuration.note_read_asked(reader.now)
+    reader.relay.sharing.configuration.note_read_failed()
+    reader.relay.sharing.engines.note_read_asked(reader.now)
     reader.handle(relay_events.EnginesChanged((), ()))
-    assert words(reader)[-1].version is None
-    reader.relay.sharing.configuration.known(reader.now)
-    reader.relay.sharing.engines.looked(reader.now)
+    assert read_notifications(reader)[-1].version is None
+    reader.relay.sharing.configuration.note_current(reader.now)
+    reader.relay.sharing.engines.note_read_asked(reader.now)
     reader.handle(relay_events.EnginesChanged((), ()))
-    assert words(reader)[-1].version == reader.relay.route_table.version
+    assert (
+        read_notifications(reader)[-1].version
+        == reader.relay.route_table.version
+    )
--- a/tests/relay/test_successors.py
+++ b/tests/relay/test_successors.py
@@ -43,7 +43,7 @@
     assert hints.Replaced(dead.engine, 'model-new') in told
 
 
-def test_engine_at_an_address_that_may_have_changed_hands_is_not_used():
+def test_engine_at_an_address_that_may_be_reassigned_is_not_used():
     """An address is given to another service some seconds later.
 
     A request sent there would run at a service that its route does not allow.
@@ -55,7 +55,7 @@
     assert 'stranger' not in world.relay.engines.states
 
 
-def test_nobody_is_asked_where_the_list_has_told_already():
+def test_address_is_not_asked_if_the_list_shows_the_successor():
     """Each question is priced; the list usually is as quick."""
     world = relay_world.RelayWorld()
     dead = lose_a_stream(world)
@@ -82,10 +82,10 @@
 
 # How long after an engine was last heard it is lost in these tests: its
 # address may be another service's by then. In seconds.
-LONG_SECONDS = 5.0
+ADDRESS_REUSED_SECONDS = 5.0
 
 
-def found(world, dead, **fields):
+def is_successor_used(world, dead, **fields):
     """Let an engine answer where one was lost; return whether it is used."""
     world.handle(
         relay_events.SuccessorSeen(dead.engine, 'model-new', **fields)
@@ -104,14 +104,14 @@
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     send = world.last_send(world.ask())
     world.refuse(send, 421)
     world.advance(0.01)
     question = world.of_kind(relay_actions.AskSuccessor)[-1]
     assert question.entry == send.engine
     assert question.may_be_another_service
-    assert found(world, send.engine, has_model_memory=True)
+    assert is_successor_used(world, send.engine, has_model_memory=True)
 
 
 def test_engine_lost_before_its_first_event_is_found_again():
@@ -122,22 +122,22 @@
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     send = world.last_send(world.ask())
     world.lose(send)
     world.advance(1.3)
     assert send.engine in asked_successors(world)
-    assert found(world, send.engine, has_model_memory=True)
+    assert is_successor_used(world, send.engine, has_model_memory=True)
 
 
-def test_engine_without_model_memory_is_of_another_service():
+def test_engine_without_model_memory_is_not_a_successor():
     """The address of a lost engine has been given to a plain service."""
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     send = world.last_send(world.ask())
     world.refuse(send, 421)
-    assert not found(world, send.engine)
+    assert not is_successor_used(world, send.engine)
 
 
 def test_engine_of_one_of_two_model_services_is_not_taken_for_the_other():
@@ -153,15 +153,15 @@
     )
     world = relay_world.RelayWorld(table=table)
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     send = world.last_send(world.ask())
     world.refuse(send, 421)
     world.advance(2.0)
     assert not asked_successors(world)
-    assert not found(world, send.engine, has_model_memory=True)
+    assert not is_successor_used(world, send.engine, has_model_memory=True)
 
 
-def test_questions_at_an_address_come_to_an_end():
+def test_asking_an_address_ends():
     """An engine is lost for good while the store is away.
 
     Questions are paid for, and one that is not back after ten seconds is not
@@ -169,7 +169,7 @@
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     dead = lose_a_stream(world)
     world.advance(12.0)
     asked = asked_successors(world).count(dead)
@@ -178,11 +178,11 @@
     assert asked_successors(world).count(dead) == asked
 
 
-def test_list_that_is_back_ends_the_questions():
+def test_asking_ends_when_the_list_is_read_again():
     """With the store, the list tells of whoever has started anew."""
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
-    world.advance(LONG_SECONDS)
+    world.advance(ADDRESS_REUSED_SECONDS)
     dead = lose_a_stream(world)
     world.advance(3.0)
     world.list_engines(relay_world.fleet(heartbeat=3))
