--- a/tests/relay/test_store_sharing.py
+++ b/tests/relay/test_store_sharing.py
@@ -1,4 +1,4 @@
-"""Instances of a data centre that share what they read from the store."""
+"""Instances that share what one of them reads from the store."""
 
 import pytest
 
@@ -11,14 +11,14 @@
 
 
 def world_with_reader(place='north'):
-    """Return a world in which another instance reads the store."""
+    """Return a world in which another instance is the reader."""
     world = relay_world.RelayWorld()
     world.handle(relay_events.PeerHeard(READER, place))
     return world
 
 
 def reading_world():
-    """Return a world whose instance reads the store for all."""
+    """Return a world whose instance is the reader."""
     world = relay_world.RelayWorld()
     world.read_for_all()
     return world
@@ -30,7 +30,7 @@
 
 
 def notify_read(world, sender=READER, **fields):
-    """Let a reader tell of a read of the store."""
+    """Deliver a read notification of another instance."""
     given = {
         'digest': world.relay.engines.digest(),
         'version': world.relay.route_table.version,
@@ -43,10 +43,10 @@
 
 @pytest.mark.parametrize('place', ['north', 'south'])
 def test_one_instance_reads_for_all(place):
-    """Each call to the store costs money and a share of its rate.
+    """Each call to the store costs money and a part of its rate limit.
 
-    Were every instance to look for itself, or one in each data centre, a
-    large fleet would spend more on looking than on serving.
+    If every instance, or one in each data centre, read the store itself, a
+    large fleet would spend more on reads than on serving.
     """
     world = world_with_reader(place)
     sharing = world.relay.sharing
@@ -61,7 +61,7 @@
 def test_instance_alone_reads_for_itself():
     """An instance is cut off from all others, but not from the store.
 
-    It goes on hearing of nobody, and serves callers all the while.
+    It receives no notifications, and keeps serving its callers.
     """
     world = world_with_reader('south')
     notify_read(world)
@@ -76,9 +76,9 @@
 
 
 def test_one_of_two_readers_remains():
-    """Two data centres were cut off from each other, and hear again.
+    """Two data centres with a reader each were cut off from each other.
 
-    Each had a reader. Two that go on cost twice as many calls for nothing.
+    After that, two readers would make twice as many calls for nothing.
     """
     world = reading_world()
     notify_read(world, sender='~after-all-others')
@@ -88,10 +88,10 @@
 
 
 def test_reader_that_yields_during_a_read_does_not_resume():
-    """The store is slow, and two readers hear of each other all the while.
+    """The store is slow, and two readers hear of each other.
 
-    The answer to the last read of the one that steps back is still on its way.
-    Taken for a look that others wait for, it would make it a reader again.
+    The last read of the one that yields is still in progress. Taken for a read
+    that others wait for, its answer would make that instance a reader again.
     """
     world = reading_world()
     world.relay.sharing.engines.note_read_asked(world.now)
@@ -102,7 +102,7 @@
 
 
 def test_reader_that_is_refused_leaves_it_to_another():
-    """The store turns the reader away and serves all others."""
+    """The store refuses the reader and serves all others."""
     world = reading_world()
     sharing = world.relay.sharing
     sharing.engines.note_read_asked(world.now)
@@ -114,10 +114,10 @@
 
 
 def test_reader_whose_reads_take_long_leaves_it_to_another():
-    """The reader's own link is slow, and the others' links are not.
+    """The link of the reader is slow, and those of the others are not.
 
-    What it reads is too old to be passed on as the present state. If it went
-    on, it would read for nobody.
+    What it reads is too old to be announced as current, so that it would read
+    for no other instance.
     """
     world = reading_world()
     world.relay.sharing.engines.note_read_asked(world.now)
@@ -127,10 +127,10 @@
 
 
 def test_instances_that_start_together_announce_nothing():
-    """All instances lose power at once, and start within a moment.
+    """All instances lose power at once and start within a moment.
 
-    Each reads the whole list then. Passed on by each to all, that would be
-    hundreds of thousands of datagrams while the callers come back.
+    Each reads the whole list. Announced by each to all, that would be hundreds
+    of thousands of datagrams while callers reconnect.
     """
     world = relay_world.RelayWorld()
     for number in range(40):
@@ -141,11 +141,10 @@
 
 
 def test_followers_read_soon_after_the_reader_falls_silent():
-    """The instance that reads for all is killed.
+    """The reader is killed.
 
-    An engine that leaves next must get no more work within two seconds, so the
-    others have to look for themselves well before they take the reader for
-    dead.
+    An engine that leaves must get no more work after two seconds, so the
+    others have to read well before they consider the reader dead.
     """
     world = world_with_reader()
     notify_read(world)
@@ -157,8 +156,8 @@
 def test_changes_reach_followers():
     """An engine starts to leave.
 
-    Who only hears of it must send it nothing more, just like the one who has
-    read it.
+    An instance that only receives the hint must send it nothing more, like the
+    instance that has read the list.
     """
     reader = reading_world()
     leaving = relay_world.engine(
@@ -177,10 +176,10 @@
 
 
 def test_one_lost_answer_does_not_delay_the_next_read():
-    """The reader is dead, and the store loses one answer.
+    """The reader is dead, and one answer of the store is lost.
 
-    The next look has to come while the bound on engines that leave still
-    holds, so only failures after that one make it rarer.
+    The next read has to meet the bound on engines that leave, so only failures
+    after the first one space the reads out.
     """
     world = world_with_reader()
     notify_read(world)
@@ -199,7 +198,7 @@
 
 
 def test_newer_list_is_read_at_once_after_failures():
-    """The store was away, and a neighbour has just read it again."""
+    """The store was unavailable, and another instance has just read it."""
     world = world_with_reader()
     notify_read(world)
     world.advance(1.45)
@@ -212,10 +211,10 @@
 
 
 def test_follower_that_reads_a_newer_list_announces_nothing():
-    """All neighbours hear at once that their lists are old.
+    """All followers learn at once that their lists are old, and read.
 
-    Each of them reads the store. Told by each to each, that would be some
-    hundreds of datagrams for one lost one.
+    Announced by each to all, that would be hundreds of datagrams for one that
+    was lost.
     """
     world = world_with_reader()
     notify_read(world, digest=12345)
@@ -226,9 +225,9 @@
 
 
 def test_lost_change_is_noticed_by_its_digest():
-    """A datagram is lost, and with it the word that an engine leaves.
+    """The datagram is lost that announces that an engine leaves.
 
-    The next word of the reader shows that something is missing.
+    The next notification of the reader shows that something is missing.
     """
     world = world_with_reader()
     notify_read(world, digest=12345)
@@ -236,7 +235,7 @@
 
 
 def test_higher_version_is_fetched():
-    """The configuration is too large for a datagram; its version is not."""
+    """A configuration is too large for a datagram; its version is not."""
     world = world_with_reader()
     notify_read(world, version=world.relay.route_table.version + 1)
     assert world.relay.sharing.is_configuration_read_due(world.now)
@@ -245,8 +244,7 @@
 def test_engine_renewals_are_not_announced():
     """Every engine renews its entry each second.
 
-    Passed on, that would be more traffic than the calls to the store that are
-    saved.
+    Announcing that would be more traffic than the saved calls to the store.
     """
     world = reading_world()
     before = len(announced_hints(world))
@@ -257,11 +255,11 @@
 
 
 def test_lagging_peer_does_not_delay_the_read_of_a_newer_version():
-    """Two instances nearby read the store, and one of them is turned away.
+    """Two instances read the store, and the store refuses one of them.
 
-    The first has told of a new version, and the second goes on telling of the
-    old one. Taken for the newest word, it would have keys that were added
-    refused for as long as the store turns that one away.
+    One announces a new version, and the other keeps announcing the old one. If
+    the latest hint counted, callers with added keys would be refused as long
+    as the store refuses that instance.
     """
     world = world_with_reader()
     notify_read(world)
@@ -272,19 +270,18 @@
 
 
 def read_notifications(world):
-    """Return what was told of whole reads of the store."""
+    """Return the read notifications that were sent."""
     return [
         h for h in announced_hints(world) if isinstance(h, hints.StoreRead)
     ]
 
 
 def test_slow_read_is_not_announced_as_current():
-    """The reader's link is slow, and a read of the list takes 1.5 seconds.
+    """The link of the reader is slow, and a read takes 1.5 seconds.
 
-    What it has read is that old. Neighbours that took its word for news of
-    this moment would wait another while before they look themselves, and give
-    work to an engine that left when the answer was on its way. What is new in
-    the answer they are told all the same.
+    Its result is that old. Followers that took it for current would delay
+    their own reads, and give work to an engine that has left meanwhile.
+    Changes in the answer are announced all the same.
     """
     reader = reading_world()
     leaving = relay_world.engine(
@@ -304,9 +301,8 @@
 def test_reader_without_configuration_reads_announces_no_version():
     """The reader reads the list of engines, but not the configuration.
 
-    Its neighbours must not take the version that it has for the newest: they
-    would go on by keys and routes that are no longer valid for as long as its
-    calls for the configuration fail.
+    Followers that took its version for the newest would keep using withdrawn
+    keys and routes as long as its calls for the configuration fail.
     """
     reader = reading_world()
     reader.relay.sharing.configuration.note_read_asked(reader.now)
--- a/tests/relay/test_successors.py
+++ b/tests/relay/test_successors.py
@@ -1,4 +1,4 @@
-"""Engines that restart while the list of engines can't be had."""
+"""Engines that restart while the list of engines cannot be read."""
 
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import events as relay_events
@@ -8,7 +8,7 @@
 
 
 def lose_a_stream(world):
-    """Let an engine crash in the middle of a stream; return its entry."""
+    """Have an engine crash during a stream; return its entry."""
     exchange = world.ask()
     send = world.last_send(exchange)
     world.begin(send)
@@ -22,10 +22,10 @@
 
 
 def test_restarted_engine_is_used_before_the_list_tells_of_it():
-    """Engines crash and restart while the store is down for seconds.
+    """Engines crash and restart during an outage of the store.
 
-    They live under new identities that nobody can look up, so that the rest of
-    the fleet is swamped although they idle.
+    Their new identities cannot be looked up, so that the other engines would
+    be overloaded while these idle.
     """
     world = relay_world.RelayWorld()
     dead = lose_a_stream(world)
@@ -56,7 +56,7 @@
 
 
 def test_address_is_not_asked_if_the_list_shows_the_successor():
-    """Each question is priced; the list usually is as quick."""
+    """Each question has a cost; the list usually is as fast."""
     world = relay_world.RelayWorld()
     dead = lose_a_stream(world)
     world.change_engines(
@@ -69,7 +69,7 @@
 
 
 def test_peers_learn_of_a_successor_without_asking():
-    """One instance sees who took an engine's place, and all can use it."""
+    """One instance finds the successor, and all can use it."""
     world = relay_world.RelayWorld()
     old = relay_world.fleet()[0]
     world.handle(
@@ -80,13 +80,13 @@
     )
 
 
-# How long after an engine was last heard it is lost in these tests: its
-# address may be another service's by then. In seconds.
+# Engines are lost this long after their last sign of life: their address may
+# belong to another service by then.
 ADDRESS_REUSED_SECONDS = 5.0
 
 
 def is_successor_used(world, dead, **fields):
-    """Let an engine answer where one was lost; return whether it is used."""
+    """Have an engine answer for a lost one; return whether it is used."""
     world.handle(
         relay_events.SuccessorSeen(dead.engine, 'model-new', **fields)
     )
@@ -94,13 +94,13 @@
 
 
 def test_idle_engine_that_restarted_in_an_outage_is_found_again():
-    """An engine without a stream crashes and restarts while the store is away.
+    """An idle engine crashes and restarts during an outage of the store.
 
-    Nobody notices until the next prompt is refused there, long after its
-    address may have been given away. Three of nine engines were lost so for
-    eight seconds on a played day, and the prompts of all callers waited for
-    each other on the others. The one that answers says that it holds the
-    memory of a model, and no other service has such engines.
+    The crash is noticed when the next prompt is refused, long after the
+    address may have been reassigned. On a simulated day three of nine engines
+    were lost like this for eight seconds, and prompts queued up at the others.
+    The engine that answers states that it holds model memory, which only
+    engines of this service have.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
@@ -117,8 +117,8 @@
 def test_engine_lost_before_its_first_event_is_found_again():
     """An engine crashes while it reads its first prompt for a while.
 
-    When it was last heard says nothing of when it crashed. The store is away,
-    so that nothing but its address leads to the engine that comes back.
+    Its last sign of life does not show when it crashed. During an outage of
+    the store only its address leads to its successor.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
@@ -131,7 +131,7 @@
 
 
 def test_engine_without_model_memory_is_not_a_successor():
-    """The address of a lost engine has been given to a plain service."""
+    """The address of a lost engine was given to a plain service."""
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
     world.advance(ADDRESS_REUSED_SECONDS)
@@ -141,7 +141,7 @@
 
 
 def test_engine_of_one_of_two_model_services_is_not_taken_for_the_other():
-    """Two services have model engines, and one took the other's address."""
+    """Of two services with model engines, one took the other's address."""
     other = routes.Service('summaries', 240, relay_world.MODEL)
     known = relay_world.route_table(2)
     table = routes.RouteTable(
@@ -162,10 +162,10 @@
 
 
 def test_asking_an_address_ends():
-    """An engine is lost for good while the store is away.
+    """An engine is lost for good during an outage of the store.
 
-    Questions are paid for, and one that is not back after ten seconds is not
-    expected any more.
+    Questions have a cost, and an engine is not expected back after ten
+    seconds.
     """
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
@@ -179,7 +179,7 @@
 
 
 def test_asking_ends_when_the_list_is_read_again():
-    """With the store, the list tells of whoever has started anew."""
+    """With the store available, the list shows restarted engines."""
     world = relay_world.RelayWorld()
     world.handle(relay_events.StoreLost('away'))
     world.advance(ADDRESS_REUSED_SECONDS)
