--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -201,9 +201,9 @@
     def set_retry_requester(
         self, account: str, now: float, *, urgent: bool = False
     ) -> None:
-        """Request permits for a request that has had an upstream before.
+        """Set the requester to a request that has had an upstream before.
 
-        It waits at most ``RETRY_PERMIT_WAIT_SECONDS``.
+        It waits for a permit at most ``RETRY_PERMIT_WAIT_SECONDS``.
         """
         self.requester = PermitRequester(
             account, now + RETRY_PERMIT_WAIT_SECONDS, urgent
