--- a/src/greengagelb/coordination/relay/crashing.py
+++ b/src/greengagelb/coordination/relay/crashing_requests.py
@@ -1,10 +1,9 @@
-"""Carries out the verdicts on relayed requests that crash engines.
+"""Enforces the verdicts on relayed requests that crash engines.
 
-What must not run any more is refused when it comes and taken off the engines
-that are still reading its prompt. All instances have to know, also those that
-a datagram missed, that were cut off or that start later: heartbeats show
-whether others know the same, and the store keeps the verdicts over an end of
-all instances.
+A blocked request is refused on arrival, and removed from the engines that
+still read its prompt. All instances have to know, including those that missed
+a datagram, were cut off or start later: heartbeats carry a digest of what is
+known, and the store keeps the verdicts when all instances end.
 """
 
 from greengagelb.coordination import actions
@@ -18,16 +17,16 @@
 from greengagelb.state.relay import exchanges
 from greengagelb.state.relay import routes
 
-RETELL_TIMER = 'relay-retell-crash'
-# A crash is told again after so many seconds, counted from when it was found.
-# In a large fleet heartbeats, which repair what was lost, come seldom.
-RETELL_SECONDS = (0.4, 1.2)
+REANNOUNCE_TIMER = 'relay-retell-crash'
+# A crash is announced again after these delays. Lost announcements are
+# otherwise repaired by heartbeats only, which are rare in a large fleet.
+REANNOUNCE_DELAYS_SECONDS = (0.4, 1.2)
 
 Action = relay_actions.RelayAction
 
 
 class CrashingRequests:
-    """Ends what must not run any more, and tells everybody."""
+    """Stops requests that must not run, and announces them."""
 
     def __init__(
         self,
@@ -44,76 +43,80 @@
         self.running = running
         self.watch = parts.crash_watch
 
-    # -- what is seen here --------------------------------------------------
-
-    def refused(
+    def refuse_if_blocked(
         self, exchange: exchanges.Exchange, now: float
     ) -> list[Action] | None:
-        """Return the answer to a request that must not run, else None."""
+        """Return the refusal of a blocked request, else None."""
         until = self.watch.records.blocked_until(exchange.fingerprint, now)
         if until is None:
             return None
         return [self.parts.answers.refuse_until(exchange, until, now)]
 
-    def checked(
+    def handle_engine_check(
         self, event: relay_events.EngineChecked, now: float
     ) -> list[Action]:
-        """Count a crash, tell the others, and let go on who waited."""
-        verdict = self.watch.checked(event, now)
-        if isinstance(verdict, actions.SetTimer):
-            return [verdict]
+        """Count a crash, announce it, and resume the held requests."""
+        result = self.watch.handle_check(event, now)
+        if isinstance(result, actions.SetTimer):
+            return [result]
         done: list[Action] = []
-        for fingerprint in verdict.counted:
+        for fingerprint in result.counted_fingerprints:
             report = self.watch.records.build_report(fingerprint, now)
             self.parts.send_table.pending_hints.append(report)
-            done.append(told_crash(report, event))
-            done += self.retell_later(fingerprint, now)
+            done.append(crash_record(report, event))
+            done += self.schedule_reannouncements(fingerprint, now)
             if self.watch.records.is_blocked(fingerprint, now):
                 done.append(relay_actions.StoreCrashReport(report))
-                done += self.block(fingerprint, now)
-        for number, sent in verdict.held:
-            done += self.go_on(number, sent, now)
+                done += self.stop_blocked(fingerprint, now)
+        for number, sent in result.held_runs:
+            done += self.resume_held(number, sent, now)
         return done
 
-    def retell_later(self, fingerprint: str, now: float) -> list[Action]:
-        """Return the timers that tell of a crash again."""
+    def schedule_reannouncements(
+        self, fingerprint: str, now: float
+    ) -> list[Action]:
+        """Return the timers of the repeated announcements of a crash."""
         return [
-            actions.SetTimer(f'{RETELL_TIMER}:{number} {fingerprint}', at)
-            for number, at in enumerate(now + s for s in RETELL_SECONDS)
+            actions.SetTimer(f'{REANNOUNCE_TIMER}:{number} {fingerprint}', at)
+            for number, at in enumerate(
+                now + s for s in REANNOUNCE_DELAYS_SECONDS
+            )
         ]
 
-    def retell(self, rest: str, now: float) -> list[Action]:
-        """Tell the others once more what is known of a request."""
-        fingerprint = rest.partition(' ')[2]
+    def reannounce(self, timer_suffix: str, now: float) -> list[Action]:
+        """Announce once more what is known of a request."""
+        fingerprint = timer_suffix.partition(' ')[2]
         if fingerprint in self.watch.records.histories:
             report = self.watch.records.build_report(fingerprint, now)
             self.parts.send_table.pending_hints.append(report)
         return []
 
-    def go_on(
+    def resume_held(
         self, number: int, sent: exchanges.Sent, now: float
     ) -> list[Action]:
-        """Go on with a request that waited, if its caller is still there."""
+        """Continue a request that was held, if its caller still waits."""
         exchange = self.running.get(number)
         if exchange is None or exchange.sends:
             return []
-        if self.watch.holds(exchange, sent, now):
+        if self.watch.hold_until_checked(exchange, sent, now):
             return []
         if exchange.ruling.route.repeat is routes.Repeat.STREAM:
             return self.streams.start_replacement(exchange, sent, now)
         return self.calls.send_to_next_engine(exchange, now, 'engines-failed')
 
-    def block(self, fingerprint: str, now: float) -> list[Action]:
-        """Stop what runs of a request that must not run any more.
+    def stop_blocked(self, fingerprint: str, now: float) -> list[Action]:
+        """Stop the running sends of a request that was blocked.
 
-        A stream that brings events is left alone: it may show that the
+        A stream that has delivered events is not stopped: it may show that the
         request does no harm.
         """
-        why = f'fingerprint {fingerprint}'
-        done: list[Action] = [actions.Record('request-blocked', why)]
+        reason = f'fingerprint {fingerprint}'
+        done: list[Action] = [actions.Record('request-blocked', reason)]
         for exchange in list(self.running.values()):
-            begun = any(sent.events_seen for sent in exchange.sends.values())
-            if exchange.fingerprint != fingerprint or begun:
+            has_events = any(
+                sent.events_seen for sent in exchange.sends.values()
+            )
+            if exchange.fingerprint != fingerprint or has_events:
                 continue
             if exchange.sends:
                 exchange.may_have_run = True
@@ -124,58 +127,60 @@
                 )
         return done
 
-    # -- what others know ---------------------------------------------------
-
-    def told(
+    def apply_report(
         self, report: crash_state.CrashReport, now: float
     ) -> list[Action]:
-        """Take in what another instance or the store knows of a request."""
+        """Apply what another instance or the store knows of a request."""
         if not self.watch.records.merge_report(report, now):
             return []
-        return self.block(report.fingerprint, now)
+        return self.stop_blocked(report.fingerprint, now)
 
-    def heard(self, incarnation: str, digest: int, now: float) -> list[Action]:
-        """Ask an instance for what it knows, if that is something else."""
-        if not self.watch.differs(digest, now):
+    def compare_digest(
+        self, incarnation: str, digest: int, now: float
+    ) -> list[Action]:
+        """Ask an instance for its reports if its digest differs."""
+        if not self.watch.should_query_peer(digest, now):
             return []
         return [relay_actions.TellPeer(incarnation, crash_state.Wanted())]
 
-    def wanted(self, incarnation: str, now: float) -> list[Action]:
-        """Tell an instance what is known here."""
+    def send_reports(self, incarnation: str, now: float) -> list[Action]:
+        """Send an instance the reports known here."""
         return [
             relay_actions.TellPeer(incarnation, report)
-            for report in self.watch.reports(now)
+            for report in self.watch.known_reports(now)
         ]
 
-    def listed(
+    def apply_stored(
         self, reports: tuple[crash_state.CrashReport, ...], now: float
     ) -> list[Action]:
-        """Take in what the store keeps; the reader puts it in order.
+        """Apply the reports in the store; the reader corrects the store.
 
-        A write may have failed, and what the store has written it may lose.
+        A write may have failed, and the store may lose what was written.
         """
         done: list[Action] = []
         for report in reports:
-            done += self.told(report, now)
+            done += self.apply_report(report, now)
         if not self.sharing.reads_for_all:
             return done
-        kept = {report.fingerprint for report in reports}
+        stored = {report.fingerprint for report in reports}
         blocked = set(self.watch.records.blocked_fingerprints(now))
-        for fingerprint in sorted(blocked - kept):
+        for fingerprint in sorted(blocked - stored):
             report = self.watch.records.build_report(fingerprint, now)
             done.append(relay_actions.StoreCrashReport(report))
-        for fingerprint in sorted(kept - blocked):
+        for fingerprint in sorted(stored - blocked):
             done.append(relay_actions.DeleteCrashReport(fingerprint))
         return done
 
 
-def told_crash(
+def crash_record(
     report: crash_state.CrashReport, event: relay_events.EngineChecked
 ) -> actions.Record:
-    """Return the time line event of a crash that counts."""
-    last = report.crashes[-1]
-    why = (
+    """Return the time line event of a counted crash."""
+    latest = report.crashes[-1]
+    reason = (
         f'fingerprint {report.fingerprint}, {len(report.crashes)} crashes, '
-        f'the last after {last.seconds:.3f} s'
+        f'the last after {latest.seconds:.3f} s'
+    )
+    return actions.Record(
+        'engine-crashed', reason, upstream=event.entry.engine
     )
-    return actions.Record('engine-crashed', why, upstream=event.entry.engine)
--- a/src/greengagelb/coordination/relay/fleet.py
+++ b/src/greengagelb/coordination/relay/fleet.py
@@ -1,4 +1,4 @@
-"""The other instances, as far as their loads and the shared budget go."""
+"""The other instances, as counted for engine loads and the shared budget."""
 
 from collections.abc import Collection
 import random
@@ -6,38 +6,41 @@
 from greengagelb.coordination.relay import loads
 from greengagelb.state.relay import hints
 
-# How often an instance tells the others that it is there, in seconds, and
-# how many of them at most it hears from in a second. In a large fleet each
-# one tells less often, so that what an instance hears does not grow with it.
+# The interval of heartbeats, and the most of them that an instance receives in
+# a second. In a large fleet each instance sends fewer, so that the received
+# number does not grow with the fleet.
 HEARTBEAT_SECONDS = 2.0
-MOST_HEARTBEATS_HEARD = 40.0
-# By which part the time between two heartbeats differs both ways. Instances
-# start together, and what a heartbeat repairs would wait for all of them.
-HEARTBEAT_SPREAD = 0.25
-# An instance that has missed so many heartbeats is not counted as loading
-# engines any more; the connections of its runs are gone by then.
-MISSED_HEARTBEATS = 3.0
-# Runs of which no end is heard are forgotten after so many seconds, the
-# longest time limit in use: a hint may be lost.
-MOST_RUN_SECONDS = 30.0
+MAX_HEARTBEATS_RECEIVED_PER_SECOND = 40.0
+# The interval varies by this share both ways. Instances start together, and
+# repairs made by a heartbeat would otherwise wait for all of them at once.
+HEARTBEAT_JITTER = 0.25
+# After this many missed heartbeats an instance no longer counts as loading
+# engines; the connections of its runs are closed by then.
+MAX_MISSED_HEARTBEATS = 3.0
+# The hint of the end of a run may be lost. A run is forgotten after the
+# longest time limit in use.
+MAX_RUN_SECONDS = 30.0
 
 
 class FleetView:
-    """Who else is there, and what they have put on engines.
+    """The other instances, and their runs on engines.
+
+    ``is_list_known`` tells that the list of instances was read.
+    ``present_incarnations`` are those that were listed, or heard since, and
+    have not stopped. ``heard_at`` and ``placed_at`` are monotonic times in
+    seconds.
 
     Invariant: each run of another instance that is counted in ``loads`` has
     its time in ``placed_at``.
-
-    ``listed`` tells that the list of instances was read here.
-    ``present`` are the incarnations that the list of instances has or that
-    were heard since, without those that have stopped.
     """
 
-    def __init__(self, run_loads: loads.RunLoads, own: str) -> None:
+    def __init__(
+        self, run_loads: loads.RunLoads, own_incarnation: str
+    ) -> None:
         self.loads = run_loads
-        self.own = own
-        self.listed = False
-        self.present: set[str] = set()
+        self.own_incarnation = own_incarnation
+        self.is_list_known = False
+        self.present_incarnations: set[str] = set()
         self.heard_at: dict[str, float] = {}
         self.placed_at: dict[tuple[str, int], float] = {}
 
@@ -45,53 +48,62 @@
     def size(self) -> int:
         """Return how many instances there may be, this one included.
 
-        Those that are silent count too: they may be cut off from this one
-        only, and use their part of the budget.
+        Silent instances are included: they may be cut off from this one only,
+        and use their share of the budget.
         """
-        return 1 + len(self.present | self.heard_at.keys())
+        return 1 + len(self.present_incarnations | self.heard_at.keys())
 
     @property
     def rank(self) -> int:
-        """Return this instance's place among all, from 0."""
-        return sum(name < self.own for name in self.present)
+        """Return the position of this instance among all, from 0."""
+        return sum(
+            name < self.own_incarnation for name in self.present_incarnations
+        )
 
     @property
     def heartbeat_seconds(self) -> float:
-        """Return how often this instance tells that it is there."""
-        return max(HEARTBEAT_SECONDS, self.size / MOST_HEARTBEATS_HEARD)
+        """Return the mean time between heartbeats of this instance."""
+        return max(
+            HEARTBEAT_SECONDS, self.size / MAX_HEARTBEATS_RECEIVED_PER_SECOND
+        )
 
-    def next_beat(self, now: float, rng: random.Random) -> float:
-        """Return when this instance is to tell again that it is there."""
-        spread = rng.uniform(1.0 - HEARTBEAT_SPREAD, 1.0 + HEARTBEAT_SPREAD)
+    def next_heartbeat_at(self, now: float, rng: random.Random) -> float:
+        """Return when this instance has to send its next heartbeat."""
+        spread = rng.uniform(1.0 - HEARTBEAT_JITTER, 1.0 + HEARTBEAT_JITTER)
         return now + spread * self.heartbeat_seconds
 
-    def take_list(self, members: tuple[hints.Member, ...]) -> None:
-        """Take in the list of the other instances."""
-        self.listed = True
-        self.present = {member.incarnation for member in members}
+    def apply_list(self, members: tuple[hints.Member, ...]) -> None:
+        """Apply the list of the other instances."""
+        self.is_list_known = True
+        self.present_incarnations = {member.incarnation for member in members}
 
-    def all_heard(self, life: str) -> Collection[str]:
-        """Return the instances that are heard, whatever the life."""
+    def reachable_instances(self, life: str) -> Collection[str]:
+        """Return the instances that are heard, for any life of an engine."""
         return self.heard_at.keys()
 
-    def heard(self, incarnation: str, now: float) -> None:
-        """Note that an instance lives."""
+    def note_alive(self, incarnation: str, now: float) -> None:
+        """Note that an instance is alive."""
         self.heard_at[incarnation] = now
 
-    def greeted(self, incarnation: str, now: float) -> None:
-        """Note that an instance says that it is there."""
-        self.present.add(incarnation)
-        self.heard(incarnation, now)
+    def note_heartbeat(self, incarnation: str, now: float) -> None:
+        """Note the heartbeat of an instance."""
+        self.present_incarnations.add(incarnation)
+        self.note_alive(incarnation, now)
 
-    def left(self, incarnation: str, now: float) -> list[str]:
-        """Forget an instance that has stopped, with its runs."""
-        self.present.discard(incarnation)
+    def remove_instance(self, incarnation: str, now: float) -> list[str]:
+        """Forget an instance that has stopped, and its runs.
+
+        Returns the instances that were forgotten.
+        """
+        self.present_incarnations.discard(incarnation)
         known = self.heard_at.pop(incarnation, None) is not None
-        return ([incarnation] if known else []) + self.tidy(now)
+        return ([incarnation] if known else []) + self.forget_silent(now)
 
-    def placed(self, incarnation: str, hint: hints.Placed, now: float) -> bool:
-        """Count a run of another instance; return whether it is a new one."""
-        self.heard(incarnation, now)
+    def add_peer_run(
+        self, incarnation: str, hint: hints.Placed, now: float
+    ) -> bool:
+        """Count a run of another instance; return whether it is new."""
+        self.note_alive(incarnation, now)
         key = (incarnation, hint.number)
         is_new = key not in self.placed_at
         self.placed_at[key] = now
@@ -103,31 +115,31 @@
             hint.part,
             hint.attempt,
         )
-        self.loads.began(key, run, now)
+        self.loads.add_run(key, run, now)
         return is_new
 
-    def ended(self, incarnation: str, hint: hints.Ended) -> None:
-        """Count a run of another instance no longer."""
+    def end_peer_run(self, incarnation: str, hint: hints.Ended) -> None:
+        """Stop counting a run of another instance."""
         key = (incarnation, hint.number)
         self.placed_at.pop(key, None)
-        self.loads.ended(key)
+        self.loads.remove_run(key)
 
-    def tidy(self, now: float) -> list[str]:
-        """Forget instances that have fallen silent, and runs without end.
+    def forget_silent(self, now: float) -> list[str]:
+        """Forget instances that have fallen silent, and runs that never ended.
 
         Returns the instances that were forgotten.
         """
-        missed = MISSED_HEARTBEATS * self.heartbeat_seconds
-        silent_ones = [
+        max_silence_seconds = MAX_MISSED_HEARTBEATS * self.heartbeat_seconds
+        silent_instances = [
             incarnation
             for incarnation, at in self.heard_at.items()
-            if now > at + missed
+            if now > at + max_silence_seconds
         ]
-        for incarnation in silent_ones:
+        for incarnation in silent_instances:
             del self.heard_at[incarnation]
         for key, at in list(self.placed_at.items()):
             silent = key[0] not in self.heard_at
-            if silent or now > at + MOST_RUN_SECONDS:
+            if silent or now > at + MAX_RUN_SECONDS:
                 del self.placed_at[key]
-                self.loads.ended(key)
-        return silent_ones
+                self.loads.remove_run(key)
+        return silent_instances
--- a/src/greengagelb/coordination/relay/held_sends.py
+++ b/src/greengagelb/coordination/relay/held_sends.py
@@ -1,4 +1,4 @@
-"""Sends that wait for a permit, as their engine has named a limit."""
+"""Sends that wait for a permit, as their engine has a rate limit."""
 
 import dataclasses
 
@@ -6,48 +6,48 @@
 from greengagelb.state.relay import engine_states
 from greengagelb.state.relay import exchanges
 
-# A request waits for this part of its goal for a permit of an engine with a
-# limit. The rest suffices for a whole call, or to read a usual prompt.
-PERMIT_SHARE = 0.5
+# The share of its latency goal that a request may wait for a permit. The rest
+# suffices for a whole call, or to read a usual prompt.
+PERMIT_WAIT_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallTry:
-    """A call, to be refused with ``code`` if no engine takes it."""
+class CallAttempt:
+    """A call, refused with ``code`` if no engine accepts it."""
 
     code: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SecondTry:
-    """A call that is sent to a second engine beside the first."""
+class HedgedCall:
+    """A call that is sent to a second engine while the first still runs."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamStart:
-    """A stream whose prompt is to be read, refused with ``code`` if not."""
+    """A stream whose prompt must be read, refused with ``code`` otherwise."""
 
     code: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamFromCopy:
-    """A stream that goes on from the copy of a run that was given up.
+    """A stream that resumes from the copy of an abandoned run.
 
-    ``patience`` is the time in seconds in which an engine would read its
-    prompt: to wait for longer would be worse than to start afresh.
+    ``max_wait_seconds`` is the time in which an engine would read the prompt:
+    after a longer wait it would be faster to read it again.
     """
 
     lost: exchanges.Sent
-    patience: float
+    max_wait_seconds: float
 
 
-Step = CallTry | SecondTry | StreamStart | StreamFromCopy
+Step = CallAttempt | HedgedCall | StreamStart | StreamFromCopy
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
-    """A send of an exchange that waits for a permit of an engine's life."""
+class HeldSend:
+    """A send of an exchange that waits for a permit of an engine life."""
 
     exchange: int
     engine: str
@@ -58,36 +58,36 @@
 class HeldSends:
     """All sends that wait, by the number of their permit.
 
-    Invariant: each one in ``waiting`` will have exactly one outcome.
+    Invariant: each send in ``waiting`` has exactly one outcome.
     """
 
     def __init__(self, keeper: limit_keeper.LimitKeeper) -> None:
         self.keeper = keeper
-        self.waiting: dict[int, Held] = {}
+        self.waiting: dict[int, HeldSend] = {}
 
-    def needed(self, state: engine_states.EngineState) -> bool:
-        """Return whether an engine gets requests by permits only."""
+    def needs_permit(self, state: engine_states.EngineState) -> bool:
+        """Return whether requests to an engine need permits."""
         return self.keeper.is_limited(state.entry.life)
 
-    def hold(
+    def hold_for_permit(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
         step: Step,
         now: float,
     ) -> None:
-        """Ask for the permit of a send, which waits while it makes sense."""
+        """Request the permit of a send, with a deadline for the wait."""
         life = state.entry.life
         urgent = exchange.begun
-        patience = PERMIT_SHARE * exchange.ruling.route.goal
+        max_wait_seconds = PERMIT_WAIT_SHARE * exchange.ruling.route.goal
         if isinstance(step, StreamFromCopy):
             urgent = True
-            patience = step.patience
-        deadline = min(now + patience, exchange.ruling.deadline)
+            max_wait_seconds = step.max_wait_seconds
+        deadline = min(now + max_wait_seconds, exchange.ruling.deadline)
         account = exchange.ruling.account
         number = self.keeper.request_permit(
             life, account, deadline, now, urgent=urgent
         )
-        self.waiting[number] = Held(
+        self.waiting[number] = HeldSend(
             exchange.number, state.entry.engine, life, step
         )
--- a/src/greengagelb/coordination/relay/limited.py
+++ b/src/greengagelb/coordination/relay/limited_sends.py
@@ -1,4 +1,4 @@
-"""Goes on with sends that have waited for a permit of a limited engine."""
+"""Continues sends that waited for a permit of a rate-limited engine."""
 
 import dataclasses
 
@@ -15,14 +15,14 @@
 from greengagelb.state.relay import exchanges
 
 LIMITS_TIMER = 'relay-limits'
-# How often limits of lives that are over are looked for, in seconds.
-TIDY_SECONDS = 1.0
+# How often limits of past lives are removed.
+CLEANUP_INTERVAL_SECONDS = 1.0
 
 Action = relay_actions.RelayAction
 
 
 class LimitedSends:
-    """What this instance does about limits, between keeper and requests."""
+    """Connects the limit keeper with the requests that wait for permits."""
 
     def __init__(
         self,
@@ -37,18 +37,16 @@
         self.calls = call_relay
         self.streams = stream_relay
         self.running = running
-        self.timer_at = float('inf')
-        self.tidy_at = float('-inf')
+        self.timer_set_for = float('inf')
+        self.next_cleanup_at = float('-inf')
 
-    # -- other instances ----------------------------------------------------
-
-    def hear(
+    def handle_message(
         self, incarnation: str, message: limits.Message, now: float
     ) -> list[Action]:
-        """Take in a message of another instance."""
+        """Handle a message about limits of another instance."""
         match message:
             case limits.LimitNews(life):
-                if not self.is_current(life, now):
+                if not self.is_current_life(life, now):
                     return []
                 if not self.keeper.merge_news(message, now):
                     return []
@@ -56,60 +54,62 @@
                     f'{limit_table.describe_limit(message)}, '
                     f'from {incarnation}'
                 )
-                engine = self.parts.engines.of_life(life).entry.engine
+                engine = self.parts.engines.find_by_life(life).entry.engine
                 return [actions.Record('engine-limit', why, upstream=engine)]
         self.keeper.handle_message(incarnation, message, now)
         return []
 
-    def is_current(self, life: str, now: float) -> bool:
-        """Return whether an engine is known in this life, and in use."""
-        state = self.parts.engines.of_life(life)
+    def is_current_life(self, life: str, now: float) -> bool:
+        """Return whether a life is the known one of an engine in use."""
+        state = self.parts.engines.find_by_life(life)
         if state is None:
             return False
-        return self.parts.engines.is_used(state.entry.engine, now)
+        return self.parts.engines.is_in_use(state.entry.engine, now)
 
-    # -- after each event ---------------------------------------------------
+    def finish_event(self, done: list[Action], now: float) -> list[Action]:
+        """Do what follows from an event and from the actions it led to.
 
-    def settle(self, done: list[Action], now: float) -> list[Action]:
-        """Do what follows from an event, and from what it led to."""
+        Counts checks sent to limited engines, continues sends that got an
+        answer on their permit, and sends the messages of the keeper.
+        """
         keeper = self.keeper
         if keeper.table.known_limits:
-            self.count_questions(done, now)
-            self.tidy(now)
+            self.count_engine_checks(done, now)
+            self.forget_past_lives(now)
         more: list[Action] = []
         while keeper.outcomes:
-            more += self.go_on(keeper.outcomes.pop(0), now)
+            more += self.handle_outcome(keeper.outcomes.pop(0), now)
         for outgoing in keeper.outgoing:
-            told = relay_actions.TellPeers(outgoing.message)
+            notice = relay_actions.TellPeers(outgoing.message)
             if outgoing.receiver:
-                told = relay_actions.TellPeer(
+                notice = relay_actions.TellPeer(
                     outgoing.receiver, outgoing.message
                 )
-            more.append(told)
+            more.append(notice)
         keeper.outgoing.clear()
         return more + self.set_timer(now)
 
     def set_timer(self, now: float) -> list[Action]:
-        """Return the timer that has the keeper do what is due."""
+        """Return the timer of the keeper's next due work, if it changed."""
         if not self.keeper.schedule_changed:
             return []
         self.keeper.schedule_changed = False
         due_at = self.keeper.next_due_at(now)
-        if due_at == self.timer_at:
+        if due_at == self.timer_set_for:
             return []
-        self.timer_at = due_at
+        self.timer_set_for = due_at
         if due_at == float('inf'):
             return [actions.ClearTimer(LIMITS_TIMER)]
         return [actions.SetTimer(LIMITS_TIMER, due_at)]
 
-    def due(self, now: float) -> list[Action]:
-        """Have the keeper do what it is time for."""
-        self.timer_at = float('inf')
+    def run_due_work(self, now: float) -> list[Action]:
+        """Have the keeper do what is due."""
+        self.timer_set_for = float('inf')
         self.keeper.run_due(now)
         return []
 
-    def count_questions(self, done: list[Action], now: float) -> None:
-        """Count what goes to an engine beside requests of callers."""
+    def count_engine_checks(self, done: list[Action], now: float) -> None:
+        """Count requests to an engine that no caller has made."""
         for action in done:
             match action:
                 case (
@@ -119,97 +119,95 @@
                 ) if self.keeper.is_limited(entry.life):
                     self.keeper.count_unpermitted(entry.life, 1, now)
 
-    def tidy(self, now: float) -> None:
-        """Forget limits of lives that are over."""
-        if now < self.tidy_at:
+    def forget_past_lives(self, now: float) -> None:
+        """Forget the limits of past lives."""
+        if now < self.next_cleanup_at:
             return
-        self.tidy_at = now + TIDY_SECONDS
+        self.next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
         for life in list(self.keeper.table.known_limits):
-            if not self.is_current(life, now):
+            if not self.is_current_life(life, now):
                 self.keeper.forget_life(life)
 
-    # -- outcomes -----------------------------------------------------------
-
-    def go_on(
+    def handle_outcome(
         self,
         outcome: limit_keeper.Granted | limit_keeper.Denied,
         now: float,
     ) -> list[Action]:
-        """Send what may be sent now, or find another engine for it."""
+        """Send a request that has its permit, or choose another engine."""
         held = self.waiting.pop(outcome.number, None)
         if held is None:
             return []
         exchange = self.running.get(held.exchange)
         match outcome:
             case limit_keeper.Granted():
-                done = self.granted(held, exchange, now)
+                done = self.send_granted(held, exchange, now)
                 if not any(is_sent_to(held.life, action) for action in done):
                     self.keeper.return_permit(held.life, outcome, now)
                 return done
             case limit_keeper.Denied() if exchange is not None:
-                why = self.why(held, outcome, now)
-                told = sending.record(exchange, None, 'permit-denied', why)
-                told = dataclasses.replace(told, upstream=held.engine)
-                return [told, *self.elsewhere(held, exchange, now)]
+                why = self.denial_reason(held, outcome, now)
+                notice = sending.record(exchange, None, 'permit-denied', why)
+                notice = dataclasses.replace(notice, upstream=held.engine)
+                return [notice, *self.send_elsewhere(held, exchange, now)]
         return []
 
-    def granted(
+    def send_granted(
         self,
-        held: held_sends.Held,
+        held: held_sends.HeldSend,
         exchange: exchanges.Exchange | None,
         now: float,
     ) -> list[Action]:
         """Make a send that has its permit, if its caller still waits."""
         if exchange is None:
             return []
-        state = self.still_wanted(held, exchange)
+        state = self.find_target(held, exchange)
         if state is None:
-            return self.elsewhere(held, exchange, now)
+            return self.send_elsewhere(held, exchange, now)
         return self.send(held, exchange, state, now)
 
-    def still_wanted(
-        self, held: held_sends.Held, exchange: exchanges.Exchange
+    def find_target(
+        self, held: held_sends.HeldSend, exchange: exchanges.Exchange
     ) -> engine_states.EngineState | None:
-        """Return the engine of a send, if it is still to be made there."""
+        """Return the engine of a send, if the send is still to be made."""
         state = self.parts.engines.states.get(held.engine)
         if state is None:
             return None
         if state.entry.life != held.life or state.leaving or state.replaced:
             return None
-        second = isinstance(held.step, held_sends.SecondTry)
-        if len(exchange.sends) != int(second):
+        is_hedge = isinstance(held.step, held_sends.HedgedCall)
+        if len(exchange.sends) != int(is_hedge):
             return None
         return state
 
     def send(
         self,
-        held: held_sends.Held,
+        held: held_sends.HeldSend,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
         now: float,
     ) -> list[Action]:
         """Make a send that has its permit."""
         match held.step:
-            case held_sends.CallTry(code):
+            case held_sends.CallAttempt(code):
                 return self.calls.send_to_engine(exchange, state, code, now)
-            case held_sends.SecondTry():
+            case held_sends.HedgedCall():
                 return self.calls.send_hedge(exchange, state, now)
             case held_sends.StreamStart(code):
                 return self.streams.start_on_engine(exchange, state, code, now)
             case held_sends.StreamFromCopy(lost=lost):
                 return self.streams.resume_from_copy(exchange, lost, now)
 
-    def elsewhere(
+    def send_elsewhere(
         self,
-        held: held_sends.Held,
+        held: held_sends.HeldSend,
         exchange: exchanges.Exchange,
         now: float,
     ) -> list[Action]:
-        """Choose again for a send that has no permit, if it needs one."""
+        """Choose an engine again for a send without a permit, if needed."""
         if exchange.sends:
             return []
         match held.step:
-            case held_sends.CallTry(code):
+            case held_sends.CallAttempt(code):
                 return self.calls.send_to_next_engine(exchange, now, code)
             case held_sends.StreamStart(code):
                 return self.streams.start_from_prompt(exchange, now, code)
@@ -218,15 +216,15 @@
                 return self.streams.start_from_prompt(exchange, now, code)
         return []
 
-    def why(
+    def denial_reason(
         self,
-        held: held_sends.Held,
+        held: held_sends.HeldSend,
         denied: limit_keeper.Denied,
         now: float,
     ) -> str:
-        """Return which limit stood in the way, its age and who had it."""
+        """Return which limit denied a permit, its age and its issuer."""
         known = self.keeper.table.known_limits.get(held.life)
-        limit = 'no limit any more'
+        limit = 'no limit known'
         if known is not None and known.rate is not None:
             age = now - known.known_at
             limit = f'limit {known.rate:g} known for {age:.1f} s'
@@ -238,7 +236,7 @@
 
 
 def is_sent_to(life: str, action: Action) -> bool:
-    """Return whether an action sends a request to an engine's life."""
+    """Return whether an action sends a request to a life of an engine."""
     match action:
         case relay_actions.Send(engine=entry):
             return entry.life == life
--- a/src/greengagelb/coordination/relay/store_eras.py
+++ b/src/greengagelb/coordination/relay/store_eras.py
@@ -1,22 +1,22 @@
-"""Tells an answer of a store that came back from a copy from a late answer.
+"""Distinguishes a store restored from a copy from a late answer.
 
-Both state another era than the one that is known. A higher one is news. A
-lower one, or none, is an answer from before, on a connection that stood still;
-believed, it would bring back what is gone. But if nothing else comes for some
-time, it is the store that speaks.
+The answers of both state another era than the known one. A higher era is a
+restore. A lower one, or none, belongs to an old answer of a connection that
+was stalled; applying it would bring back removed entries. But if only such
+answers arrive for some time, the store itself has gone back to that era.
 """
 
 import enum
 
 from greengagelb.state.relay import positions
 
-# After so many seconds of nothing but answers of an earlier era that era is
-# believed. The longest answer in use takes ten seconds.
-DOUBT_SECONDS = 12.0
+# An earlier era is adopted once only answers of earlier eras have arrived for
+# this time. The longest answer in use takes ten seconds.
+EARLIER_ERA_DOUBT_SECONDS = 12.0
 
 
-class Verdict(enum.Enum):
-    """What an answer's era makes of it."""
+class EraVerdict(enum.Enum):
+    """What the era of an answer says about the answer."""
 
     CURRENT = 'current'
     RESTORED = 'restored'
@@ -24,43 +24,43 @@
 
 
 class StoreEras:
-    """The era of the store as this instance knows it.
+    """The era of the store as known to this instance.
 
-    ``doubted_at`` is when the first of the late answers came that nothing
-    current has followed. ``untold`` is whether the others may not know yet
-    that the store has come back from a copy.
+    ``earlier_era_since`` is the time of the first answer of an earlier era
+    since the last current one. ``restore_unannounced`` tells that the other
+    instances were not told of the latest restore yet.
     """
 
     def __init__(self) -> None:
         self.era = positions.NO_ERA
-        self.untold = False
-        self.doubted_at: float | None = None
+        self.restore_unannounced = False
+        self.earlier_era_since: float | None = None
 
-    def read(self, era: int, now: float) -> Verdict:
-        """Take in the era of an answer."""
+    def check_answer(self, era: int, now: float) -> EraVerdict:
+        """Classify an answer by its era, and adopt the era of a restore."""
         if era == self.era:
-            self.doubted_at = None
-            return Verdict.CURRENT
+            self.earlier_era_since = None
+            return EraVerdict.CURRENT
         if era > self.era:
-            return self.begin(era)
-        if self.doubted_at is None:
-            self.doubted_at = now
-        if now >= self.doubted_at + DOUBT_SECONDS:
-            return self.begin(era)
-        return Verdict.LATE
+            return self.adopt(era)
+        if self.earlier_era_since is None:
+            self.earlier_era_since = now
+        if now >= self.earlier_era_since + EARLIER_ERA_DOUBT_SECONDS:
+            return self.adopt(era)
+        return EraVerdict.LATE
 
-    def begin(self, era: int) -> Verdict:
-        """Go by another era; the first one that is known restores nothing."""
+    def adopt(self, era: int) -> EraVerdict:
+        """Adopt another era; the first known era is no restore."""
         is_first = self.era == positions.NO_ERA
         self.era = era
-        self.doubted_at = None
+        self.earlier_era_since = None
         if is_first:
-            return Verdict.CURRENT
-        self.untold = True
-        return Verdict.RESTORED
+            return EraVerdict.CURRENT
+        self.restore_unannounced = True
+        return EraVerdict.RESTORED
 
-    def heard(self, era: int) -> bool:
-        """Take in another instance's era; return whether it is news."""
+    def adopt_from_peer(self, era: int) -> bool:
+        """Adopt another instance's era; return whether it is a restore."""
         if era <= self.era:
             return False
-        return self.begin(era) is Verdict.RESTORED
+        return self.adopt(era) is EraVerdict.RESTORED
--- a/tests/relay/test_retry_budget.py
+++ b/tests/relay/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The budget of repeats that all instances share."""
+"""The retry budget that all instances share."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
 
 from greengagelb.coordination import actions as common_actions
 from greengagelb.coordination.relay import actions as relay_actions
-from greengagelb.coordination.relay import budget
 from greengagelb.coordination.relay import events as relay_events
+from greengagelb.coordination.relay import shared_retry_budget
 from greengagelb.state.relay import hints
 from tests.common import relay_world
 
-# One second of one instance: its requests, and the repeats that it wants.
+# One second of an instance: its requests, and the repeats it asks for.
 SECONDS = st.tuples(st.integers(0, 9), st.integers(0, 60))
 
 
@@ -24,14 +24,16 @@
     )
 )
 def test_all_instances_together_keep_to_the_shared_bound(instances):
-    """A data centre of engines dies; all repeat what they had there.
+    """A data centre of engines fails; all instances repeat their requests.
 
-    Together they would finish off the engines that are left.
+    Unbounded, the repeats would overload the remaining engines.
     """
     bounds = relay_world.RETRIES
-    budgets = [budget.SharedRetryBudget(bounds) for _ in instances]
+    budgets = [
+        shared_retry_budget.SharedRetryBudget(bounds) for _ in instances
+    ]
     for one in budgets:
-        one.resize(len(instances))
+        one.set_fleet_size(len(instances))
     requests = [0] * 25
     repeats = [0] * 25
     for second in range(25):
@@ -41,7 +43,7 @@
                 one.count_request('s', float(second))
             requests[second] += asked
             repeats[second] += sum(
-                one.spend('s', float(second)) for _ in range(wanted)
+                one.try_spend('s', float(second)) for _ in range(wanted)
             )
     for start in range(25 - 10):
         window = slice(start, start + 10)
@@ -50,28 +52,29 @@
 
 
 def test_instance_that_knows_no_others_takes_little():
-    """Many instances start at once while the store is away.
+    """Many instances start at once while the store is unavailable.
 
-    Each of them taking the whole budget would multiply it by their number.
+    If each took the whole budget, it would be multiplied by their number.
     """
-    one = budget.SharedRetryBudget(relay_world.RETRIES)
-    taken = sum(one.spend('s', 1.0) for _ in range(100))
+    one = shared_retry_budget.SharedRetryBudget(relay_world.RETRIES)
+    taken = sum(one.try_spend('s', 1.0) for _ in range(100))
     assert 1 <= taken <= 3
 
 
-# The larger fleets: about as many instances, and requests of streams that each
-# of them has in ten seconds.
-MANY = 90
+# The larger fleets have about this many instances, and each of them this many
+# requests of streams in ten seconds.
+FLEET_SIZE = 90
 REQUESTS_EACH = 5
 
 
-def fleet_of_budgets(number=MANY):
-    """Return the budgets of a fleet that has served for a window."""
+def fleet_of_budgets(number=FLEET_SIZE):
+    """Return the budgets of a fleet that has served for one window."""
     budgets = [
-        budget.SharedRetryBudget(relay_world.RETRIES) for _ in range(number)
+        shared_retry_budget.SharedRetryBudget(relay_world.RETRIES)
+        for _ in range(number)
     ]
     for one in budgets:
-        one.resize(number, number)
+        one.set_fleet_size(number, number)
     for one in budgets:
         for _ in range(REQUESTS_EACH):
             request(budgets, one)
@@ -79,80 +82,81 @@
 
 
 def request(budgets, one, now=1.0):
-    """Count a request at one instance, and tell the others."""
+    """Count a request at one instance, and announce it to the others."""
     one.count_request('s', now)
     for other in budgets:
         if other is not one:
-            other.told('s', now, repeat=False)
+            other.count_peer_send('s', now, repeat=False)
 
 
 def repeat(budgets, one, now=1.0):
-    """Have one instance ask for a repeat, and tell the others of it."""
-    if not one.spend('s', now, all_told=True):
+    """Have one instance ask for a repeat, and announce it to the others."""
+    if not one.try_spend('s', now, announced=True):
         return False
     for other in budgets:
         if other is not one:
-            other.told('s', now, repeat=True)
+            other.count_peer_send('s', now, repeat=True)
     return True
 
 
-def test_instance_that_is_hit_hard_may_use_what_the_others_leave():
-    """Engines die, and most of their streams are those of one instance.
+def test_instance_may_use_the_allowance_that_others_leave():
+    """Engines fail whose streams mostly belong to one instance.
 
-    A ninetieth of the budget is five repeats in ten seconds. On played days of
-    larger fleets one stream in ten was broken off for want of it, while all
-    instances together used less than half of what they may.
+    A ninetieth of the budget is five repeats in ten seconds. Limited to it,
+    larger simulated fleets broke off one stream in ten, while all instances
+    together used less than half of the bound.
     """
     budgets = fleet_of_budgets()
     assert all(repeat(budgets, budgets[0]) for _ in range(15))
 
 
 def test_all_together_keep_to_the_bound_whoever_uses_it():
-    """One instance takes what it can get, and then so does each other one."""
+    """Each instance in turn takes as many repeats as it can get."""
     budgets = fleet_of_budgets()
     taken = sum(repeat(budgets, one) for one in budgets for _ in range(1_000))
     bounds = relay_world.RETRIES
-    assert taken <= bounds.ratio * MANY * REQUESTS_EACH + bounds.slack
+    assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
 
 
-def test_parts_that_do_not_hear_each_other_keep_to_the_bound():
-    """The data centres are cut off from each other, and engines die in each.
+def test_partitioned_fleet_keeps_to_the_bound():
+    """The data centres are cut off from each other; engines fail in each.
 
-    Those who hear less than all of them must not take all of the budget.
+    Instances that hear only a part of the fleet must not take the whole
+    budget.
     """
-    parts = [fleet_of_budgets(MANY // 3) for _ in range(3)]
+    parts = [fleet_of_budgets(FLEET_SIZE // 3) for _ in range(3)]
     taken = 0
     for budgets in parts:
         for one in budgets:
-            one.resize(MANY, MANY // 3)
+            one.set_fleet_size(FLEET_SIZE, FLEET_SIZE // 3)
         taken += sum(
             repeat(budgets, one) for one in budgets for _ in range(1_000)
         )
     bounds = relay_world.RETRIES
-    assert taken <= bounds.ratio * MANY * REQUESTS_EACH + bounds.slack
+    assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
 
 
-def test_repeats_that_nobody_tells_of_keep_to_the_own_part():
-    """Short calls are not told of, as there are too many of them."""
+def test_unannounced_repeats_keep_to_the_own_allowance():
+    """Short calls are not announced, as there are too many of them."""
     budgets = fleet_of_budgets()
-    taken = sum(budgets[0].spend('s', 1.0) for _ in range(100))
+    taken = sum(budgets[0].try_spend('s', 1.0) for _ in range(100))
     assert taken <= relay_world.RETRIES.ratio * REQUESTS_EACH + 2
 
 
-def test_run_that_is_told_of_twice_counts_once():
-    """An instance tells again of a run when its copy is placed elsewhere."""
+def test_run_announced_twice_counts_once():
+    """An instance announces a run again when its copy is moved."""
     world = relay_world.RelayWorld()
     placed = hints.Placed(7, 'model-north-0', 6_000, 0, '', attempt=2)
     for copy_to in ('', 'model-south-0'):
         hint = dataclasses.replace(placed, copy_to=copy_to)
         world.handle(relay_events.PeerTold('one', hint))
     window = world.relay.budget.window(relay_world.STREAMS, world.now)
-    assert len(window.others_repeats) == 1
-    assert not window.others_requests
+    assert len(window.peer_repeats) == 1
+    assert not window.peer_requests
 
 
-def attempts_told(world):
-    """Return what the others were told of each send."""
+def announced_attempts(world):
+    """Return the attempt number that was announced with each send."""
     return [
         action.hint.attempt
         for action in world.of_kind(relay_actions.TellPeers)
@@ -164,31 +168,31 @@
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.lose(world.last_send(exchange))
-    assert attempts_told(world) == [1, 2]
+    assert announced_attempts(world) == [1, 2]
 
 
-def test_send_that_never_left_is_neither_request_nor_repeat():
-    """A data centre is cut off, and each of its connections fails to open.
+def test_unconnected_send_is_neither_request_nor_repeat():
+    """A data centre is cut off, and no connection to it can be opened.
 
-    Told of as repeats they would use up the budget of all instances; told of
-    as requests they would enlarge it.
+    Announced as repeats, such sends would use up the budget of all instances;
+    announced as requests they would enlarge it.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.lose(world.last_send(exchange), handed_over=False)
-    assert attempts_told(world) == [1, 0]
+    assert announced_attempts(world) == [1, 0]
 
 
-def test_log_tells_that_a_stream_was_cut_for_want_of_a_repeat():
-    """A caller's stream ends in the middle although engines are free.
+def test_timeline_shows_that_the_retry_budget_ended_a_stream():
+    """A stream is broken off although engines are free.
 
-    Who looks up its request finds that nothing was tried, and must find why.
+    The time line of the request must show why no other engine was tried.
     """
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.begin(world.last_send(exchange))
     world.events(world.last_send(exchange), 1)
-    while world.relay.budget.spend(relay_world.STREAMS, world.now):
+    while world.relay.budget.try_spend(relay_world.STREAMS, world.now):
         pass
     world.lose(world.last_send(exchange))
     reasons = [
