--- a/measure/in_force.py
+++ b/measure/in_force.py
@@ -37,7 +37,7 @@
         figures = relay_metrics.RelayMetrics()
         sample = metrics.Sample(identity=metrics.Identity('a', 'north'))
         figures.sample = lambda: sample
-        return figures.render_relay(opened=0)
+        return figures.render_relay(connections_opened=0)
 
 
 async def look(reactor: interfaces.IReactorCore, instances: int) -> None:
--- a/src/greengagelb/platform/store.py
+++ b/src/greengagelb/platform/store.py
@@ -14,8 +14,8 @@
 from greengagelb.state.relay import positions
 from greengagelb.transport.relay import http1
 from greengagelb.transport.relay import http_client
-from greengagelb.transport.relay import questions
 from greengagelb.transport.relay import store_watch
+from greengagelb.transport.relay import timed_requests
 from greengagelb.transport.relay import unusable_entries
 
 OPERATORS_TABLE = 'op'
@@ -63,7 +63,7 @@
         self.pool = pool
         self.address = address
 
-    def move_to(self, address: engines.Address) -> None:
+    def use_address(self, address: engines.Address) -> None:
         """Ask at another address from now on."""
         self.address = address
 
@@ -101,15 +101,15 @@
         :class:`~greengagelb.errors.AnswerTooLong`.
         """
         asked: defer.Deferred = defer.Deferred()
-        question = questions.Question(
+        question = timed_requests.TimedRequest(
             f'store {self.address}',
             self.address,
             request,
             seconds,
             MOST_BYTES,
-            coming_seconds=coming_seconds,
+            receive_seconds=coming_seconds,
         )
-        questions.ask(self.pool, question, asked.callback)
+        timed_requests.send_timed_request(self.pool, question, asked.callback)
         return asked.addCallback(check_status)
 
     @defer.inlineCallbacks
@@ -196,13 +196,13 @@
         """Return the entries of all instances."""
         return self.read_all(MEMBERS_TABLE).addCallback(members_of)
 
-    def keep_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
+    def write_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
         """Write the crashes under a request."""
         key = CRASHES_PREFIX + kept.fingerprint
         row = rows.NewRow(MEMBERS_TABLE, '', key, rows.encode_value(kept))
         return self.write(rows.Change([], [row], []))
 
-    def drop_crashes(self, fingerprint: str) -> defer.Deferred:
+    def delete_crashes(self, fingerprint: str) -> defer.Deferred:
         """Remove the crashes under a request."""
         row = rows.RowName(MEMBERS_TABLE, '', CRASHES_PREFIX + fingerprint)
         return self.write(rows.Change([], [], [row]))
@@ -248,7 +248,7 @@
     return store_watch.MembersRead(tuple(members), told(mistakes), tuple(kept))
 
 
-def check_status(answer: questions.Answer) -> questions.Answer:
+def check_status(answer: timed_requests.Answer) -> timed_requests.Answer:
     """Return a good answer, or raise what is wrong with it."""
     if answer.too_long:
         raise errors.AnswerTooLong(answer.detail)
@@ -262,17 +262,17 @@
     return answer
 
 
-def read_rows(answer: questions.Answer) -> rows.Rows:
+def read_rows(answer: timed_requests.Answer) -> rows.Rows:
     """Return the rows in an answer, with the era in its head."""
     found = row_answers.read_rows(answer.body)
     found.era = read_era(answer)
     return found
 
 
-def read_era(answer: questions.Answer) -> int:
+def read_era(answer: timed_requests.Answer) -> int:
     """Return the era that an answer states, if it is a whole number."""
     fields = tuple(answer.response.headers.raw_items())
-    stated = http1.first_value(fields, ERA) or b''
+    stated = http1.first_header_value(fields, ERA) or b''
     if not stated.isdigit() or len(stated) > MOST_ERA_DIGITS:
         return positions.NO_ERA
     return int(stated)
--- a/src/greengagelb/platform/wire.py
+++ b/src/greengagelb/platform/wire.py
@@ -108,7 +108,7 @@
         fields = tuple(head.headers.raw_items())
         kept = tuple(
             (name, value)
-            for name, value in http1.passed_on(fields)
+            for name, value in http1.select_end_to_end_headers(fields)
             if name.lower() not in NOT_PASSED_ON
         )
         left = read_number(fields, TIME_LEFT)
@@ -157,24 +157,24 @@
             request.method, request.target, tuple(headers), request.body
         )
 
-    def read_answer(self, response: h11.Response) -> requests.AnswerHead:
+    def read_answer_head(self, response: h11.Response) -> requests.AnswerHead:
         """Return the head of an engine's answer."""
         fields = tuple(response.headers.raw_items())
         status = response.status_code
-        engine = http1.first_value(fields, ENGINE.lower()) or b''
+        engine = http1.first_header_value(fields, ENGINE.lower()) or b''
         return requests.AnswerHead(
             status,
             bytes(response.reason),
-            http1.passed_on(fields),
-            http1.first_value(fields, SIGNATURE.lower()) is not None,
+            http1.select_end_to_end_headers(fields),
+            http1.first_header_value(fields, SIGNATURE.lower()) is not None,
             status == WRONG_ENGINE
-            or http1.first_value(fields, NOT_RUN.lower()) is not None,
-            read_load(http1.first_value(fields, LOAD.lower())),
+            or http1.first_header_value(fields, NOT_RUN.lower()) is not None,
+            read_load(http1.first_header_value(fields, LOAD.lower())),
             engine.decode('latin-1'),
             limit_header.read_limit(values(fields, LIMIT)),
         )
 
-    def answers(
+    def is_answer_to(
         self, response: h11.Response, send: relay_actions.Send
     ) -> bool:
         """Return whether an answer is the one to a send.
@@ -182,7 +182,7 @@
         Refusals may come without the id of what they refuse.
         """
         fields = tuple(response.headers.raw_items())
-        echoed = http1.first_value(fields, REQUEST_ID.lower())
+        echoed = http1.first_header_value(fields, REQUEST_ID.lower())
         if echoed is None:
             return response.status_code >= 400
         return echoed == send.request.request_id.encode('latin-1')
@@ -194,7 +194,7 @@
         host = (b'Host', str(engine.address).encode())
         return http_client.WireRequest(b'GET', PROBE_TARGET, (host,))
 
-    def read_start(self, status: int, body: bytes) -> int:
+    def read_started_at_ms(self, status: int, body: bytes) -> int:
         """Return when an engine that was probed says that it was started."""
         return read_report(status, body).born
 
@@ -203,7 +203,7 @@
         report = read_report(status, body)
         return report.kv_total > 0 and report.state != rows.DRAINING
 
-    def write_copy(
+    def write_copy_request(
         self, copy: relay_actions.CopyRun
     ) -> http_client.WireRequest:
         """Return the order to copy a run's memory."""
@@ -216,7 +216,7 @@
         )
         return http_client.WireRequest(b'POST', COPY_TARGET, headers, body)
 
-    def read_copy(self, status: int, body: bytes) -> str:
+    def read_copy_handle(self, status: int, body: bytes) -> str:
         """Return the handle in the answer to such an order, or ''."""
         if status != 200:
             return ''
@@ -225,7 +225,7 @@
         except (msgspec.DecodeError, UnicodeDecodeError):
             return ''
 
-    def write_question(
+    def write_identity_request(
         self, engine: engines.EngineEntry, path: str
     ) -> http_client.WireRequest:
         """Return a request whose answer names the engine that answers.
@@ -237,7 +237,7 @@
         expected = (EXPECTED_ENGINE, engine.engine.encode())
         return http_client.WireRequest(b'GET', path.encode(), (host, expected))
 
-    def event_number(self, raw: bytes) -> int:
+    def read_event_number(self, raw: bytes) -> int:
         """Return the number of an event of a stream."""
         for line in raw.split(b'\n'):
             name, _, value = line.partition(b':')
--- a/src/greengagelb/transport/relay/dialect.py
+++ b/src/greengagelb/transport/relay/dialect.py
@@ -31,10 +31,10 @@
     ) -> http_client.WireRequest:
         """Return a request as its engine gets it."""
 
-    def read_answer(self, response: h11.Response) -> requests.AnswerHead:
+    def read_answer_head(self, response: h11.Response) -> requests.AnswerHead:
         """Return the head of an engine's answer."""
 
-    def answers(
+    def is_answer_to(
         self, response: h11.Response, send: relay_actions.Send
     ) -> bool:
         """Return whether an answer is the one to a send."""
@@ -47,7 +47,7 @@
         It needs no free slot, so that a busy engine answers too.
         """
 
-    def read_start(self, status: int, body: bytes) -> int:
+    def read_started_at_ms(self, status: int, body: bytes) -> int:
         """Return when an engine that was probed says that it was started.
 
         In Unix milliseconds; ``UNKNOWN_START`` where it does not say.
@@ -56,20 +56,20 @@
     def read_has_model_memory(self, status: int, body: bytes) -> bool:
         """Return whether what was probed is a model engine, and stays one."""
 
-    def write_copy(
+    def write_copy_request(
         self, copy: relay_actions.CopyRun
     ) -> http_client.WireRequest:
         """Return the order to copy a run's memory."""
 
-    def read_copy(self, status: int, body: bytes) -> str:
+    def read_copy_handle(self, status: int, body: bytes) -> str:
         """Return the handle in the answer to such an order, or ''."""
 
-    def write_question(
+    def write_identity_request(
         self, engine: engines.EngineEntry, path: str
     ) -> http_client.WireRequest:
         """Return a request whose answer names the engine that answers."""
 
-    def event_number(self, raw: bytes) -> int:
+    def read_event_number(self, raw: bytes) -> int:
         """Return the number of an event of a stream.
 
         Raises :class:`~greengagelb.errors.ProtocolError` if it has none.
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -12,9 +12,9 @@
 from greengagelb.transport.relay import dialect
 from greengagelb.transport.relay import event_stream
 from greengagelb.transport.relay import http_client
-from greengagelb.transport.relay import questions
+from greengagelb.transport.relay import timed_requests
 
-MOST_ANSWER_BYTES = 32 << 20
+MAX_ANSWER_BYTES = 32 << 20
 # An engine that lives answers a probe in a few milliseconds, and within this
 # many seconds also where a packet was lost on the way.
 PROBE_SECONDS = 0.3
@@ -35,84 +35,86 @@
         self.side = side
         self.send = send
         self.head: requests.AnswerHead | None = None
-        self.cutter: event_stream.EventCutter | None = None
+        self.splitter: event_stream.EventSplitter | None = None
         self.body: list[bytes] = []
-        self.size = 0
+        self.body_bytes = 0
 
-    def answer_began(self, response: h11.Response) -> None:
+    def answer_started(self, response: h11.Response) -> None:
         """Check whose answer it is before anything of it is used.
 
         A late second answer to an earlier request looks just like the answer
         to this one, but for the id that it echoes.
         """
         dialect = self.side.dialect
-        if not dialect.answers(response, self.send):
-            self.spoiled('answer to another request')
+        if not dialect.is_answer_to(response, self.send):
+            self.reject_answer('answer to another request')
             return
-        self.head = dialect.read_answer(response)
+        self.head = dialect.read_answer_head(response)
         if self.send.stream and self.head.succeeded:
-            self.cutter = event_stream.EventCutter(dialect.event_number)
-            self.report(
+            self.splitter = event_stream.EventSplitter(
+                dialect.read_event_number
+            )
+            self.dispatch_event(
                 relay_events.AnswerStarted(
                     self.send.exchange, self.send.send, self.head
                 )
             )
 
-    def answer_moved(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Report whole events of a stream; gather any other body."""
-        if self.cutter is None:
-            self.gather(data)
+        if self.splitter is None:
+            self.append_body(data)
             return
         try:
-            events = self.cutter.feed(data)
+            events = self.splitter.add_bytes(data)
         except errors.ProtocolError as exc:
-            self.spoiled(str(exc))
+            self.reject_answer(str(exc))
             return
         if events:
-            self.report(
+            self.dispatch_event(
                 relay_events.StreamProgressed(
                     self.send.exchange, self.send.send, events
                 )
             )
 
-    def gather(self, data: bytes) -> None:
+    def append_body(self, data: bytes) -> None:
         """Keep a part of a body, within a bound."""
-        self.size += len(data)
-        if self.size > MOST_ANSWER_BYTES:
-            self.spoiled('answer too large')
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_ANSWER_BYTES:
+            self.reject_answer('answer too large')
             return
         self.body.append(data)
 
-    def answer_complete(self) -> None:
+    def answer_completed(self) -> None:
         """Report the end of a whole answer."""
         exchange, send = self.send.exchange, self.send.send
-        self.side.forget(self.send)
-        if self.cutter is None:
+        self.side.forget_send(self.send)
+        if self.splitter is None:
             body = b''.join(self.body)
-            self.report(
+            self.dispatch_event(
                 relay_events.AnswerComplete(exchange, send, self.head, body)
             )
             return
-        if self.cutter.rest:
-            self.answer_broken(True, 'ends within an event')
+        if self.splitter.remainder:
+            self.answer_failed(True, 'ends within an event')
             return
-        self.report(relay_events.StreamComplete(exchange, send))
+        self.dispatch_event(relay_events.StreamComplete(exchange, send))
 
-    def answer_broken(self, handed_over: bool, detail: str) -> None:
+    def answer_failed(self, handed_over: bool, detail: str) -> None:
         """Report that there will be no whole answer."""
-        self.side.forget(self.send)
-        self.report(
+        self.side.forget_send(self.send)
+        self.dispatch_event(
             relay_events.SendFailed(
                 self.send.exchange, self.send.send, handed_over, detail
             )
         )
 
-    def spoiled(self, detail: str) -> None:
+    def reject_answer(self, detail: str) -> None:
         """Close the connection: what comes on it can't be trusted."""
-        self.side.abandon(self.send.exchange, self.send.send)
-        self.answer_broken(True, detail)
+        self.side.abandon_send(self.send.exchange, self.send.send)
+        self.answer_failed(True, detail)
 
-    def report(self, event: relay_events.RelayEvent) -> None:
+    def dispatch_event(self, event: relay_events.RelayEvent) -> None:
         """Hand an event to the decisions."""
         self.side.dispatch(event)
 
@@ -123,15 +125,17 @@
     def __init__(
         self,
         pool: http_client.ConnectionPool,
-        wire: dialect.Dialect,
+        wire_dialect: dialect.Dialect,
         dispatch: Dispatch,
     ) -> None:
         self.pool = pool
-        self.dialect = wire
+        self.dialect = wire_dialect
         self.dispatch = dispatch
-        self.under_way: dict[tuple[int, int], http_client.Pending] = {}
+        self.pending_sends: dict[
+            tuple[int, int], http_client.PendingRequest
+        ] = {}
 
-    def send(self, send: relay_actions.Send) -> None:
+    def send_request(self, send: relay_actions.Send) -> None:
         """Send a request to an engine."""
         seconds = self.pool.reactor.seconds
         key = (send.exchange, send.send)
@@ -142,65 +146,67 @@
             EngineAnswer(self, send),
             fresh=send.fresh,
         )
-        if not pending.over:
-            self.under_way[key] = pending
+        if not pending.is_finished:
+            self.pending_sends[key] = pending
 
-    def ask(
+    def query_engine(
         self,
         entry: engines.EngineEntry,
         request: http_client.WireRequest,
         seconds: float,
-        done: Callable[[questions.Answer], None],
+        done: Callable[[timed_requests.Answer], None],
         fresh: bool = False,
     ) -> None:
         """Ask an engine something of our own, for some seconds at most."""
-        question = questions.Question(
+        timed_request = timed_requests.TimedRequest(
             entry.life, entry.address, request, seconds, fresh=fresh
         )
-        questions.ask(self.pool, question, done)
+        timed_requests.send_timed_request(self.pool, timed_request, done)
 
-    def probe(self, probe: relay_actions.ProbeEngine) -> None:
+    def probe_engine(self, probe: relay_actions.ProbeEngine) -> None:
         """Ask an engine for a sign of life; any answer is one."""
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             self.dispatch(
                 relay_events.EngineProbed(
                     probe.exchange,
                     probe.send,
                     answer.response is not None,
-                    self.start_in(answer),
+                    self.read_probed_start_ms(answer),
                 )
             )
 
         request = self.dialect.write_probe(probe.engine)
-        self.ask(probe.engine, request, PROBE_SECONDS, done)
+        self.query_engine(probe.engine, request, PROBE_SECONDS, done)
 
-    def start_in(self, answer: questions.Answer) -> int:
+    def read_probed_start_ms(self, answer: timed_requests.Answer) -> int:
         """Return when the engine that answered a probe was started."""
         if answer.response is None:
             return engines.UNKNOWN_START
         status = answer.response.status_code
-        return self.dialect.read_start(status, answer.body)
+        return self.dialect.read_started_at_ms(status, answer.body)
 
-    def check(self, check: relay_actions.CheckEngine) -> None:
+    def check_engine(self, check: relay_actions.CheckEngine) -> None:
         """Ask whether an engine has ended, on a new connection."""
         entry = check.entry
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             fate = relay_events.EngineFate.ALIVE
-            if answer.refused or entry.ended_before(self.start_in(answer)):
+            if answer.connection_refused or entry.ended_before(
+                self.read_probed_start_ms(answer)
+            ):
                 fate = relay_events.EngineFate.ENDED
             elif answer.response is None:
                 fate = relay_events.EngineFate.UNKNOWN
             self.dispatch(relay_events.EngineChecked(entry, fate))
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
     def copy_run(self, copy: relay_actions.CopyRun) -> None:
         """Have an engine copy a run's memory to another one."""
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             response = answer.response
             status = response.status_code if response is not None else 0
             self.dispatch(
@@ -208,12 +214,12 @@
                     copy.exchange,
                     copy.send,
                     copy.target.engine,
-                    self.dialect.read_copy(status, answer.body),
+                    self.dialect.read_copy_handle(status, answer.body),
                 )
             )
 
-        request = self.dialect.write_copy(copy)
-        self.ask(copy.source, request, COPY_SECONDS, done)
+        request = self.dialect.write_copy_request(copy)
+        self.query_engine(copy.source, request, COPY_SECONDS, done)
 
     def ask_successor(self, question: relay_actions.AskSuccessor) -> None:
         """Ask who answers at an engine's address, on a new connection.
@@ -223,28 +229,30 @@
         """
         entry = question.entry
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             found = ''
             if answer.response is not None:
-                found = self.dialect.read_answer(answer.response).engine
+                found = self.dialect.read_answer_head(answer.response).engine
             if found == entry.engine:
-                self.ask_start(entry)
+                self.ask_for_start(entry)
             elif found and question.may_be_another_service:
-                self.ask_memory(entry, found)
+                self.ask_for_model_memory(entry, found)
             else:
                 self.dispatch(relay_events.SuccessorSeen(entry.engine, found))
 
-        request = self.dialect.write_question(entry, question.path)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        request = self.dialect.write_identity_request(entry, question.path)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def ask_memory(self, entry: engines.EngineEntry, found: str) -> None:
+    def ask_for_model_memory(
+        self, entry: engines.EngineEntry, found: str
+    ) -> None:
         """Ask whoever is at an address whether it is a model engine.
 
         Addresses change hands after seconds, so this is the one that has
         just named itself there.
         """
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             has_memory = (
                 answer.response is not None
                 and self.dialect.read_has_model_memory(
@@ -258,26 +266,26 @@
             )
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def ask_start(self, entry: engines.EngineEntry) -> None:
+    def ask_for_start(self, entry: engines.EngineEntry) -> None:
         """Ask an engine when it was started."""
 
-        def done(answer: questions.Answer) -> None:
-            start = self.start_in(answer)
+        def done(answer: timed_requests.Answer) -> None:
+            start = self.read_probed_start_ms(answer)
             self.dispatch(
                 relay_events.SuccessorSeen(entry.engine, entry.engine, start)
             )
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def abandon(self, exchange: int, send: int) -> None:
+    def abandon_send(self, exchange: int, send: int) -> None:
         """Close the connection of a send."""
-        pending = self.under_way.pop((exchange, send), None)
+        pending = self.pending_sends.pop((exchange, send), None)
         if pending is not None:
             pending.abandon()
 
-    def forget(self, send: relay_actions.Send) -> None:
+    def forget_send(self, send: relay_actions.Send) -> None:
         """Drop a send that is over."""
-        self.under_way.pop((send.exchange, send.send), None)
+        self.pending_sends.pop((send.exchange, send.send), None)
--- a/src/greengagelb/transport/relay/http1.py
+++ b/src/greengagelb/transport/relay/http1.py
@@ -28,23 +28,25 @@
 # A peer that vanished without a word is noticed after the first figure plus
 # the second times the third, in seconds, on any connection.
 KEEPALIVE_IDLE_SECONDS = 2
-KEEPALIVE_GAP_SECONDS = 1
+KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 3
 
 
-def passed_on(raw: requests.Headers) -> requests.Headers:
+def select_end_to_end_headers(raw: requests.Headers) -> requests.Headers:
     """Return the header fields that do not concern one connection only.
 
     Names keep their case. What a ``Connection`` field names goes too.
     """
-    named = set(HOP_BY_HOP)
+    connection_headers = set(HOP_BY_HOP)
     for name, value in raw:
         if name.lower() == b'connection':
-            named.update(v.strip().lower() for v in value.split(b','))
-    return tuple((n, v) for n, v in raw if n.lower() not in named)
+            connection_headers.update(
+                v.strip().lower() for v in value.split(b',')
+            )
+    return tuple((n, v) for n, v in raw if n.lower() not in connection_headers)
 
 
-def first_value(headers: requests.Headers, name: bytes) -> bytes | None:
+def first_header_value(headers: requests.Headers, name: bytes) -> bytes | None:
     """Return the first value of a field; ``name`` is in lower case."""
     for found, value in headers:
         if found.lower() == name:
@@ -52,14 +54,14 @@
     return None
 
 
-def prepare(transport: interfaces.ITCPTransport) -> None:
+def configure_socket(transport: interfaces.ITCPTransport) -> None:
     """Have a connection send at once, and notice a peer that vanished."""
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
-    handle = transport.getHandle()
+    sock = transport.getHandle()
     for option, value in (
         (socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS),
-        (socket.TCP_KEEPINTVL, KEEPALIVE_GAP_SECONDS),
+        (socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS),
         (socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
-        handle.setsockopt(socket.IPPROTO_TCP, option, value)
+        sock.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -33,24 +33,24 @@
 from greengagelb.transport.relay import relay_metrics
 from greengagelb.transport.relay import store_watch
 
-PULSE_SECONDS = 0.1
-PAUSE_SECONDS = 0.25
-SWEEP_SECONDS = 1.0
+PAUSE_CHECK_SECONDS = 0.1
+MIN_REPORTED_PAUSE_SECONDS = 0.25
+IDLE_SWEEP_SECONDS = 1.0
 # The balancer sends new callers for up to three seconds after an instance
 # has said that it is not ready; they are still served. In seconds.
-LEAVE_SECONDS = 3.5
+READINESS_LAG_SECONDS = 3.5
 # What is still under way so long before the platform kills the process is
 # broken off, so that the callers learn of it. In seconds.
-LAST_SECONDS = 0.4
+ABORT_MARGIN_SECONDS = 0.4
 # So long before the platform kills the process it no longer waits for the
 # store, and no longer for callers who are slow to read. The second figure is
 # what a process of half a core needs to end. In seconds.
-STORE_LAST_SECONDS = 0.25
-END_LAST_SECONDS = 0.15
+STORE_MARGIN_SECONDS = 0.25
+END_MARGIN_SECONDS = 0.15
 STOP_POLL_SECONDS = 0.1
 
 
-def store_too_slow(result: object, seconds: float) -> object:
+def raise_store_timeout(result: object, seconds: float) -> object:
     """Turn the end of a wait for the store into an error of ours."""
     raise errors.PlatformUnavailable(f'no answer within {seconds:.3f} s')
 
@@ -62,17 +62,19 @@
         self,
         reactor: interfaces.IReactorCore,
         settings: relay_settings.RelaySettings,
-        wire: dialect.Dialect,
-        source_of: Callable[[http_client.ConnectionPool], store_watch.Source],
+        wire_dialect: dialect.Dialect,
+        make_store_client: Callable[
+            [http_client.ConnectionPool], store_watch.StoreClient
+        ],
     ) -> None:
         self.reactor = reactor
         self.settings = settings
-        place = settings.instance
+        instance_settings = settings.instance
         self.own = hints.Member(
-            place.name,
+            instance_settings.name,
             secrets.token_hex(4),
-            place.caller_address.host,
-            place.data_centre,
+            instance_settings.caller_address.host,
+            instance_settings.data_centre,
         )
         self.relay = relay.Relay(
             random.Random(),
@@ -82,69 +84,77 @@
         )
         self.metrics = relay_metrics.RelayMetrics()
         self.recorder = recorder.Recorder(
-            place.name, place.timeline_events, self.metrics
+            instance_settings.name,
+            instance_settings.timeline_events,
+            self.metrics,
         )
-        self.metrics.sample = self.sample
+        self.metrics.sample = self.build_sample
         self.loop = decision_loop.DecisionLoop(
             reactor, self.relay, self.carry_out, self.recorder
         )
         self.pool = http_client.ConnectionPool(reactor)
         self.engines = engine_side.EngineSide(
-            self.pool, wire, self.loop.dispatch
+            self.pool, wire_dialect, self.loop.dispatch
         )
         self.callers = caller_side.CallerSide(
-            reactor, wire, self.loop.dispatch, self.limits, self.refused
+            reactor,
+            wire_dialect,
+            self.loop.dispatch,
+            self.current_limits,
+            self.record_refusal,
         )
         self.peers = peer_link.PeerLink(
             self.own,
-            place.peer_port,
+            instance_settings.peer_port,
             self.loop.dispatch,
-            self.bad_datagram,
+            self.record_bad_datagram,
             random.Random(),
         )
-        self.next_beat = reactor.seconds()
-        self.source = source_of(self.pool)
+        self.next_heartbeat_at = reactor.seconds()
+        self.store_client = make_store_client(self.pool)
         self.watch = store_watch.StoreWatch(
             reactor,
-            self.source,
+            self.store_client,
             self.loop.dispatch,
             self.recorder.record,
             self.own,
             self.relay.sharing,
-            self.peers.listed,
+            self.peers.update_peers,
         )
-        self.metrics.unusable = self.watch.unusable_counts
+        self.metrics.get_unusable_entries = self.watch.unusable_entries_by_list
         self.metrics.store_calls = self.watch.calls
-        self.last_pulse = reactor.seconds()
-        self.settings_since = reactor.seconds()
+        self.last_pause_check_at = reactor.seconds()
+        self.settings_applied_at = reactor.seconds()
         self.ports: list[interfaces.IListeningPort] = []
-        self.stop_by: float | None = None
+        self.abort_at: float | None = None
         self.kill_at = 0.0
-        self.leave_at = 0.0
+        self.serve_until = 0.0
         self.stopped: defer.Deferred = defer.Deferred()
 
     # -- life ---------------------------------------------------------------
 
     def start(self) -> None:
         """Open the ports and begin to follow the store."""
-        place = self.settings.instance
-        self.ports = [self.listen(place.caller_address, self.callers)]
+        instance_settings = self.settings.instance
+        self.ports = [
+            self.listen(instance_settings.caller_address, self.callers)
+        ]
         self.listen(
-            place.ready_address,
+            instance_settings.ready_address,
             pages.PageFactory(
                 lambda: pages.readiness_page(self.relay.is_ready)
             ),
         )
-        host = place.caller_address.host
+        host = instance_settings.caller_address.host
         self.listen(
-            engines.Address(host, place.metrics_port),
+            engines.Address(host, instance_settings.metrics_port),
             pages.PageFactory(self.metrics_page),
         )
-        self.loop.repeat(PULSE_SECONDS, self.pulse)
-        self.loop.repeat(SWEEP_SECONDS, self.pool.close_expired)
-        self.peers.open(self.reactor)
+        self.loop.repeat(PAUSE_CHECK_SECONDS, self.check_pause_and_heartbeat)
+        self.loop.repeat(IDLE_SWEEP_SECONDS, self.pool.close_expired)
+        self.peers.open_socket(self.reactor)
         self.watch.start()
-        self.recorder.record(actions.Record('started', place.name))
+        self.recorder.record(actions.Record('started', instance_settings.name))
 
     def listen(
         self, address: engines.Address, factory: protocol.ServerFactory
@@ -173,25 +183,27 @@
         former = self.settings
         self.settings = settings_changes.reloaded(former, new, effects)
         if self.settings != former:
-            self.settings_since = self.reactor.seconds()
+            self.settings_applied_at = self.reactor.seconds()
         self.relay.apply_bounds(self.settings.retries, self.settings.engines)
-        self.source.move_to(self.settings.store.address)
+        self.store_client.use_address(self.settings.store.address)
         why = settings_changes.summary(changes)
         self.recorder.record(actions.Record('settings-reloaded', why))
 
-    def sample(self) -> metrics.Sample:
+    def build_sample(self) -> metrics.Sample:
         """Return what a scrape shows of this instance's state."""
         table = self.relay.route_table
         now = self.reactor.seconds()
-        place = self.settings.instance
+        instance_settings = self.settings.instance
         store = self.relay.sharing.engines
         return metrics.Sample(
-            identity=metrics.Identity(place.name, place.data_centre),
-            stopping=self.stop_by is not None,
+            identity=metrics.Identity(
+                instance_settings.name, instance_settings.data_centre
+            ),
+            stopping=self.abort_at is not None,
             settings_digest=settings_changes.digest(
                 self.settings, settings_changes.RELAY_EFFECTS
             ),
-            settings_seconds=now - self.settings_since,
+            settings_seconds=now - self.settings_applied_at,
             engines=len(self.relay.engines.states),
             store_seconds=None
             if store.is_never_read
@@ -210,32 +222,32 @@
 
     def metrics_page(self) -> pages.Page:
         """Return the figures of this instance."""
-        body = self.metrics.render_relay(self.pool.opened)
-        return pages.Page(pages.READY, body)
+        body = self.metrics.render_relay(self.pool.connections_opened)
+        return pages.Page(pages.STATUS_OK, body)
 
-    def limits(self) -> routes.Limits:
+    def current_limits(self) -> routes.Limits:
         """Return the limits on callers that are in force."""
         table = self.relay.route_table
         return table.limits if table is not None else routes.Limits()
 
-    def refused(self, status: int, code: str) -> None:
+    def record_refusal(self, status: int, code: str) -> None:
         """Record a refusal that came before any decision."""
         self.recorder.record(actions.Record('refused', f'{status} {code}'))
 
-    def pulse(self) -> None:
+    def check_pause_and_heartbeat(self) -> None:
         """Notice when this process itself stood still."""
         now = self.reactor.seconds()
-        late = now - self.last_pulse - PULSE_SECONDS
-        self.last_pulse = now
-        if late > PAUSE_SECONDS:
+        late = now - self.last_pause_check_at - PAUSE_CHECK_SECONDS
+        self.last_pause_check_at = now
+        if late > MIN_REPORTED_PAUSE_SECONDS:
             self.loop.dispatch(events.PauseDetected(late))
-        if now >= self.next_beat and not self.relay.is_finished:
-            self.next_beat = self.relay.fleet.next_heartbeat_at(
+        if now >= self.next_heartbeat_at and not self.relay.is_finished:
+            self.next_heartbeat_at = self.relay.fleet.next_heartbeat_at(
                 now, self.relay.rng
             )
-            self.peers.beat(known=self.relay.digests)
+            self.peers.send_heartbeat(known=self.relay.digests)
 
-    def bad_datagram(self, detail: str) -> None:
+    def record_bad_datagram(self, detail: str) -> None:
         """Record a datagram that could not be sent or read."""
         self.recorder.record(actions.Record('bad-datagram', detail))
 
@@ -245,59 +257,59 @@
         ``asked_at`` is when the platform asked, now if it is not given. It may
         ask twice; the first time counts.
         """
-        if self.stop_by is not None:
+        if self.abort_at is not None:
             return
         now = self.reactor.seconds()
         asked_at = now if asked_at is None else asked_at
         grace = self.settings.stop.grace_seconds
         self.kill_at = asked_at + grace
-        self.stop_by = self.kill_at - LAST_SECONDS
-        self.leave_at = asked_at + min(LEAVE_SECONDS, grace / 2)
+        self.abort_at = self.kill_at - ABORT_MARGIN_SECONDS
+        self.serve_until = asked_at + min(READINESS_LAG_SECONDS, grace / 2)
         self.callers.closing = True
-        self.loop.dispatch(relay_events.StopRequested(self.stop_by, asked_at))
-        self.loop.repeat(STOP_POLL_SECONDS, self.look_whether_done)
+        self.loop.dispatch(relay_events.StopRequested(self.abort_at, asked_at))
+        self.loop.repeat(STOP_POLL_SECONDS, self.end_serving_if_done)
 
-    def look_whether_done(self) -> None:
+    def end_serving_if_done(self) -> None:
         """Begin to end once nobody is served here, or time is up."""
         now = self.reactor.seconds()
-        if now < self.leave_at or self.relay.is_finished:
+        if now < self.serve_until or self.relay.is_finished:
             return
-        self.callers.close_idle()
-        if now < self.stop_by and self.callers.connections:
+        self.callers.close_idle_connections()
+        if now < self.abort_at and self.callers.connections:
             return
         self.loop.dispatch(relay_events.ServingEnded())
 
-    def finish(self) -> None:
+    def finish_stopping(self) -> None:
         """Take the own entry back, then close.
 
         The port stays open meanwhile, so that who connects is told that its
         request has not run, rather than reset without a word. Whatever goes
         wrong here, the process ends.
         """
-        removed = defer.maybeDeferred(self.leave)
-        wait = self.kill_at - STORE_LAST_SECONDS - self.reactor.seconds()
-        removed.addTimeout(max(0.0, wait), self.reactor, store_too_slow)
-        removed.addErrback(self.watch.not_removed)
+        removed = defer.maybeDeferred(self.leave_fleet)
+        wait = self.kill_at - STORE_MARGIN_SECONDS - self.reactor.seconds()
+        removed.addTimeout(max(0.0, wait), self.reactor, raise_store_timeout)
+        removed.addErrback(self.watch.record_entry_left_behind)
         removed.addErrback(self.loop.failed)
-        removed.addBoth(lambda _: self.close())
+        removed.addBoth(lambda _: self.close_callers())
         removed.addErrback(self.loop.failed)
-        removed.addBoth(lambda _: self.end())
+        removed.addBoth(lambda _: self.end_process())
 
-    def leave(self) -> defer.Deferred:
+    def leave_fleet(self) -> defer.Deferred:
         """Give up what is left, and take back what others know of us."""
-        self.callers.break_all()
-        self.callers.refuse_half_read()
-        self.peers.beat(leaving=True)
+        self.callers.reset_waiting_connections()
+        self.callers.refuse_partial_requests()
+        self.peers.send_heartbeat(leaving=True)
         return self.watch.stop()
 
-    def close(self) -> defer.Deferred:
+    def close_callers(self) -> defer.Deferred:
         """Close the port and all connections; fire when they are."""
-        wait = self.kill_at - END_LAST_SECONDS - self.reactor.seconds()
+        wait = self.kill_at - END_MARGIN_SECONDS - self.reactor.seconds()
         drained = self.callers.drain()
         drained.addTimeout(max(0.0, wait), self.reactor)
         return listening.close_all(self.ports, [drained])
 
-    def end(self) -> None:
+    def end_process(self) -> None:
         """Let the process end."""
         summary = self.watch.calls.summary()
         self.recorder.record(actions.Record('store-calls', summary))
@@ -313,29 +325,29 @@
             case relay_actions.ObserveDuration():
                 pass
             case relay_actions.Send():
-                self.engines.send(action)
+                self.engines.send_request(action)
             case relay_actions.AbandonSend(exchange=exchange, send=send):
-                self.engines.abandon(exchange, send)
+                self.engines.abandon_send(exchange, send)
             case relay_actions.ProbeEngine():
-                self.engines.probe(action)
+                self.engines.probe_engine(action)
             case relay_actions.CheckEngine():
-                self.engines.check(action)
+                self.engines.check_engine(action)
             case relay_actions.CopyRun():
                 self.engines.copy_run(action)
             case relay_actions.AskSuccessor():
                 self.engines.ask_successor(action)
-            case relay_actions.ForwardHints(told):
-                self.peers.tell_fleet(told)
+            case relay_actions.ForwardHints(sent_hints):
+                self.peers.broadcast_hints(sent_hints)
             case relay_actions.TellPeers(hint):
-                self.peers.tell(hint)
+                self.peers.send_hint_to_all(hint)
             case relay_actions.TellPeer(incarnation, hint):
-                self.peers.tell_one(incarnation, hint)
+                self.peers.send_hint_to(incarnation, hint)
             case relay_actions.StoreCrashReport(report):
-                self.watch.keep_crashes(report)
+                self.watch.write_crashes(report)
             case relay_actions.DeleteCrashReport(fingerprint):
-                self.watch.drop_crashes(fingerprint)
+                self.watch.delete_crashes(fingerprint)
             case relay_actions.RescheduleStoreRead():
-                self.watch.look_again()
+                self.watch.schedule_read_check()
             case actions.SetTimer(name, deadline):
                 self.loop.set_timer(name, deadline)
             case actions.ClearTimer(name):
@@ -343,6 +355,6 @@
             case actions.Record():
                 self.recorder.record(action)
             case actions.FinishStopping():
-                self.finish()
+                self.finish_stopping()
             case _:
                 self.callers.carry_out(action)
--- a/src/greengagelb/transport/relay/pages.py
+++ b/src/greengagelb/transport/relay/pages.py
@@ -6,8 +6,8 @@
 import h11
 from twisted.internet import protocol
 
-READY = 200
-NOT_READY = 503
+STATUS_OK = 200
+STATUS_UNAVAILABLE = 503
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -20,7 +20,7 @@
 
 def readiness_page(ready: bool) -> Page:
     """Return the answer to whether callers may be sent here."""
-    return Page(READY if ready else NOT_READY)
+    return Page(STATUS_OK if ready else STATUS_UNAVAILABLE)
 
 
 class PageConnection(protocol.Protocol):
@@ -39,13 +39,13 @@
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return
                 if isinstance(event, h11.EndOfMessage):
-                    self.answer()
+                    self.write_answer()
                 if isinstance(event, h11.ConnectionClosed):
                     return
         except h11.ProtocolError:
             self.transport.abortConnection()
 
-    def answer(self) -> None:
+    def write_answer(self) -> None:
         """Answer with the page as it is now."""
         page = self.page()
         length = str(len(page.body)).encode()
--- a/src/greengagelb/transport/relay/peer_link.py
+++ b/src/greengagelb/transport/relay/peer_link.py
@@ -17,7 +17,7 @@
 
 # So many instances of another data centre forward a datagram there: one of
 # them may be dead without anybody knowing it yet.
-FORWARDERS_IN_A_DATA_CENTRE = 2
+FORWARDERS_PER_DATA_CENTRE = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,17 +40,17 @@
         own: hints.Member,
         port: int,
         dispatch: engine_side.Dispatch,
-        bad_datagram: Callable[[str], None],
+        report_bad_datagram: Callable[[str], None],
         rng: random.Random,
     ) -> None:
         self.own = own
         self.port = port
         self.dispatch = dispatch
-        self.bad_datagram = bad_datagram
+        self.report_bad_datagram = report_bad_datagram
         self.rng = rng
         self.peers: dict[str, Peer] = {}
 
-    def open(self, reactor: interfaces.IReactorUDP) -> None:
+    def open_socket(self, reactor: interfaces.IReactorUDP) -> None:
         """Open the socket."""
         try:
             reactor.listenUDP(self.port, self, interface=self.own.host)
@@ -59,32 +59,32 @@
 
     # -- sending ------------------------------------------------------------
 
-    def tell(self, hint: hints.Hint) -> None:
+    def send_hint_to_all(self, hint: hints.Hint) -> None:
         """Send a hint to all others."""
         self.send_to_all(relay_hints.encode_hint(self.own.incarnation, hint))
 
-    def tell_one(self, incarnation: str, hint: hints.Hint) -> None:
+    def send_hint_to(self, incarnation: str, hint: hints.Hint) -> None:
         """Send a hint to one other instance, if it is known."""
         peer = self.peers.get(incarnation)
         if peer is not None:
             own = self.own.incarnation
-            self.send(relay_hints.encode_hint(own, hint), peer.host)
+            self.send_datagram(relay_hints.encode_hint(own, hint), peer.host)
 
-    def tell_fleet(self, told: tuple[hints.Hint, ...]) -> None:
+    def broadcast_hints(self, sent_hints: tuple[hints.Hint, ...]) -> None:
         """Send hints to all others; some far away forward them there.
 
         All go by the same forwarders, as they have to arrive in their order.
         """
         own = self.own.incarnation
-        hosts = self.forwarders()
-        for hint in told:
+        hosts = self.choose_forwarders()
+        for hint in sent_hints:
             raw = relay_hints.encode_hint(own, hint)
-            self.send_nearby(raw)
+            self.send_within_data_centre(raw)
             forwarded = relay_hints.encode_forwarded(own, raw)
             for host in hosts:
-                self.send(forwarded, host)
+                self.send_datagram(forwarded, host)
 
-    def forwarders(self) -> list[str]:
+    def choose_forwarders(self) -> list[str]:
         """Return hosts of some instances in each of the other data centres."""
         far: dict[str, list[str]] = collections.defaultdict(list)
         for peer in self.peers.values():
@@ -94,17 +94,17 @@
             host
             for hosts in far.values()
             for host in self.rng.sample(
-                hosts, min(FORWARDERS_IN_A_DATA_CENTRE, len(hosts))
+                hosts, min(FORWARDERS_PER_DATA_CENTRE, len(hosts))
             )
         ]
 
-    def send_nearby(self, raw: bytes) -> None:
+    def send_within_data_centre(self, raw: bytes) -> None:
         """Send a datagram to the others of the own data centre."""
         for peer in self.peers.values():
             if peer.data_centre == self.own.data_centre:
-                self.send(raw, peer.host)
+                self.send_datagram(raw, peer.host)
 
-    def beat(
+    def send_heartbeat(
         self,
         *,
         leaving: bool = False,
@@ -119,9 +119,9 @@
     def send_to_all(self, raw: bytes) -> None:
         """Send a datagram to all others; what can't be sent is lost."""
         for peer in self.peers.values():
-            self.send(raw, peer.host)
+            self.send_datagram(raw, peer.host)
 
-    def send(self, raw: bytes, host: str) -> None:
+    def send_datagram(self, raw: bytes, host: str) -> None:
         """Send a datagram.
 
         A host is what another one says of itself. If it is no IP number, that
@@ -130,15 +130,15 @@
         try:
             self.transport.write(raw, (host, self.port))
         except (OSError, error.InvalidAddressError) as exc:
-            self.bad_datagram(f'not sent to {host}: {exc}')
+            self.report_bad_datagram(f'not sent to {host}: {exc}')
 
-    def listed(self, members: tuple[hints.Member, ...]) -> None:
+    def update_peers(self, members: tuple[hints.Member, ...]) -> None:
         """Take in who else is there, and greet those that are new."""
         found = {m.incarnation: Peer(m.host, m.data_centre) for m in members}
         greeting = relay_hints.encode_heartbeat(self.own)
         for incarnation, peer in found.items():
             if incarnation not in self.peers:
-                self.send(greeting, peer.host)
+                self.send_datagram(greeting, peer.host)
         self.peers = found
 
     # -- hearing ------------------------------------------------------------
@@ -152,39 +152,47 @@
             if isinstance(message, relay_hints.Forwarded):
                 inner = message.datagram
                 sender, message = relay_hints.decode(inner)
-                self.forward(inner, message)
+                self.forward_datagram(inner, message)
         except errors.ProtocolError as exc:
-            self.bad_datagram(f'from {addr[0]}: {exc}')
+            self.report_bad_datagram(f'from {addr[0]}: {exc}')
             return
         if sender == self.own.incarnation:
             return
         match message:
             case relay_hints.Heartbeat():
-                self.take_heartbeat(sender, message)
+                self.handle_heartbeat(sender, message)
             case relay_hints.Forwarded():
-                self.bad_datagram(f'from {addr[0]}: forwarded twice')
+                self.report_bad_datagram(f'from {addr[0]}: forwarded twice')
             case _:
                 self.dispatch(relay_events.PeerTold(sender, message))
 
-    def forward(self, raw: bytes, message: relay_hints.Message) -> None:
+    def forward_datagram(
+        self, raw: bytes, message: relay_hints.Message
+    ) -> None:
         """Send a datagram on to those nearby, but never a second time."""
         if not isinstance(message, relay_hints.Forwarded):
-            self.send_nearby(raw)
+            self.send_within_data_centre(raw)
 
-    def take_heartbeat(self, sender: str, beat: relay_hints.Heartbeat) -> None:
+    def handle_heartbeat(
+        self, sender: str, heartbeat: relay_hints.Heartbeat
+    ) -> None:
         """Note who is there; the list of instances may lag behind."""
-        if beat.leaving:
+        if heartbeat.leaving:
             self.peers.pop(sender, None)
             self.dispatch(relay_events.PeerLeft(sender))
             return
         stale = [
             incarnation
             for incarnation, peer in self.peers.items()
-            if peer.host == beat.host and incarnation != sender
+            if peer.host == heartbeat.host and incarnation != sender
         ]
         for incarnation in stale:
             del self.peers[incarnation]
             self.dispatch(relay_events.PeerLeft(incarnation))
-        self.peers[sender] = Peer(beat.host, beat.data_centre)
-        known = hints.Digests(beat.crashes_digest, beat.limits_digest)
-        self.dispatch(relay_events.PeerHeard(sender, beat.data_centre, known))
+        self.peers[sender] = Peer(heartbeat.host, heartbeat.data_centre)
+        known = hints.Digests(
+            heartbeat.crashes_digest, heartbeat.limits_digest
+        )
+        self.dispatch(
+            relay_events.PeerHeard(sender, heartbeat.data_centre, known)
+        )
--- a/src/greengagelb/transport/relay/relay_metrics.py
+++ b/src/greengagelb/transport/relay/relay_metrics.py
@@ -16,7 +16,19 @@
 
 # Bounds of the histograms, in seconds. The finest lie around the pause that
 # callers of streams do not notice and the goals of short calls.
-BOUNDS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 2.0, 4.5, 10.0, 30.0)
+HISTOGRAM_BOUNDS_SECONDS = (
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.4,
+    0.7,
+    1.0,
+    2.0,
+    4.5,
+    10.0,
+    30.0,
+)
 
 
 class RelayMetrics(metrics.Metrics):
@@ -28,13 +40,13 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.unusable: Callable[
+        self.get_unusable_entries: Callable[
             [], Mapping[str, unusable_entries.UnusableEntries]
         ] = dict
         self.store_calls = store_calls.StoreCalls()
-        self.answers: dict[str, int] = {}
-        self.sends = 0
-        self.events_passed = 0
+        self.answer_counts: dict[str, int] = {}
+        self.send_count = 0
+        self.passed_event_count = 0
         self.answer_counter = self.counter(
             'answers', 'Final answers by kind and status'
         )
@@ -56,7 +68,7 @@
         self.unusable_counter = self.counter(
             'unusable_entries_told', 'Mistakes in entries that were logged'
         )
-        self.times = {
+        self.duration_histograms = {
             relay_actions.DurationKind.FIRST_EVENT: self.histogram(
                 'first_event_seconds', 'Time to the first event of a stream'
             ),
@@ -75,42 +87,45 @@
             f'{metrics.PREFIX}_{name}',
             doc,
             registry=self.registry,
-            buckets=list(BOUNDS),
+            buckets=list(HISTOGRAM_BOUNDS_SECONDS),
         )
 
     def count(self, action: relay_actions.RelayAction) -> None:
         """Count an action, if it is one that is counted."""
         match action:
             case relay_actions.Send():
-                self.sends += 1
+                self.send_count += 1
             case relay_actions.PassEvents(events=events):
-                self.events_passed += len(events)
+                self.passed_event_count += len(events)
             case relay_actions.PassAnswer(head=head):
-                self.answered(f'engine {head.status}')
+                self.count_answer(f'engine {head.status}')
             case relay_actions.EndStream():
-                self.answered('stream whole')
+                self.count_answer('stream whole')
             case relay_actions.AbortStream():
-                self.answered('stream broken off')
+                self.count_answer('stream broken off')
             case relay_actions.Refuse(status=status, code=code):
-                self.answered(f'own {status} {code}')
+                self.count_answer(f'own {status} {code}')
             case relay_actions.ObserveDuration(kind, seconds):
-                self.times[kind].observe({}, seconds)
+                self.duration_histograms[kind].observe({}, seconds)
 
-    def answered(self, kind: str) -> None:
+    def count_answer(self, kind: str) -> None:
         """Count a final answer."""
-        self.answers[kind] = self.answers.get(kind, 0) + 1
+        self.answer_counts[kind] = self.answer_counts.get(kind, 0) + 1
 
-    def render_relay(self, opened: int) -> bytes:
+    def render_relay(self, connections_opened: int) -> bytes:
         """Return all figures in the text format that scrapers read."""
-        for kind, number in self.answers.items():
+        for kind, number in self.answer_counts.items():
             self.answer_counter.set({'kind': kind}, number)
-        self.send_counter.set({}, self.sends)
-        self.passed_counter.set({}, self.events_passed)
-        self.connection_counter.set({}, opened)
-        for counted, number in self.store_calls.counts.items():
-            labels = {'call': counted.call.value, 'cause': counted.cause.value}
+        self.send_counter.set({}, self.send_count)
+        self.passed_counter.set({}, self.passed_event_count)
+        self.connection_counter.set({}, connections_opened)
+        for call_and_cause, number in self.store_calls.counts.items():
+            labels = {
+                'call': call_and_cause.call.value,
+                'cause': call_and_cause.cause.value,
+            }
             self.store_call_counter.set(labels, number)
-        for kind, entries in self.unusable().items():
+        for kind, entries in self.get_unusable_entries().items():
             self.unusable_gauge.set({'kind': kind}, len(entries.reasons))
-            self.unusable_counter.set({'kind': kind}, entries.told)
+            self.unusable_counter.set({'kind': kind}, entries.reported_count)
         return self.render()
--- a/src/greengagelb/transport/relay/restore_account.py
+++ b/src/greengagelb/transport/relay/restore_summary.py
@@ -3,10 +3,10 @@
 import collections
 
 # After so many seconds it is told what was read and written again.
-TOLD_AFTER_SECONDS = 5.0
+SUMMARY_DELAY_SECONDS = 5.0
 
 
-class RestoreAccount:
+class RestoreSummary:
     """What one instance has done in the store's present era.
 
     ``done`` counts the rows by what was done with them. Nothing is counted
@@ -15,19 +15,19 @@
 
     def __init__(self) -> None:
         self.era: int | None = None
-        self.done: collections.Counter[str] = collections.Counter()
+        self.row_counts: collections.Counter[str] = collections.Counter()
 
-    def begin(self, era: int) -> None:
+    def start_era(self, era: int) -> None:
         """Count from now on for another era."""
         self.era = era
-        self.done.clear()
+        self.row_counts.clear()
 
-    def count(self, what: str, rows: int = 1) -> None:
+    def add_rows(self, operation: str, rows: int = 1) -> None:
         """Count rows that were read or written."""
         if self.era is not None:
-            self.done[what] += rows
+            self.row_counts[operation] += rows
 
-    def tell(self, era: int) -> str | None:
+    def take_summary(self, era: int) -> str | None:
         """Return what was done in an era, and count no more.
 
         None if another one has begun since.
@@ -35,5 +35,8 @@
         if era != self.era:
             return None
         self.era = None
-        parts = [f'{what} {rows}' for what, rows in sorted(self.done.items())]
+        parts = [
+            f'{operation} {rows}'
+            for operation, rows in sorted(self.row_counts.items())
+        ]
         return f'era {era}: ' + (', '.join(parts) or 'nothing')
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -28,19 +28,19 @@
 from greengagelb.state.relay import store_calls
 from greengagelb.transport import recorder
 from greengagelb.transport.relay import engine_side
-from greengagelb.transport.relay import restore_account
+from greengagelb.transport.relay import restore_summary
 from greengagelb.transport.relay import unusable_entries
 
 # The longest wait for a change of the configuration, in seconds. An answer
 # that is lost shows only when this and the time of an answer are over, and
 # three seconds after a disturbance the configuration has to be in force.
-CONFIGURATION_WAIT = 1.5
+CONFIGURATION_WAIT_SECONDS = 1.5
 # How long after word of something newer the store is read at the latest, in
 # seconds: not all who hear of it should ask in the same millisecond.
-WORD_SPREAD_SECONDS = 0.05
+NOTIFIED_READ_SPREAD_SECONDS = 0.05
 # The least time between two looks whether to read, in seconds. Timers fire
 # late, but what they are late by is not known here.
-LEAST_SLEEP_SECONDS = 0.01
+MIN_SLEEP_SECONDS = 0.01
 # The pause after a call that failed, in seconds, spread by half both ways:
 # the first after one failure, which may have been a single lost answer, the
 # second after more. Calls that the store refuses cost as much as others.
@@ -50,7 +50,7 @@
 # old, in seconds. Engines renew their entries every 1.2 seconds, and each
 # renewal is a change: those of a longer time are more than the whole list,
 # after fifteen seconds twelve times as much.
-CHANGES_SECONDS = 2.0
+MAX_CHANGES_AGE_SECONDS = 2.0
 # What the one entry of the configuration is called where mistakes are kept.
 CONFIGURATION = 'configuration'
 
@@ -89,7 +89,7 @@
     kept_crashes: tuple[crashes.KeptCrashes, ...] = ()
 
 
-class Source(Protocol):
+class StoreClient(Protocol):
     """The store, as far as the watch needs it.
 
     All raise :class:`~greengagelb.errors.PlatformUnavailable`,
@@ -97,7 +97,7 @@
     :class:`~greengagelb.errors.AnswerTooLong`.
     """
 
-    def move_to(self, address: engines.Address) -> None:
+    def use_address(self, address: engines.Address) -> None:
         """Ask at another address from now on."""
 
     def read_configuration(
@@ -119,10 +119,10 @@
     def read_members(self) -> defer.Deferred:
         """Return a :class:`MembersRead` of all instances."""
 
-    def keep_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
+    def write_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
         """Write the crashes under a request."""
 
-    def drop_crashes(self, fingerprint: str) -> defer.Deferred:
+    def delete_crashes(self, fingerprint: str) -> defer.Deferred:
         """Remove the crashes under a request."""
 
 
@@ -132,121 +132,130 @@
     def __init__(
         self,
         reactor: interfaces.IReactorTime,
-        source: Source,
+        store_client: StoreClient,
         dispatch: engine_side.Dispatch,
         record: Callable[[actions.Record], None],
         own: hints.Member,
         sharing: store_sharing.StoreSharing,
-        members_listed: Callable[[tuple[hints.Member, ...]], None],
+        update_peers: Callable[[tuple[hints.Member, ...]], None],
     ) -> None:
         self.reactor = reactor
-        self.source = source
+        self.store_client = store_client
         self.dispatch = dispatch
         self.record = record
         self.own = own
         self.sharing = sharing
-        self.members_listed = members_listed
-        self.registered = False
-        self.maybe_registered = False
-        self.members_known = False
-        self.listed = False
+        self.update_peers = update_peers
+        self.is_registered = False
+        self.may_be_registered = False
+        self.has_read_members = False
+        self.is_listed = False
         self.configuration_position: positions.Position | None = None
         self.engines_position: positions.Position | None = None
         self.engines_read_at = float('-inf')
-        self.bad_engines = unusable_entries.UnusableEntries()
-        self.bad_members = unusable_entries.UnusableEntries()
-        self.bad_configuration = unusable_entries.UnusableEntries()
+        self.unusable_engines = unusable_entries.UnusableEntries()
+        self.unusable_members = unusable_entries.UnusableEntries()
+        self.unusable_configuration = unusable_entries.UnusableEntries()
         self.calls = store_calls.StoreCalls()
-        self.account = restore_account.RestoreAccount()
+        self.restore_summary = restore_summary.RestoreSummary()
         self.stopped = False
-        self.asleep: set[defer.Deferred] = set()
+        self.pending_sleeps: set[defer.Deferred] = set()
 
     def start(self) -> None:
         """Begin to read."""
         sharing = self.sharing
-        self.follow(
-            self.look_at_configuration, sharing.configuration.note_read_failed
+        self.read_repeatedly(
+            self.read_configuration_when_due,
+            sharing.configuration.note_read_failed,
         )
-        self.follow(self.look_at_engines, sharing.note_engines_read_failed)
-        self.follow(self.look_at_members, lambda: None)
+        self.read_repeatedly(
+            self.read_engines_when_due, sharing.note_engines_read_failed
+        )
+        self.read_repeatedly(self.read_members_when_due, lambda: None)
 
     def stop(self) -> defer.Deferred:
         """Read no more, and remove the own entry, if there may be one."""
         self.stopped = True
-        if not self.maybe_registered:
+        if not self.may_be_registered:
             return defer.succeed(None)
         self.calls.count(store_calls.Call.UNREGISTER, store_calls.Cause.STOP)
-        return self.source.unregister(self.own).addErrback(self.not_removed)
+        return self.store_client.unregister(self.own).addErrback(
+            self.record_entry_left_behind
+        )
 
-    def not_removed(self, why: failure.Failure) -> None:
+    def record_entry_left_behind(self, why: failure.Failure) -> None:
         """Record that the own entry stays behind; others find it silent."""
         why.trap(errors.GreengagelbError)
         self.record(actions.Record('entry-left-behind', str(why.value)))
 
-    def unusable_counts(self) -> dict[str, unusable_entries.UnusableEntries]:
+    def unusable_entries_by_list(
+        self,
+    ) -> dict[str, unusable_entries.UnusableEntries]:
         """Return the unusable entries of each list, by what they tell of."""
         return {
-            'engine': self.bad_engines,
-            'instance': self.bad_members,
-            'configuration': self.bad_configuration,
+            'engine': self.unusable_engines,
+            'instance': self.unusable_members,
+            'configuration': self.unusable_configuration,
         }
 
     @defer.inlineCallbacks
-    def look_at_members(self) -> object:
+    def read_members_when_due(self) -> object:
         """Register once, then read the list of instances when it is due.
 
         Instances that start greet all that are listed, so the list need not
         be read often. An own entry that another writer has spoilt is written
         again: those that start would never hear of this instance.
         """
-        if self.members_known:
+        if self.has_read_members:
             yield self.sleep_until_due(self.sharing.members_due_at)
         self.sharing.note_members_read(self.reactor.seconds())
-        if not self.registered:
-            self.maybe_registered = True
+        if not self.is_registered:
+            self.may_be_registered = True
             yield self.register(store_calls.Cause.START)
-            self.registered = True
-        known = self.members_known
+            self.is_registered = True
+        known = self.has_read_members
         cause = store_calls.Cause.CHECK if known else store_calls.Cause.START
         self.calls.count(store_calls.Call.MEMBERS, cause)
-        read = yield self.source.read_members()
-        for entry in self.bad_members.take_whole(read.mistakes):
+        read = yield self.store_client.read_members()
+        for entry in self.unusable_members.replace_all(read.mistakes):
             self.record(
                 actions.Record(
                     'bad-instance-entry', entry.why, upstream=entry.name
                 )
             )
-        self.account.count('instances read', len(read.members))
-        was_listed, self.listed = self.listed, self.own in read.members
-        if not self.listed and not self.stopped:
+        self.restore_summary.add_rows('instances read', len(read.members))
+        was_listed, self.is_listed = self.is_listed, self.own in read.members
+        if not self.is_listed and not self.stopped:
             yield self.register(store_calls.Cause.CHECK)
-            self.account.count('own entry written')
+            self.restore_summary.add_rows('own entry written')
             if was_listed:
                 why = 'not in the list of instances any more'
                 self.record(actions.Record('entry-written-again', why))
-        self.members_known = True
+        self.has_read_members = True
         others = tuple(m for m in read.members if m.name != self.own.name)
-        self.members_listed(others)
+        self.update_peers(others)
         self.dispatch(relay_events.MembersListed(others))
         wall = recorder.wall_milliseconds()
         reports = tuple(crashes.from_kept(k, wall) for k in read.kept_crashes)
         self.dispatch(relay_events.CrashesListed(reports))
 
-    def keep_crashes(self, report: crashes.CrashReport) -> None:
+    def write_crashes(self, report: crashes.CrashReport) -> None:
         """Write the crashes under a request."""
         call, cause = store_calls.Call.CRASHES, store_calls.Cause.FOUND
         self.calls.count(call, cause)
-        self.account.count('crashes written')
+        self.restore_summary.add_rows('crashes written')
         kept = crashes.to_keep(report, recorder.wall_milliseconds())
-        self.source.keep_crashes(kept).addErrback(self.crashes_not_written)
+        self.store_client.write_crashes(kept).addErrback(
+            self.record_crashes_not_written
+        )
 
-    def drop_crashes(self, fingerprint: str) -> None:
+    def delete_crashes(self, fingerprint: str) -> None:
         """Remove the crashes under a request."""
         self.calls.count(store_calls.Call.CRASHES, store_calls.Cause.OVER)
-        done = self.source.drop_crashes(fingerprint)
-        done.addErrback(self.crashes_not_written)
+        done = self.store_client.delete_crashes(fingerprint)
+        done.addErrback(self.record_crashes_not_written)
 
-    def crashes_not_written(self, why: failure.Failure) -> None:
+    def record_crashes_not_written(self, why: failure.Failure) -> None:
         """Record a failed write; who reads for all tries again."""
         why.trap(errors.GreengagelbError)
         self.record(actions.Record('crashes-not-written', str(why.value)))
@@ -254,24 +263,26 @@
     def register(self, cause: store_calls.Cause) -> defer.Deferred:
         """Write the own entry."""
         self.calls.count(store_calls.Call.REGISTER, cause)
-        return self.source.register(self.own)
+        return self.store_client.register(self.own)
 
     @defer.inlineCallbacks
-    def follow(
-        self, look: Callable[[], defer.Deferred], failed: Callable[[], None]
+    def read_repeatedly(
+        self,
+        read_once: Callable[[], defer.Deferred],
+        note_failure: Callable[[], None],
     ) -> object:
         """Look again and again; tell of each failure, and pause after it."""
         failures = 0
         while not self.stopped:
             try:
-                yield look()
+                yield read_once()
                 failures = 0
             except errors.GreengagelbError as exc:
                 if self.stopped:
                     # The process ends, and with it its connections.
                     return
                 failures += 1
-                failed()
+                note_failure()
                 self.dispatch(relay_events.StoreLost(f'{exc.code}: {exc}'))
                 pause = RETRY_SECONDS if failures > 1 else FIRST_RETRY_SECONDS
                 yield self.sleep(pause * random.uniform(0.5, 1.5))
@@ -294,24 +305,26 @@
             if wait <= 0:
                 return
             wait = min(wait, store_sharing.NOTIFICATION_WAIT_SECONDS)
-            nap = self.sleep(max(LEAST_SLEEP_SECONDS, wait))
-            self.asleep.add(nap)
-            nap.addErrback(lambda why: why.trap(defer.CancelledError))
-            yield nap
-            self.asleep.discard(nap)
+            pending_sleep = self.sleep(max(MIN_SLEEP_SECONDS, wait))
+            self.pending_sleeps.add(pending_sleep)
+            pending_sleep.addErrback(
+                lambda why: why.trap(defer.CancelledError)
+            )
+            yield pending_sleep
+            self.pending_sleeps.discard(pending_sleep)
 
-    def look_again(self) -> None:
+    def schedule_read_check(self) -> None:
         """Ask soon again whether the store is to be read."""
-        wait = random.uniform(0.0, WORD_SPREAD_SECONDS)
-        self.reactor.callLater(wait, self.wake)
+        wait = random.uniform(0.0, NOTIFIED_READ_SPREAD_SECONDS)
+        self.reactor.callLater(wait, self.end_sleeps)
 
-    def wake(self) -> None:
+    def end_sleeps(self) -> None:
         """End the sleep of all who wait for the next read."""
-        for nap in list(self.asleep):
-            nap.cancel()
+        for pending_sleep in list(self.pending_sleeps):
+            pending_sleep.cancel()
 
     @defer.inlineCallbacks
-    def look_at_configuration(self) -> object:
+    def read_configuration_when_due(self) -> object:
         """Read the configuration when it is time to, and apply it.
 
         The one who reads for all waits at the store for its next change.
@@ -323,20 +336,20 @@
         cause = self.sharing.read_cause(self.sharing.configuration)
         self.calls.count(call, cause)
         self.sharing.configuration.note_read_asked(now)
-        wait = CONFIGURATION_WAIT if reads_for_all else 0.0
-        position = self.position_of_configuration()
+        wait = CONFIGURATION_WAIT_SECONDS if reads_for_all else 0.0
+        position = self.position_to_read_from()
         try:
-            read = yield self.source.read_configuration(position, wait)
+            read = yield self.store_client.read_configuration(position, wait)
             self.check_era(read.position, position)
         except (errors.HistoryGone, errors.AnswerTooLong):
             self.calls.count(call, store_calls.Cause.HISTORY_GONE)
-            read = yield self.source.read_configuration(None, wait)
+            read = yield self.store_client.read_configuration(None, wait)
             self.check_era(read.position)
         self.configuration_position = read.position
         self.sharing.configuration.note_current(now)
-        self.note_configuration_mistake(read)
+        self.record_configuration_mistake(read)
         if read.table is not None:
-            self.account.count('configurations read')
+            self.restore_summary.add_rows('configurations read')
             self.dispatch(relay_events.RoutesOffered(read.table, 'store'))
         self.dispatch(relay_events.ConfigurationChecked())
 
@@ -350,20 +363,22 @@
         One to a question for the changes since a version of another era leaves
         out what has changed below that version, and nothing else shows it.
         """
-        former = self.sharing.eras.era
+        previous_era = self.sharing.eras.era
         verdict = self.sharing.eras.check_answer(
             found.era, self.reactor.seconds()
         )
         match verdict:
             case store_eras.EraVerdict.LATE:
-                why = f'era {found.era}, known is {former}'
+                why = f'era {found.era}, known is {previous_era}'
                 raise errors.LateAnswer(why)
             case store_eras.EraVerdict.RESTORED:
-                self.note_restored(former, found)
+                self.record_restore(previous_era, found)
         if asked_from is not None and asked_from.era != found.era:
             raise errors.HistoryGone('store has come back from a copy')
 
-    def note_restored(self, former: int, found: positions.Position) -> None:
+    def record_restore(
+        self, previous_era: int, found: positions.Position
+    ) -> None:
         """Tell that the store has come back from a copy."""
         known = max(
             position.version if position else 0
@@ -373,21 +388,23 @@
             )
         )
         back = max(0, known - found.version)
-        why = f'era {former} to {found.era}, {back} versions back'
+        why = f'era {previous_era} to {found.era}, {back} versions back'
         self.record(actions.Record('store-restored', why))
-        self.account.begin(found.era)
+        self.restore_summary.start_era(found.era)
         self.reactor.callLater(
-            restore_account.TOLD_AFTER_SECONDS, self.tell_account, found.era
+            restore_summary.SUMMARY_DELAY_SECONDS,
+            self.record_restore_summary,
+            found.era,
         )
         self.dispatch(relay_events.StoreRestored())
 
-    def tell_account(self, era: int) -> None:
+    def record_restore_summary(self, era: int) -> None:
         """Tell what was read and written since the store was restored."""
-        why = self.account.tell(era)
+        why = self.restore_summary.take_summary(era)
         if why is not None and not self.stopped:
             self.record(actions.Record('store-read-again', why))
 
-    def position_of_configuration(self) -> positions.Position | None:
+    def position_to_read_from(self) -> positions.Position | None:
         """Return from where to read changes on, or None to read it whole.
 
         The changes have every version since, of which only the last counts.
@@ -399,18 +416,18 @@
             return None
         return self.configuration_position
 
-    def note_configuration_mistake(self, read: ConfigurationRead) -> None:
+    def record_configuration_mistake(self, read: ConfigurationRead) -> None:
         """Tell of a configuration that can't be used, once."""
         if read.table is not None:
-            self.bad_configuration.mended([CONFIGURATION])
+            self.unusable_configuration.remove_entries([CONFIGURATION])
         if not read.mistake:
             return
         found = unusable_entries.UnusableEntry(CONFIGURATION, read.mistake)
-        for entry in self.bad_configuration.take((found,)):
+        for entry in self.unusable_configuration.add_changed((found,)):
             self.record(actions.Record('bad-configuration', entry.why))
 
     @defer.inlineCallbacks
-    def look_at_engines(self) -> object:
+    def read_engines_when_due(self) -> object:
         """Take in what has changed in the list, when it is time to."""
         yield self.sleep_until_due(self.sharing.engines_due_at)
         now = self.reactor.seconds()
@@ -418,24 +435,24 @@
         self.calls.count(call, self.sharing.read_cause(self.sharing.engines))
         self.sharing.engines.note_read_asked(now)
         self.dispatch(relay_events.EngineListRequested())
-        whole = now > self.engines_read_at + CHANGES_SECONDS
+        whole = now > self.engines_read_at + MAX_CHANGES_AGE_SECONDS
         position = None if whole else self.engines_position
         try:
-            read = yield self.source.read_engines(position)
+            read = yield self.store_client.read_engines(position)
             self.check_era(read.position, position)
         except (errors.HistoryGone, errors.AnswerTooLong):
             # Waiting for the next look would cost a second, in which engines
             # that have left get work.
             whole = True
             self.calls.count(call, store_calls.Cause.HISTORY_GONE)
-            read = yield self.source.read_engines(None)
+            read = yield self.store_client.read_engines(None)
             self.check_era(read.position)
-        was_away = bool(self.sharing.engines.failures)
+        was_failing = bool(self.sharing.engines.failures)
         self.engines_position = read.position
         self.engines_read_at = now
-        self.note_engine_mistakes(read, whole=whole)
+        self.record_engine_mistakes(read, whole=whole)
         unusable = tuple(entry.name for entry in read.mistakes)
-        self.account.count('engines read', len(read.entries))
+        self.restore_summary.add_rows('engines read', len(read.entries))
         if whole:
             self.dispatch(relay_events.EnginesListed(read.entries, unusable))
         else:
@@ -444,19 +461,23 @@
                     read.entries, read.removed, unusable
                 )
             )
-        if was_away:
+        if was_failing:
             # Looks at the configuration wait for this.
-            self.wake()
+            self.end_sleeps()
 
-    def note_engine_mistakes(self, read: EnginesRead, *, whole: bool) -> None:
+    def record_engine_mistakes(
+        self, read: EnginesRead, *, whole: bool
+    ) -> None:
         """Tell of the engines' entries that can't be used, once each."""
         if whole:
-            news = self.bad_engines.take_whole(read.mistakes)
+            new_mistakes = self.unusable_engines.replace_all(read.mistakes)
         else:
-            self.bad_engines.mended(read.removed)
-            self.bad_engines.mended(entry.engine for entry in read.entries)
-            news = self.bad_engines.take(read.mistakes)
-        for entry in news:
+            self.unusable_engines.remove_entries(read.removed)
+            self.unusable_engines.remove_entries(
+                entry.engine for entry in read.entries
+            )
+            new_mistakes = self.unusable_engines.add_changed(read.mistakes)
+        for entry in new_mistakes:
             self.record(
                 actions.Record(
                     'bad-engine-entry', entry.why, upstream=entry.name
--- a/src/greengagelb/transport/relay/questions.py
+++ b/src/greengagelb/transport/relay/timed_requests.py
@@ -10,15 +10,15 @@
 from greengagelb.transport.relay import http_client
 
 # What engines say of themselves is a few hundred bytes.
-MOST_SHORT_BYTES = 65_536
+DEFAULT_MAX_BYTES = 65_536
 # The longest pause within an answer that is on its way, in seconds. A packet
 # that was lost is there again within a quarter of a second; on a connection
 # that is silent for longer nothing may ever come.
-PAUSE_SECONDS = 0.6
+MAX_PAUSE_SECONDS = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class TimedRequest:
     """A request whose answer is gathered whole.
 
     ``key`` is that of the connections that may carry it. There is no answer
@@ -32,9 +32,9 @@
     address: engines.Address
     request: http_client.WireRequest
     seconds: float
-    most_bytes: int = MOST_SHORT_BYTES
+    max_bytes: int = DEFAULT_MAX_BYTES
     fresh: bool = False
-    coming_seconds: float = 0.0
+    receive_seconds: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,10 +49,10 @@
     body: bytes = b''
     detail: str = ''
     too_long: bool = False
-    refused: bool = False
+    connection_refused: bool = False
 
 
-class Gathering:
+class AnswerCollector:
     """Receives one answer; ``done`` is called exactly once.
 
     ``began_at`` and ``moved_at`` are when its first and its last part came.
@@ -61,97 +61,99 @@
     def __init__(
         self,
         reactor: interfaces.IReactorTime,
-        question: Question,
+        timed_request: TimedRequest,
         done: Callable[[Answer], None],
     ) -> None:
         self.reactor = reactor
-        self.question = question
+        self.timed_request = timed_request
         self.done = done
         self.asked_at = reactor.seconds()
-        self.began_at: float | None = None
-        self.moved_at = float('-inf')
+        self.answer_started_at: float | None = None
+        self.last_received_at = float('-inf')
         self.response: h11.Response | None = None
         self.body: list[bytes] = []
-        self.size = 0
-        self.over = False
+        self.body_bytes = 0
+        self.is_finished = False
 
     @property
-    def give_up_at(self) -> float:
+    def expires_at(self) -> float:
         """Return when the answer is to be given up if nothing more comes."""
-        question = self.question
-        first = self.asked_at + question.seconds
-        if self.began_at is None:
+        timed_request = self.timed_request
+        first = self.asked_at + timed_request.seconds
+        if self.answer_started_at is None:
             return first
-        last = self.began_at + question.coming_seconds
-        return max(first, min(self.moved_at + PAUSE_SECONDS, last))
+        last = self.answer_started_at + timed_request.receive_seconds
+        return max(first, min(self.last_received_at + MAX_PAUSE_SECONDS, last))
 
-    def answer_began(self, response: h11.Response) -> None:
+    def answer_started(self, response: h11.Response) -> None:
         """Keep the head."""
         self.response = response
-        self.began_at = self.moved_at = self.reactor.seconds()
+        self.answer_started_at = self.last_received_at = self.reactor.seconds()
 
-    def answer_moved(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Gather the body, as far as its bound."""
-        self.moved_at = self.reactor.seconds()
-        self.size += len(data)
-        if self.size <= self.question.most_bytes:
+        self.last_received_at = self.reactor.seconds()
+        self.body_bytes += len(data)
+        if self.body_bytes <= self.timed_request.max_bytes:
             self.body.append(data)
 
-    def answer_complete(self) -> None:
+    def answer_completed(self) -> None:
         """Give the answer to who asked."""
-        if self.size > self.question.most_bytes:
-            why = f'answer too large, {self.size} bytes'
-            self.finish(Answer(None, detail=why, too_long=True))
+        if self.body_bytes > self.timed_request.max_bytes:
+            why = f'answer too large, {self.body_bytes} bytes'
+            self.deliver_answer(Answer(None, detail=why, too_long=True))
         else:
-            self.finish(Answer(self.response, b''.join(self.body)))
+            self.deliver_answer(Answer(self.response, b''.join(self.body)))
 
-    def answer_broken(self, handed_over: bool, detail: str) -> None:
+    def answer_failed(self, handed_over: bool, detail: str) -> None:
         """Tell who asked that there is none."""
-        self.finish(Answer(None, detail=detail))
+        self.deliver_answer(Answer(None, detail=detail))
 
-    def give_up(self) -> None:
+    def deliver_timeout(self) -> None:
         """Tell who asked that it took too long, and how much had come."""
-        coming = self.reactor.seconds() < self.moved_at + PAUSE_SECONDS
-        why = f'no answer in time, {self.size} bytes came'
-        self.finish(Answer(None, detail=why, too_long=coming))
+        is_receiving = (
+            self.reactor.seconds() < self.last_received_at + MAX_PAUSE_SECONDS
+        )
+        why = f'no answer in time, {self.body_bytes} bytes came'
+        self.deliver_answer(Answer(None, detail=why, too_long=is_receiving))
 
-    def finish(self, answer: Answer) -> None:
+    def deliver_answer(self, answer: Answer) -> None:
         """Call back once."""
-        if not self.over:
-            self.over = True
+        if not self.is_finished:
+            self.is_finished = True
             self.done(answer)
 
 
-def ask(
+def send_timed_request(
     pool: http_client.ConnectionPool,
-    question: Question,
+    timed_request: TimedRequest,
     done: Callable[[Answer], None],
 ) -> None:
     """Ask, and have ``done`` called with what comes of it."""
 
-    def finish(answer: Answer) -> None:
+    def deliver_answer(answer: Answer) -> None:
         if timer.active():
             timer.cancel()
-        if pending is not None and pending.refused:
-            answer = dataclasses.replace(answer, refused=True)
+        if pending is not None and pending.connection_refused:
+            answer = dataclasses.replace(answer, connection_refused=True)
         done(answer)
 
-    def look() -> None:
+    def check_expiry() -> None:
         nonlocal timer
-        left = gathering.give_up_at - pool.reactor.seconds()
+        left = collector.expires_at - pool.reactor.seconds()
         if left > 0:
-            timer = pool.reactor.callLater(left, look)
+            timer = pool.reactor.callLater(left, check_expiry)
             return
         pending.abandon()
-        gathering.give_up()
+        collector.deliver_timeout()
 
-    pending: http_client.Pending | None = None
-    gathering = Gathering(pool.reactor, question, finish)
-    timer = pool.reactor.callLater(question.seconds, look)
+    pending: http_client.PendingRequest | None = None
+    collector = AnswerCollector(pool.reactor, timed_request, deliver_answer)
+    timer = pool.reactor.callLater(timed_request.seconds, check_expiry)
     pending = pool.request(
-        question.key,
-        question.address,
-        lambda: question.request,
-        gathering,
-        question.fresh,
+        timed_request.key,
+        timed_request.address,
+        lambda: timed_request.request,
+        collector,
+        timed_request.fresh,
     )
--- a/src/greengagelb/transport/relay/unusable_entries.py
+++ b/src/greengagelb/transport/relay/unusable_entries.py
@@ -10,7 +10,7 @@
 
 # The most that a line of the log has of a mistake, in characters: names in it
 # are those of the other writer, and may be of any length.
-MOST_TEXT = 200
+MAX_TEXT_CHARACTERS = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,28 +30,32 @@
 
     def __init__(self) -> None:
         self.reasons: dict[str, str] = {}
-        self.told = 0
+        self.reported_count = 0
 
-    def take_whole(
+    def replace_all(
         self, found: tuple[UnusableEntry, ...]
     ) -> list[UnusableEntry]:
         """Take in a whole list; return the mistakes that are new."""
-        named = {entry.name for entry in found}
-        self.mended(self.reasons.keys() - named)
-        return self.take(found)
+        found_names = {entry.name for entry in found}
+        self.remove_entries(self.reasons.keys() - found_names)
+        return self.add_changed(found)
 
-    def take(self, found: tuple[UnusableEntry, ...]) -> list[UnusableEntry]:
+    def add_changed(
+        self, found: tuple[UnusableEntry, ...]
+    ) -> list[UnusableEntry]:
         """Take in changed entries; return the mistakes that are new."""
-        news = []
+        new_mistakes = []
         for entry in found:
-            why = entry.why[:MOST_TEXT]
+            why = entry.why[:MAX_TEXT_CHARACTERS]
             if self.reasons.get(entry.name) != why:
                 self.reasons[entry.name] = why
-                news.append(UnusableEntry(entry.name[:MOST_TEXT], why))
-        self.told += len(news)
-        return news
+                new_mistakes.append(
+                    UnusableEntry(entry.name[:MAX_TEXT_CHARACTERS], why)
+                )
+        self.reported_count += len(new_mistakes)
+        return new_mistakes
 
-    def mended(self, names: Iterable[str]) -> None:
+    def remove_entries(self, names: Iterable[str]) -> None:
         """Forget entries that can be used now, or are gone."""
         for name in list(names):
             self.reasons.pop(name, None)
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -42,7 +42,7 @@
         'configuration_version': 12,
     }
     figures.sample = lambda: metrics.Sample(**{**sample, **changed})
-    return figures.render_relay(opened=1)
+    return figures.render_relay(connections_opened=1)
 
 
 def test_a_page_of_metrics_is_read():
--- a/tests/common/instance_world.py
+++ b/tests/common/instance_world.py
@@ -65,7 +65,7 @@
         self.registers = registers
         self.removals = []
 
-    def move_to(self, address):
+    def use_address(self, address):
         """Nothing depends on it here."""
 
     def read_configuration(self, position, wait_seconds):
--- a/tests/common/relay_wires.py
+++ b/tests/common/relay_wires.py
@@ -53,7 +53,7 @@
 
     def read_request(self, exchange, head, body, received_at):
         fields = tuple(head.headers.raw_items())
-        request_id = http1.first_value(fields, b'id')
+        request_id = http1.first_header_value(fields, b'id')
         if request_id is None:
             raise errors.ProtocolError('request without an id')
         return requests.CallerRequest(
@@ -61,7 +61,7 @@
             head.method,
             head.target,
             'api.example',
-            http1.passed_on(fields),
+            http1.select_end_to_end_headers(fields),
             body,
             request_id.decode(),
             'a key',
@@ -79,25 +79,25 @@
             send.request.body,
         )
 
-    def read_answer(self, response):
+    def read_answer_head(self, response):
         fields = tuple(response.headers.raw_items())
         return requests.AnswerHead(
             response.status_code,
             bytes(response.reason),
-            http1.passed_on(fields),
-            http1.first_value(fields, b'seal') is not None,
-            http1.first_value(fields, b'not-run') is not None,
+            http1.select_end_to_end_headers(fields),
+            http1.first_header_value(fields, b'seal') is not None,
+            http1.first_header_value(fields, b'not-run') is not None,
         )
 
-    def read_start(self, status, body):
+    def read_started_at_ms(self, status, body):
         return engines.UNKNOWN_START
 
-    def answers(self, response, send):
+    def is_answer_to(self, response, send):
         fields = tuple(response.headers.raw_items())
-        echoed = http1.first_value(fields, b'id')
+        echoed = http1.first_header_value(fields, b'id')
         return echoed == send.request.request_id.encode()
 
-    def event_number(self, raw):
+    def read_event_number(self, raw):
         return int(raw.partition(b'id: ')[2].split(b'\n')[0])
 
 
@@ -110,16 +110,16 @@
         self.complete = False
         self.broken = None
 
-    def answer_began(self, response):
+    def answer_started(self, response):
         self.status = response.status_code
 
-    def answer_moved(self, data):
+    def body_received(self, data):
         self.body += data
 
-    def answer_complete(self):
+    def answer_completed(self):
         self.complete = True
 
-    def answer_broken(self, handed_over, detail):
+    def answer_failed(self, handed_over, detail):
         self.broken = (handed_over, detail)
 
 
--- a/tests/common/store_fleet.py
+++ b/tests/common/store_fleet.py
@@ -214,7 +214,7 @@
                         )
                         self.fleet.tell_others(self, event)
                 case relay_actions.RescheduleStoreRead():
-                    self.watch.look_again()
+                    self.watch.schedule_read_check()
 
     def beat(self):
         if not self.alive:
--- a/tests/common/wire_store.py
+++ b/tests/common/wire_store.py
@@ -265,7 +265,7 @@
         for action in self.relay.handle(event, self.reactor.seconds()):
             match action:
                 case relay_actions.RescheduleStoreRead():
-                    self.watch.look_again()
+                    self.watch.schedule_read_check()
                 case actions.SetTimer(name, deadline):
                     wait = max(0.0, deadline - self.reactor.seconds())
                     fired = events.TimerFired(name)
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -115,12 +115,12 @@
     """Guards against crashes that are taken for an instance's bad entry."""
     found = RowStore()
     found.register(OWN)
-    found.keep_crashes(KEPT)
+    found.write_crashes(KEPT)
     read = found.members()
     assert read.members == (OWN,)
     assert read.kept_crashes == (KEPT,)
     assert not read.mistakes
-    found.drop_crashes('ab12')
+    found.delete_crashes('ab12')
     assert found.members().kept_crashes == ()
 
 
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -12,7 +12,7 @@
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import positions
 from greengagelb.state.relay import routes
-from greengagelb.transport.relay import questions
+from greengagelb.transport.relay import timed_requests
 
 CONFIG = {
     'version': 7,
@@ -53,7 +53,7 @@
 
 def answer(status):
     """Return an answer of the store without a body."""
-    return questions.Answer(h11.Response(status_code=status, headers=[]))
+    return timed_requests.Answer(h11.Response(status_code=status, headers=[]))
 
 
 def row(value, key='config'):
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -43,7 +43,7 @@
     failures = []
     position = positions.Position(positions.NO_ERA, 5)
     asked = platform.read_configuration(
-        position, store_watch.CONFIGURATION_WAIT
+        position, store_watch.CONFIGURATION_WAIT_SECONDS
     )
     asked.addErrback(failures.append)
     server.accept()
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -115,7 +115,7 @@
 
 def answer(status, *fields):
     response = h11.Response(status_code=status, headers=list(fields))
-    return wire.PlatformDialect().read_answer(response)
+    return wire.PlatformDialect().read_answer_head(response)
 
 
 def test_refusals_that_promise_not_to_have_run():
@@ -141,10 +141,10 @@
     other = h11.Response(status_code=200, headers=[(b'Request-Id', b'xyz')])
     nameless = h11.Response(status_code=200, headers=[])
     shed = h11.Response(status_code=503, headers=[])
-    assert dialect.answers(mine, send)
-    assert not dialect.answers(other, send)
-    assert not dialect.answers(nameless, send)
-    assert dialect.answers(shed, send)
+    assert dialect.is_answer_to(mine, send)
+    assert not dialect.is_answer_to(other, send)
+    assert not dialect.is_answer_to(nameless, send)
+    assert dialect.is_answer_to(shed, send)
 
 
 @pytest.mark.parametrize(
@@ -165,7 +165,7 @@
     Only its start tells that the run it is asked about is lost. What can't be
     read says nothing, and is a sign of life as any other answer.
     """
-    assert wire.PlatformDialect().read_start(status, body) == start
+    assert wire.PlatformDialect().read_started_at_ms(status, body) == start
 
 
 @pytest.mark.parametrize(
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -80,7 +80,7 @@
     assert not connection.transport.disconnecting
 
 
-def test_caller_that_leaves_is_told_to_the_decisions():
+def test_disconnected_caller_is_reported():
     """Otherwise its engine would go on working for nobody."""
     callers = Callers()
     connection = callers.connect()
--- a/tests/relay/test_connection_machine.py
+++ b/tests/relay/test_connection_machine.py
@@ -13,33 +13,33 @@
 
 from tests.common import relay_wires
 
-PICK = st.integers(0, 15)
+INDEX = st.integers(0, 15)
 
 
-class Asked(relay_wires.Receiver):
+class TrackedRequest(relay_wires.Receiver):
     """A request; counts how often it was told of an end."""
 
     def __init__(self, number):
         super().__init__()
         self.number = number
-        self.ends = 0
-        self.left = False
+        self.end_count = 0
+        self.is_abandoned = False
         self.pending = None
 
     @property
     def own_answer(self):
         return f'answer to {self.number}'.encode()
 
-    def answer_complete(self):
-        super().answer_complete()
-        self.ends += 1
+    def answer_completed(self):
+        super().answer_completed()
+        self.end_count += 1
 
-    def answer_broken(self, handed_over, detail):
-        super().answer_broken(handed_over, detail)
-        self.ends += 1
+    def answer_failed(self, handed_over, detail):
+        super().answer_failed(handed_over, detail)
+        self.end_count += 1
 
 
-def head(length):
+def response_head(length):
     return b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % length
 
 
@@ -49,20 +49,20 @@
     def __init__(self):
         super().__init__()
         self.server = relay_wires.Server()
-        self.asked = []
-        self.spoiled = set()
+        self.requests = []
+        self.unusable = set()
 
     # -- helpers ------------------------------------------------------------
 
     @property
-    def open(self):
+    def open_connections(self):
         return [c for c in self.server.connections if not c.closed]
 
     @property
-    def busy(self):
-        return [c for c in self.open if c.receiver is not None]
+    def busy_connections(self):
+        return [c for c in self.open_connections if c.receiver is not None]
 
-    def lose(self, connection):
+    def report_own_reset(self, connection):
         """Tell a connection that we have reset that it is closed."""
         if connection.transport.aborted:
             relay_wires.reset(connection)
@@ -71,7 +71,7 @@
 
     @rule(fresh=st.booleans(), key=st.sampled_from(['engine-1', 'engine-2']))
     def ask(self, fresh, key):
-        request = Asked(len(self.asked))
+        request = TrackedRequest(len(self.requests))
         before = len(self.server.reactor.tcpClients)
         request.pending = self.server.pool.request(
             key,
@@ -82,61 +82,65 @@
         )
         if len(self.server.reactor.tcpClients) > before:
             self.server.accept()
-        self.asked.append(request)
+        self.requests.append(request)
         carrier = request.pending.connection
-        assert carrier not in self.spoiled, 'a spoiled connection is reused'
+        assert carrier not in self.unusable, 'a spoiled connection is reused'
 
-    @precondition(lambda self: self.busy)
-    @rule(number=PICK, pieces=st.integers(1, 3))
+    @precondition(lambda self: self.busy_connections)
+    @rule(number=INDEX, pieces=st.integers(1, 3))
     def answer_whole(self, number, pieces):
-        connection = self.busy[number % len(self.busy)]
+        connection = self.busy_connections[number % len(self.busy_connections)]
         body = connection.receiver.own_answer
-        raw = head(len(body)) + body
+        raw = response_head(len(body)) + body
         step = -(-len(raw) // pieces)
         for at in range(0, len(raw), step):
             connection.dataReceived(raw[at : at + step])
 
-    @precondition(lambda self: self.busy)
-    @rule(number=PICK)
+    @precondition(lambda self: self.busy_connections)
+    @rule(number=INDEX)
     def answer_with_surplus(self, number):
-        connection = self.busy[number % len(self.busy)]
+        connection = self.busy_connections[number % len(self.busy_connections)]
         body = connection.receiver.own_answer
-        raw = head(len(body)) + body
-        self.spoiled.add(connection)
+        raw = response_head(len(body)) + body
+        self.unusable.add(connection)
         connection.dataReceived(raw + raw)
 
-    @precondition(lambda self: self.busy)
-    @rule(number=PICK)
+    @precondition(lambda self: self.busy_connections)
+    @rule(number=INDEX)
     def answer_in_part_and_close(self, number):
-        connection = self.busy[number % len(self.busy)]
-        connection.dataReceived(head(50) + b'only a part')
-        self.spoiled.add(connection)
+        connection = self.busy_connections[number % len(self.busy_connections)]
+        connection.dataReceived(response_head(50) + b'only a part')
+        self.unusable.add(connection)
         relay_wires.close(connection)
 
-    @precondition(lambda self: self.open)
-    @rule(number=PICK)
+    @precondition(lambda self: self.open_connections)
+    @rule(number=INDEX)
     def send_unasked_bytes(self, number):
-        idle = [c for c in self.open if c.receiver is None and not c.settling]
+        idle = [
+            c
+            for c in self.open_connections
+            if c.receiver is None and not c.delayed_request
+        ]
         for connection in idle[number % 3 :][:1]:
-            self.spoiled.add(connection)
-            connection.dataReceived(head(3) + b'old')
+            self.unusable.add(connection)
+            connection.dataReceived(response_head(3) + b'old')
 
-    @precondition(lambda self: self.open)
-    @rule(number=PICK, in_order=st.booleans())
+    @precondition(lambda self: self.open_connections)
+    @rule(number=INDEX, in_order=st.booleans())
     def end_connection(self, number, in_order):
-        connection = self.open[number % len(self.open)]
-        self.spoiled.add(connection)
+        connection = self.open_connections[number % len(self.open_connections)]
+        self.unusable.add(connection)
         end = relay_wires.close if in_order else relay_wires.reset
         end(connection)
 
-    @precondition(lambda self: self.asked)
-    @rule(number=PICK)
+    @precondition(lambda self: self.requests)
+    @rule(number=INDEX)
     def give_up(self, number):
-        request = self.asked[number % len(self.asked)]
-        if request.ends == 0:
-            request.left = True
+        request = self.requests[number % len(self.requests)]
+        if request.end_count == 0:
+            request.is_abandoned = True
             if request.pending.connection is not None:
-                self.spoiled.add(request.pending.connection)
+                self.unusable.add(request.pending.connection)
             request.pending.abandon()
 
     @rule(seconds=st.sampled_from([0.001, 0.01, 1.0, 5.0]))
@@ -145,38 +149,38 @@
         self.server.pool.close_expired()
 
     @rule()
-    def hear_of_own_resets(self):
-        for connection in self.open:
-            self.lose(connection)
+    def report_own_resets(self):
+        for connection in self.open_connections:
+            self.report_own_reset(connection)
 
     # -- promises -----------------------------------------------------------
 
     @invariant()
     def each_request_gets_its_own_answer_or_none(self):
-        for request in self.asked:
+        for request in self.requests:
             if request.complete:
                 assert request.body == request.own_answer
 
     @invariant()
     def each_request_is_told_of_one_end_at_most(self):
-        for request in self.asked:
-            assert request.ends <= 1
-            assert not (request.left and request.ends)
+        for request in self.requests:
+            assert request.end_count <= 1
+            assert not (request.is_abandoned and request.end_count)
 
     @invariant()
     def idle_connections_carry_nothing(self):
-        for kept in self.server.pool.idle.values():
+        for kept in self.server.pool.idle_connections.values():
             for connection in kept:
                 assert connection.receiver is None
-                assert connection.settling is None
-                assert connection not in self.spoiled
+                assert connection.delayed_request is None
+                assert connection not in self.unusable
 
     def teardown(self):
         """A request whose connection is gone has heard of it."""
-        for connection in self.open:
+        for connection in self.open_connections:
             relay_wires.reset(connection)
-        for request in self.asked:
-            assert request.left or request.ends == 1
+        for request in self.requests:
+            assert request.is_abandoned or request.end_count == 1
 
 
 TestConnections = ConnectionMachine.TestCase
--- a/tests/relay/test_engine_connections.py
+++ b/tests/relay/test_engine_connections.py
@@ -24,7 +24,7 @@
     assert server.ask(second) is connection
     connection.dataReceived(WHOLE)
     assert second.complete
-    assert server.pool.opened == 1
+    assert server.pool.connections_opened == 1
 
 
 def test_bytes_behind_an_answer_close_the_connection():
@@ -35,15 +35,15 @@
     server, receiver, connection = ask_and_feed(WHOLE + WHOLE)
     assert receiver.body == b'ok'
     assert connection.transport.aborted
-    assert not server.pool.idle
+    assert not server.pool.idle_connections
 
 
-def test_answer_that_nobody_waits_for_closes_the_connection():
+def test_unsolicited_answer_closes_the_connection():
     """The second answer comes a moment later, on the idle connection."""
     server, _, connection = ask_and_feed(WHOLE)
     connection.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Len')
     assert connection.transport.aborted
-    assert not server.pool.idle
+    assert not server.pool.idle_connections
 
 
 @pytest.mark.parametrize(
@@ -54,7 +54,7 @@
         b'HTTP/1.1 200 OK\r\nContent-Le',
     ],
 )
-def test_torn_answer_is_broken(raw):
+def test_truncated_answer_fails(raw):
     """An engine ends its connection within an answer.
 
     Passed on as it is, it would look like a whole one to a caller who trusts
@@ -75,7 +75,7 @@
     assert receiver.body == b'all of it'
 
 
-def test_answer_without_length_that_is_reset_is_broken():
+def test_answer_without_length_that_is_reset_fails():
     """Only the way its connection ends tells whether it is whole.
 
     A reset on the way would hand the caller a part as the whole.
@@ -87,7 +87,7 @@
     assert receiver.broken[0]
 
 
-def test_bytes_that_are_no_answer_are_broken():
+def test_bytes_that_are_no_answer_fail_the_request():
     _, receiver, connection = ask_and_feed(b'\x00\x01 nonsense\r\n\r\n')
     assert receiver.broken[0]
     assert connection.transport.aborted
@@ -100,7 +100,7 @@
     assert server.ask(relay_wires.Receiver()) is not connection
 
 
-def test_stated_idle_time_is_kept_to():
+def test_keep_alive_timeout_of_the_engine_is_respected():
     """An engine closes idle connections after two seconds.
 
     A request that crosses the close is lost, and may not be repeated if it is
@@ -112,7 +112,7 @@
     assert server.ask(relay_wires.Receiver()) is not connection
 
 
-def test_early_answer_does_not_mix_up_the_next_request():
+def test_early_answer_does_not_corrupt_the_next_request():
     """An engine answers before it has read a long body and goes on reading.
 
     The body was handed over whole, so the next request's bytes come after it
--- a/tests/relay/test_engine_lives.py
+++ b/tests/relay/test_engine_lives.py
@@ -510,7 +510,7 @@
 
     def request(self, key, address, request, receiver, fresh=False):
         self.keys.append(key)
-        return http_client.Pending(request, receiver)
+        return http_client.PendingRequest(request, receiver)
 
 
 def test_connection_to_the_previous_life_is_not_reused():
@@ -523,10 +523,10 @@
     side = engine_side.EngineSide(pool, relay_wires.Dialect(), lambda _: None)
     world = world_of_lives()
     send = world.last_send(world.ask())
-    side.send(send)
-    side.send(dataclasses.replace(send, engine=next_life(send.engine)))
+    side.send_request(send)
+    side.send_request(dataclasses.replace(send, engine=next_life(send.engine)))
     plain = relay_world.engine('plain', relay_world.STREAMS, 'north')
-    side.send(dataclasses.replace(send, engine=plain))
+    side.send_request(dataclasses.replace(send, engine=plain))
     first, second, third = pool.keys
     assert first != second
     assert third == 'plain'
--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -347,7 +347,7 @@
     clock, watch, _ = start_watch(source)
     clock.pump([0.1] * 30)
     figures = relay_metrics.RelayMetrics()
-    figures.unusable = watch.unusable_counts
+    figures.get_unusable_entries = watch.unusable_entries_by_list
     shown = figures.render_relay(0).decode()
     for kind in ('engine', 'instance', 'configuration'):
         told = f'greengagelb_unusable_entries_told{{kind="{kind}"}} 1'
@@ -440,7 +440,7 @@
         '1-a': peer_link.Peer('front.example', watches.OWN.data_centre),
         '2-b': peer_link.Peer('127.0.0.2', watches.OWN.data_centre),
     }
-    link.beat()
+    link.send_heartbeat()
     assert link.transport.sent == [('127.0.0.2', 7000)]
     assert len(bad) == 1
 
--- a/tests/relay/test_forwarded_hints.py
+++ b/tests/relay/test_forwarded_hints.py
@@ -77,14 +77,14 @@
     streams of its callers.
     """
     network = Network()
-    network.links['10.0.0.0'].tell_fleet((HINT,))
+    network.links['10.0.0.0'].broadcast_hints((HINT,))
     assert len(network.received_counts) == 3 * INSTANCES_PER_DATA_CENTRE - 1
     cross_data_centre = [
         pair
         for pair in network.sent
         if pair[0].split('.')[1] != pair[1].split('.')[1]
     ]
-    assert len(cross_data_centre) == 2 * peer_link.FORWARDERS_IN_A_DATA_CENTRE
+    assert len(cross_data_centre) == 2 * peer_link.FORWARDERS_PER_DATA_CENTRE
     sent_by_origin = [pair for pair in network.sent if pair[0] == '10.0.0.0']
     assert len(sent_by_origin) == INSTANCES_PER_DATA_CENTRE - 1 + len(
         cross_data_centre
@@ -101,7 +101,7 @@
         network.dead = {'10.1.0.4', '10.2.0.5'}
         link = network.links['10.0.0.0']
         link.rng = random.Random(seed)
-        link.tell_fleet((HINT,))
+        link.broadcast_hints((HINT,))
         assert (
             len(network.received_counts) == 3 * INSTANCES_PER_DATA_CENTRE - 3
         )
@@ -115,7 +115,7 @@
     """
     network = Network()
     link = network.links['10.0.0.0']
-    link.tell_fleet((hints.EnginesTold((), ('gone',)), HINT))
+    link.broadcast_hints((hints.EnginesTold((), ('gone',)), HINT))
     cross_data_centre = [
         host for sender, host in network.sent if sender == '10.0.0.0'
     ]
--- a/tests/relay/test_stop_ending.py
+++ b/tests/relay/test_stop_ending.py
@@ -224,10 +224,12 @@
     """
     world = instance_world.InstanceWorld()
     beats = []
-    world.instance.peers.beat = lambda leaving=False: beats.append(leaving)
+    world.instance.peers.send_heartbeat = lambda leaving=False: beats.append(
+        leaving
+    )
     connection = world.connect()
     connection.dataReceived(CALL[:-1])
-    world.instance.next_beat = world.reactor.seconds() + 7.65
+    world.instance.next_heartbeat_at = world.reactor.seconds() + 7.65
     world.instance.stop()
     world.advance(instance_world.GRACE_SECONDS)
     assert beats[-1] is True
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -14,7 +14,7 @@
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import hints
 from greengagelb.state.relay import positions
-from greengagelb.transport.relay import questions
+from greengagelb.transport.relay import timed_requests
 from tests.common import relay_world
 from tests.common import store_fleet
 from tests.common import wire_store
@@ -292,7 +292,7 @@
 def test_an_era_that_is_no_number_is_none(stated, era):
     headers = [] if stated is None else [(b'Store-Era', stated)]
     response = h11.Response(status_code=200, headers=headers)
-    answer = questions.Answer(response, b'{"rows": [], "ver": 5}')
+    answer = timed_requests.Answer(response, b'{"rows": [], "ver": 5}')
     assert store.read_rows(answer).position == positions.Position(era, 5)
 
 
--- a/tests/transport/test_compressed_rows.py
+++ b/tests/transport/test_compressed_rows.py
@@ -10,7 +10,7 @@
 from greengagelb.state import plans
 
 
-def test_row_gives_back_what_was_written():
+def test_document_is_unchanged_after_compression_and_decompression():
     plan = plans.Confirmation(7, 'p' * 16)
     text = codec.compress_to_text(plan)
     assert codec.decompress_from_text(text, plans.Confirmation) == plan
@@ -27,7 +27,7 @@
         ).decode(),
     ],
 )
-def test_row_that_says_nothing_is_refused(text):
+def test_row_that_cannot_be_decoded_is_rejected(text):
     """Somebody has written over a row of the platform's table by hand."""
     with pytest.raises(errors.ProtocolError):
         codec.decompress_from_text(text, plans.Confirmation)
--- a/tests/transport/test_engine_fate.py
+++ b/tests/transport/test_engine_fate.py
@@ -26,7 +26,7 @@
         host = (b'Host', b'e')
         return http_client.WireRequest(b'GET', b'/report', (host,))
 
-    def read_start(self, status, body):
+    def read_started_at_ms(self, status, body):
         return int(body)
 
 
@@ -47,11 +47,11 @@
     found = []
     pool = http_client.ConnectionPool(reactor)
     side = engine_side.EngineSide(pool, Dialect(), found.append)
-    side.check(relay_actions.CheckEngine(ENTRY))
+    side.check_engine(relay_actions.CheckEngine(ENTRY))
     return reactor, found
 
 
-def test_an_engine_where_nobody_listens_has_ended():
+def test_engine_that_refuses_connections_has_ended():
     """Guards against crashes that count for nothing."""
     reactor, found = check()
     refused = failure.Failure(error.ConnectionRefusedError())
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize('why', [error.TimeoutError, error.NoRouteError])
-def test_an_engine_that_can_not_be_reached_may_live(why):
+def test_fate_of_an_unreachable_engine_is_unknown(why):
     """Guards against links that are down and count as crashes."""
     reactor, found = check()
     failed = failure.Failure(why())
@@ -68,7 +68,7 @@
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
 
 
-def test_an_engine_that_gives_no_answer_may_live():
+def test_fate_of_an_unresponsive_engine_is_unknown():
     """Guards against engines that are dark and count as crashed."""
     reactor, found = check()
     reactor.advance(1.0)
@@ -79,7 +79,7 @@
     ('start', 'fate'),
     [(1000, FATE.ALIVE), (0, FATE.ALIVE), (1001, FATE.ENDED)],
 )
-def test_an_engine_that_answers_tells_whether_it_is_a_later_life(start, fate):
+def test_engine_with_a_later_start_has_restarted(start, fate):
     """Guards against an engine that is back before it is asked."""
     reactor, found = check()
     connection = reactor.factory.buildProtocol(None)
--- a/tests/transport/test_relay.py
+++ b/tests/transport/test_relay.py
@@ -12,7 +12,7 @@
 ATTEMPT = identity.AttemptId(identity.RequestId('teratak', 'r'), 1, 'i.1')
 
 
-class Relay:
+class GatheredStream:
     """An engine stream fed by hand, with the events that came of it."""
 
     def __init__(self):
@@ -39,31 +39,31 @@
         ]
 
 
-def test_first_token_goes_on_at_once():
-    relay = Relay()
-    relay.receive(0, 'a')
-    assert relay.tokens() == [(0, ('a',))]
+def test_first_token_is_passed_on_at_once():
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    assert gathered.tokens() == [(0, ('a',))]
 
 
-def test_tokens_between_two_relays_go_on_together():
-    relay = Relay()
+def test_tokens_within_one_interval_are_passed_on_together():
+    gathered = GatheredStream()
     for position, token in enumerate('abc'):
-        relay.receive(position, token)
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',)), (1, ('b', 'c'))]
+        gathered.receive(position, token)
+    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b', 'c'))]
 
 
-def test_gathered_tokens_go_before_the_end():
+def test_gathered_tokens_are_passed_on_before_the_end():
     """The last tokens and the end of an answer come in one read.
 
     An end that overtook them would look like an answer with a gap.
     """
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.receive_end(2)
-    assert relay.tokens() == [(0, ('a',)), (1, ('b',))]
-    assert relay.events[-1] == events.AttemptEnded(ATTEMPT, 2, 'stop')
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.receive_end(2)
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b',))]
+    assert gathered.events[-1] == events.AttemptEnded(ATTEMPT, 2, 'stop')
 
 
 def test_gap_between_batches_stays_visible():
@@ -72,19 +72,19 @@
     Gathered as if they followed on, the tokens would reach the caller with
     one missing; kept apart, the gap is seen and the stream recovers.
     """
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.receive(3, 'd')
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',)), (1, ('b',)), (3, ('d',))]
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.receive(3, 'd')
+    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b',)), (3, ('d',))]
 
 
 def test_abandoned_connection_reports_nothing_more():
     """A connection is replaced while tokens of it wait to be relayed."""
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.stream.close()
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',))]
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.stream.close()
+    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',))]
