--- a/src/greengagelb/transport/relay/caller_side.py
+++ b/src/greengagelb/transport/relay/caller_side.py
@@ -124,16 +124,16 @@
     @property
     def is_idle(self) -> bool:
         """Return whether nothing is asked, or refused, on this connection."""
-        under_way = self.exchange is not None or self.has_partial_request
-        return not (under_way or self.is_lingering)
+        is_active = self.exchange is not None or self.has_partial_request
+        return not (is_active or self.is_lingering)
 
     @property
     def has_partial_request(self) -> bool:
         """Return whether a part of a request has come in."""
-        begun = self.partial_request is not None or bool(
+        has_started = self.partial_request is not None or bool(
             self.http.trailing_data[0]
         )
-        return begun and self.exchange is None
+        return has_started and self.exchange is None
 
     def close_or_refuse(self) -> None:
         """Close the connection, as this instance ends."""
@@ -221,17 +221,19 @@
 
     def start_header_timer(self) -> None:
         """Bound how long the rest of a head may take."""
-        begun = self.partial_request is None and bool(
+        has_started = self.partial_request is None and bool(
             self.http.trailing_data[0]
         )
-        if begun and not self.side.is_header_timed(self):
+        if has_started and not self.side.is_header_timed(self):
             self.side.connections_in_header.add(self)
             self.start_timer(
                 self.side.limits.header_seconds, self.handle_header_timeout
             )
         if self.http.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.transport.write(self.http.send(go_on))
+            interim_response = h11.InformationalResponse(
+                status_code=100, headers=[]
+            )
+            self.transport.write(self.http.send(interim_response))
 
     def handle_header_timeout(self) -> None:
         """Refuse a caller that takes too long over its header."""
@@ -355,7 +357,7 @@
         self, status: int, reason: bytes, headers: list, close: bool = False
     ) -> None:
         """Write the head of an answer."""
-        if close or self.side.closing:
+        if close or self.side.is_closing:
             headers = [*headers, (b'Connection', b'close')]
         self.write_bytes(
             self.http.send(
@@ -468,7 +470,7 @@
         self.exchanges: dict[int, CallerConnection] = {}
         self.exchange_numbers = itertools.count(1)
         self.body_bytes = 0
-        self.closing = False
+        self.is_closing = False
         self.drained: defer.Deferred | None = None
 
     @property
--- a/src/greengagelb/transport/relay/http_client.py
+++ b/src/greengagelb/transport/relay/http_client.py
@@ -92,7 +92,7 @@
         self.has_answer_started = False
         self.idle_until = 0.0
         self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
-        self.closed = False
+        self.is_closed = False
 
     def connectionMade(self) -> None:  # noqa: N802
         """Prepare the socket."""
@@ -122,7 +122,7 @@
 
     def reset_connection(self) -> None:
         """Reset the connection and never use it again."""
-        self.closed = True
+        self.is_closed = True
         self.pool.remove_idle_connection(self)
         self.transport.abortConnection()
 
@@ -130,7 +130,7 @@
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Pass on what belongs to the request that waits."""
-        if self.closed:
+        if self.is_closed:
             return
         if self.receiver is None:
             self.reset_connection()
@@ -205,7 +205,7 @@
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
         """End what is under way; an orderly end may end an answer."""
-        self.closed = True
+        self.is_closed = True
         self.pool.remove_idle_connection(self)
         delayed_request, self.delayed_request = self.delayed_request, None
         if delayed_request is not None:
@@ -380,7 +380,7 @@
         now = self.reactor.seconds()
         while kept:
             connection = kept.pop()
-            if connection.idle_until > now and not connection.closed:
+            if connection.idle_until > now and not connection.is_closed:
                 return connection
             connection.reset_connection()
         return None
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -265,7 +265,7 @@
         self.kill_at = asked_at + grace
         self.abort_at = self.kill_at - ABORT_MARGIN_SECONDS
         self.serve_until = asked_at + min(READINESS_LAG_SECONDS, grace / 2)
-        self.callers.closing = True
+        self.callers.is_closing = True
         self.loop.dispatch(relay_events.StopRequested(self.abort_at, asked_at))
         self.loop.repeat(STOP_POLL_SECONDS, self.end_serving_if_done)
 
--- a/src/greengagelb/transport/relay/peer_link.py
+++ b/src/greengagelb/transport/relay/peer_link.py
@@ -86,13 +86,15 @@
 
     def choose_forwarders(self) -> list[str]:
         """Return hosts of some instances in each of the other data centres."""
-        far: dict[str, list[str]] = collections.defaultdict(list)
+        hosts_by_data_centre: dict[str, list[str]] = collections.defaultdict(
+            list
+        )
         for peer in self.peers.values():
             if peer.data_centre != self.own.data_centre:
-                far[peer.data_centre].append(peer.host)
+                hosts_by_data_centre[peer.data_centre].append(peer.host)
         return [
             host
-            for hosts in far.values()
+            for hosts in hosts_by_data_centre.values()
             for host in self.rng.sample(
                 hosts, min(FORWARDERS_PER_DATA_CENTRE, len(hosts))
             )
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -220,7 +220,7 @@
         for entry in self.unusable_members.replace_all(read.mistakes):
             self.record(
                 actions.Record(
-                    'bad-instance-entry', entry.why, upstream=entry.name
+                    'bad-instance-entry', entry.reason, upstream=entry.name
                 )
             )
         self.restore_summary.add_rows('instances read', len(read.members))
@@ -356,7 +356,7 @@
     def check_era(
         self,
         found: positions.Position,
-        asked_from: positions.Position | None = None,
+        requested_since: positions.Position | None = None,
     ) -> None:
         """Raise what is wrong with an answer of another era.
 
@@ -373,7 +373,7 @@
                 raise errors.LateAnswer(why)
             case store_eras.EraVerdict.RESTORED:
                 self.record_restore(previous_era, found)
-        if asked_from is not None and asked_from.era != found.era:
+        if requested_since is not None and requested_since.era != found.era:
             raise errors.HistoryGone('store has come back from a copy')
 
     def record_restore(
@@ -387,8 +387,10 @@
                 self.configuration_position,
             )
         )
-        back = max(0, known - found.version)
-        why = f'era {previous_era} to {found.era}, {back} versions back'
+        versions_lost = max(0, known - found.version)
+        why = (
+            f'era {previous_era} to {found.era}, {versions_lost} versions back'
+        )
         self.record(actions.Record('store-restored', why))
         self.restore_summary.start_era(found.era)
         self.reactor.callLater(
@@ -424,7 +426,7 @@
             return
         found = unusable_entries.UnusableEntry(CONFIGURATION, read.mistake)
         for entry in self.unusable_configuration.add_changed((found,)):
-            self.record(actions.Record('bad-configuration', entry.why))
+            self.record(actions.Record('bad-configuration', entry.reason))
 
     @defer.inlineCallbacks
     def read_engines_when_due(self) -> object:
@@ -480,6 +482,6 @@
         for entry in new_mistakes:
             self.record(
                 actions.Record(
-                    'bad-engine-entry', entry.why, upstream=entry.name
+                    'bad-engine-entry', entry.reason, upstream=entry.name
                 )
             )
--- a/src/greengagelb/transport/relay/unusable_entries.py
+++ b/src/greengagelb/transport/relay/unusable_entries.py
@@ -18,7 +18,7 @@
     """An entry that can't be used; ``name`` is empty where it has none."""
 
     name: str
-    why: str
+    reason: str
 
 
 class UnusableEntries:
@@ -46,11 +46,11 @@
         """Take in changed entries; return the mistakes that are new."""
         new_mistakes = []
         for entry in found:
-            why = entry.why[:MAX_TEXT_CHARACTERS]
-            if self.reasons.get(entry.name) != why:
-                self.reasons[entry.name] = why
+            reason = entry.reason[:MAX_TEXT_CHARACTERS]
+            if self.reasons.get(entry.name) != reason:
+                self.reasons[entry.name] = reason
                 new_mistakes.append(
-                    UnusableEntry(entry.name[:MAX_TEXT_CHARACTERS], why)
+                    UnusableEntry(entry.name[:MAX_TEXT_CHARACTERS], reason)
                 )
         self.reported_count += len(new_mistakes)
         return new_mistakes
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -215,7 +215,7 @@
     assert [entry.engine for entry in found.entries] == ['i-1', 'i-3']
     [mistake] = found.mistakes
     assert mistake.name == 'i-2'
-    assert mistake.why
+    assert mistake.reason
 
 
 @pytest.mark.parametrize('field', NEEDED)
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -42,7 +42,7 @@
         connection.makeConnection(relay_wires.Wire())
         return connection
 
-    def arrived(self):
+    def arrived_requests(self):
         return [
             event.request
             for event in self.events
@@ -62,9 +62,9 @@
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST[:-1])
-    assert not callers.arrived()
+    assert not callers.arrived_requests()
     connection.dataReceived(REQUEST[-1:])
-    [request] = callers.arrived()
+    [request] = callers.arrived_requests()
     assert request.body == b'hi'
 
 
@@ -72,9 +72,9 @@
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST + REQUEST)
-    assert len(callers.arrived()) == 1
+    assert len(callers.arrived_requests()) == 1
     pass_answer(callers, 1, b'one')
-    assert len(callers.arrived()) == 2
+    assert len(callers.arrived_requests()) == 2
     pass_answer(callers, 2, b'two')
     assert answers(connection) == [(200, b'one'), (200, b'two')]
     assert not connection.transport.disconnecting
@@ -98,8 +98,8 @@
     connection = callers.connect()
     connection.dataReceived(REQUEST)
     callers.side.carry_out(relay_actions.BeginStream(1, HEAD))
-    moved = (requests.StreamEvent(1, b'id: 1\n\n'),)
-    callers.side.carry_out(relay_actions.PassEvents(1, moved))
+    stream_events = (requests.StreamEvent(1, b'id: 1\n\n'),)
+    callers.side.carry_out(relay_actions.PassEvents(1, stream_events))
     callers.side.carry_out(relay_actions.AbortStream(1))
     assert connection.transport.aborted
     assert answers(connection) == [(200, None)]
@@ -110,8 +110,8 @@
     connection = callers.connect()
     connection.dataReceived(REQUEST)
     callers.side.carry_out(relay_actions.BeginStream(1, HEAD))
-    moved = (requests.StreamEvent(1, b'id: 1\n\n'),)
-    callers.side.carry_out(relay_actions.PassEvents(1, moved))
+    stream_events = (requests.StreamEvent(1, b'id: 1\n\n'),)
+    callers.side.carry_out(relay_actions.PassEvents(1, stream_events))
     callers.side.carry_out(relay_actions.EndStream(1))
     assert answers(connection) == [(200, b'id: 1\n\n')]
 
@@ -149,7 +149,7 @@
     assert answers(connection)[0][0] == status
     assert connection.transport.half_closed
     assert not connection.transport.aborted
-    assert not callers.arrived()
+    assert not callers.arrived_requests()
     callers.clock.advance(2.0)
     assert connection.transport.aborted
 
@@ -160,7 +160,7 @@
     connection.dataReceived(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     connection.dataReceived(REQUEST)
     assert answers(connection)[0][0] == 400
-    assert len(callers.arrived()) == 1
+    assert len(callers.arrived_requests()) == 1
 
 
 def test_slow_header_is_given_up():
@@ -188,7 +188,7 @@
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
-    callers.side.closing = True
+    callers.side.is_closing = True
     pass_answer(callers, 1)
     assert b'Connection: close' in connection.transport.value()
     assert connection.transport.disconnecting
--- a/tests/relay/test_connection_machine.py
+++ b/tests/relay/test_connection_machine.py
@@ -56,7 +56,7 @@
 
     @property
     def open_connections(self):
-        return [c for c in self.server.connections if not c.closed]
+        return [c for c in self.server.connections if not c.is_closed]
 
     @property
     def busy_connections(self):
--- a/tests/relay/test_engine_connections.py
+++ b/tests/relay/test_engine_connections.py
@@ -7,7 +7,7 @@
 WHOLE = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 
 
-def ask_and_feed(raw):
+def receive_answer(raw):
     """Return server, receiver and connection after some bytes came back."""
     server = relay_wires.Server()
     receiver = relay_wires.Receiver()
@@ -17,7 +17,7 @@
 
 
 def test_whole_answer_leaves_its_connection_for_the_next_request():
-    server, receiver, connection = ask_and_feed(WHOLE)
+    server, receiver, connection = receive_answer(WHOLE)
     assert receiver.complete
     assert receiver.body == b'ok'
     second = relay_wires.Receiver()
@@ -32,7 +32,7 @@
 
     Kept, the connection would give it to the next caller as its own.
     """
-    server, receiver, connection = ask_and_feed(WHOLE + WHOLE)
+    server, receiver, connection = receive_answer(WHOLE + WHOLE)
     assert receiver.body == b'ok'
     assert connection.transport.aborted
     assert not server.pool.idle_connections
@@ -40,7 +40,7 @@
 
 def test_unsolicited_answer_closes_the_connection():
     """The second answer comes a moment later, on the idle connection."""
-    server, _, connection = ask_and_feed(WHOLE)
+    server, _, connection = receive_answer(WHOLE)
     connection.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Len')
     assert connection.transport.aborted
     assert not server.pool.idle_connections
@@ -60,7 +60,7 @@
     Passed on as it is, it would look like a whole one to a caller who trusts
     the length it is told.
     """
-    _, receiver, connection = ask_and_feed(raw)
+    _, receiver, connection = receive_answer(raw)
     relay_wires.close(connection)
     assert not receiver.complete
     assert receiver.broken[0]
@@ -68,7 +68,7 @@
 
 def test_answer_without_length_ends_with_its_connection():
     raw = b'HTTP/1.1 200 OK\r\n\r\nall of it'
-    _, receiver, connection = ask_and_feed(raw)
+    _, receiver, connection = receive_answer(raw)
     assert not receiver.complete
     relay_wires.close(connection)
     assert receiver.complete
@@ -81,21 +81,21 @@
     A reset on the way would hand the caller a part as the whole.
     """
     raw = b'HTTP/1.1 200 OK\r\n\r\nhalf of'
-    _, receiver, connection = ask_and_feed(raw)
+    _, receiver, connection = receive_answer(raw)
     relay_wires.reset(connection)
     assert not receiver.complete
     assert receiver.broken[0]
 
 
 def test_bytes_that_are_no_answer_fail_the_request():
-    _, receiver, connection = ask_and_feed(b'\x00\x01 nonsense\r\n\r\n')
+    _, receiver, connection = receive_answer(b'\x00\x01 nonsense\r\n\r\n')
     assert receiver.broken[0]
     assert connection.transport.aborted
 
 
 def test_connection_that_is_to_be_closed_is_not_used_again():
     raw = WHOLE.replace(b'\r\n\r\n', b'\r\nConnection: close\r\n\r\n')
-    server, receiver, connection = ask_and_feed(raw)
+    server, receiver, connection = receive_answer(raw)
     assert receiver.complete
     assert server.ask(relay_wires.Receiver()) is not connection
 
@@ -107,7 +107,7 @@
     a charge.
     """
     raw = WHOLE.replace(b'\r\n\r\n', b'\r\nKeep-Alive: timeout=2\r\n\r\n')
-    server, _, connection = ask_and_feed(raw)
+    server, _, connection = receive_answer(raw)
     server.reactor.advance(1.5)
     assert server.ask(relay_wires.Receiver()) is not connection
 
@@ -141,7 +141,7 @@
 
 
 def test_reset_after_the_request_may_have_run():
-    _, receiver, connection = ask_and_feed(b'')
+    _, receiver, connection = receive_answer(b'')
     relay_wires.reset(connection)
     assert receiver.broken[0] is True
 
@@ -151,7 +151,7 @@
 
     What was kept for the former one must not carry requests to it.
     """
-    server, _, connection = ask_and_feed(WHOLE)
+    server, _, connection = receive_answer(WHOLE)
     receiver = relay_wires.Receiver()
     assert server.ask(receiver, key='engine-2') is not connection
 
@@ -161,5 +161,5 @@
 
     What is sent on it next is lost, and nobody knows whether it ran.
     """
-    server, _, connection = ask_and_feed(WHOLE)
+    server, _, connection = receive_answer(WHOLE)
     assert server.ask(relay_wires.Receiver(), fresh=True) is not connection
--- a/tests/transport/test_engine_control.py
+++ b/tests/transport/test_engine_control.py
@@ -15,7 +15,7 @@
 ATTEMPT = identity.AttemptId(identity.RequestId('teratak', 'r'), 1, 'i.1')
 
 
-def client_on(network):
+def create_client(network):
     found = []
     client = engine_client.EngineClient(network.reactor, found.append)
     return client, found
@@ -27,7 +27,7 @@
     Followed, the report of another engine would be taken for this one's.
     """
     network = wires.Network()
-    client, found = client_on(network)
+    client, found = create_client(network)
     client.probe(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
     wire.answer(b'', 'Location: http://10.0.0.2:1/', status='302 Found')
@@ -42,7 +42,7 @@
     some thousands of them the instance can open no more.
     """
     network = wires.Network()
-    client, found = client_on(network)
+    client, found = create_client(network)
     client.cancel(actions.CancelAttempt(ATTEMPT, UPSTREAM))
     wire = network.accept()
     wire.answer(b'no', status='500 Internal Server Error', length=1000)
@@ -56,7 +56,7 @@
     Kept whole, it would fill the memory that all callers' streams need.
     """
     network = wires.Network()
-    client, found = client_on(network)
+    client, found = create_client(network)
     client.probe(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
     wire.answer(bytes(http.MOST_BODY_BYTES + 1), length=1 << 40)
@@ -71,7 +71,7 @@
     the instance ends and breaks the streams that it serves.
     """
     network = wires.Network()
-    client, found = client_on(network)
+    client, found = create_client(network)
     client.start(
         actions.StartAttempt(
             ATTEMPT,
--- a/tests/transport/test_engine_fate.py
+++ b/tests/transport/test_engine_fate.py
@@ -41,7 +41,7 @@
         """Stop connecting."""
 
 
-def check():
+def check_engine():
     """Ask an engine for its fate; return the reactor and what is reported."""
     reactor = Reactor()
     found = []
@@ -53,7 +53,7 @@
 
 def test_engine_that_refuses_connections_has_ended():
     """Guards against crashes that count for nothing."""
-    reactor, found = check()
+    reactor, found = check_engine()
     refused = failure.Failure(error.ConnectionRefusedError())
     reactor.factory.clientConnectionFailed(None, refused)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.ENDED)]
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize('why', [error.TimeoutError, error.NoRouteError])
 def test_fate_of_an_unreachable_engine_is_unknown(why):
     """Guards against links that are down and count as crashes."""
-    reactor, found = check()
+    reactor, found = check_engine()
     failed = failure.Failure(why())
     reactor.factory.clientConnectionFailed(None, failed)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
@@ -70,7 +70,7 @@
 
 def test_fate_of_an_unresponsive_engine_is_unknown():
     """Guards against engines that are dark and count as crashed."""
-    reactor, found = check()
+    reactor, found = check_engine()
     reactor.advance(1.0)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
 
@@ -81,7 +81,7 @@
 )
 def test_engine_with_a_later_start_has_restarted(start, fate):
     """Guards against an engine that is back before it is asked."""
-    reactor, found = check()
+    reactor, found = check_engine()
     connection = reactor.factory.buildProtocol(None)
     connection.makeConnection(relay_wires.Wire())
     server = h11.Connection(h11.SERVER)
