--- a/src/greengagelb/transport/relay/caller_side.py
+++ b/src/greengagelb/transport/relay/caller_side.py
@@ -1,8 +1,8 @@
-"""Connections of callers: reads whole requests, writes answers.
+"""Server side connections of callers.
 
-A request is read whole before anything is decided on it, so that a caller
-who never finishes its body costs no engine anything, and a request that has
-to go to a second engine can.
+A request is read completely before it is handed to the decisions. A caller
+that never finishes its body therefore occupies no engine, and a request can be
+sent to a second engine.
 """
 
 from collections.abc import Callable
@@ -31,26 +31,27 @@
 TOO_LARGE = 413
 HEADER_TOO_LARGE = 431
 UNAVAILABLE = 503
-# After an answer that ends a connection early, what the caller still sends is
-# read and dropped for so long: closing with unread bytes would reset the
-# connection, and the answer could be lost on its way. In seconds.
+# How long further input is discarded after an answer that ends a connection
+# early. Closing a socket with unread bytes would reset the connection, and the
+# answer could be lost in transit.
 LINGER_SECONDS = 1.0
-# Bodies that are being read or kept for a second try, all together.
+# Total of all bodies that are being received or kept for a retry.
 MAX_BUFFERED_BODY_BYTES = 48 << 20
-# Bytes of a further request that a caller may send while it waits.
+# What a caller may send of further requests before the current one is
+# answered.
 MAX_PIPELINED_BYTES = 65_536
-# Bytes of a stream that may wait for a caller who does not read. Streams of
-# this size are over before; a caller that far behind has stopped reading.
+# The most of a stream that may wait for a slow caller. Whole streams are
+# smaller, so a caller that far behind has stopped reading.
 MAX_UNSENT_BYTES = 1 << 20
 BODIES_FULL_RETRY_SECONDS = 0.5
-# A caller whose request is refused as this instance ends finds another one as
-# soon as it connects again; by then the port here is closed. In seconds.
+# After this time the port of a stopping instance is closed, so a refused
+# caller that connects again reaches another instance.
 STOPPING_RETRY_SECONDS = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class PartialRequest:
-    """A request that is being read."""
+    """A request that has not been received completely."""
 
     head: h11.Request
     received_at: float
@@ -58,7 +59,11 @@
 
 
 class CallerConnection(protocol.Protocol):
-    """One connection of a caller."""
+    """One connection of a caller.
+
+    ``buffered_body_bytes`` is this connection's part of the total that
+    :class:`CallerSide` bounds.
+    """
 
     def __init__(self, side: 'CallerSide') -> None:
         self.side = side
@@ -75,10 +80,8 @@
         self.is_write_paused = False
         self.unsent_bytes = 0
 
-    # -- life ---------------------------------------------------------------
-
     def connectionMade(self) -> None:  # noqa: N802
-        """Wait for the first request."""
+        """Start the idle timeout of the new connection."""
         http1.configure_socket(self.transport)
         self.transport.registerProducer(self, True)
         self.side.connections.add(self)
@@ -89,7 +92,7 @@
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """Tell the decisions that the caller is gone."""
+        """Report that the caller has disconnected, if it awaits an answer."""
         self.cancel_timer()
         self.side.remove_connection(self)
         self.release_body_bytes()
@@ -100,43 +103,46 @@
     def start_timer(
         self, seconds: float, callback: Callable[[], None]
     ) -> None:
-        """Call a function unless the caller moves on before."""
+        """Call a function after some seconds; replaces the timer before."""
         self.cancel_timer()
         self.timer = self.side.reactor.callLater(
             seconds, self.run_timer_callback, callback
         )
 
     def run_timer_callback(self, callback: Callable[[], None]) -> None:
-        """Carry out what was waited for."""
+        """Clear the timer that has fired, and call its function."""
         self.timer = None
         callback()
 
     def cancel_timer(self) -> None:
-        """Forget the timer."""
+        """Cancel the timer, if one is set."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
 
     def handle_idle_timeout(self) -> None:
-        """Close a connection on which nothing was asked for long."""
+        """Close a connection without a request for ``idle_seconds``."""
         self.close_when_written()
 
     @property
     def is_idle(self) -> bool:
-        """Return whether nothing is asked, or refused, on this connection."""
+        """Return whether the connection carries no request and no refusal."""
         is_active = self.exchange is not None or self.has_partial_request
         return not (is_active or self.is_lingering)
 
     @property
     def has_partial_request(self) -> bool:
-        """Return whether a part of a request has come in."""
+        """Return whether a request has been received only in part."""
         has_started = self.partial_request is not None or bool(
             self.http.trailing_data[0]
         )
         return has_started and self.exchange is None
 
     def close_or_refuse(self) -> None:
-        """Close the connection, as this instance ends."""
+        """Close the connection as the process ends.
+
+        A request that was received only in part is refused first.
+        """
         if self.transport.disconnecting:
             return
         if self.is_idle:
@@ -145,7 +151,7 @@
             self.refuse_partial_request()
 
     def refuse_partial_request(self) -> None:
-        """Refuse a request that has come in only in part.
+        """Refuse a request that has been received only in part.
 
         Without an answer its caller could not know whether it has run.
         """
@@ -155,26 +161,28 @@
             )
 
     def close_when_written(self) -> None:
-        """Close the connection once all that was written is out."""
+        """Close the connection once the send buffer is empty."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def pauseProducing(self) -> None:  # noqa: N802
-        """Note that the caller does not read as fast as it is sent."""
+        """Note that the send buffer is full: the caller reads too slowly."""
         self.is_write_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Note that the caller has caught up."""
+        """Note that the send buffer has been emptied."""
         self.is_write_paused = False
         self.unsent_bytes = 0
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Nothing to do: the end is told by ``connectionLost``."""
-
-    # -- reading ------------------------------------------------------------
+        """Do nothing: ``connectionLost`` handles the end."""
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Read on, unless an answer is still owed or all is over."""
+        """Parse received bytes.
+
+        They are discarded after a refusal that ends the connection. A caller
+        that pipelines too much before its answer is disconnected.
+        """
         if self.is_lingering:
             return
         if self.exchange is not None:
@@ -185,7 +193,10 @@
         self.parse_bytes(data)
 
     def parse_bytes(self, data: bytes) -> None:
-        """Have bytes parsed, and carry out what they mean."""
+        """Parse bytes and handle the resulting events.
+
+        Stops after a whole request until that one is answered.
+        """
         if data:
             self.http.receive_data(data)
         try:
@@ -202,7 +213,7 @@
             self.refuse_and_close(status, code)
 
     def handle_next_event(self) -> bool:
-        """Handle one parsed event; return whether there may be more."""
+        """Handle one parsed event; return whether more may follow."""
         event = self.http.next_event()
         match event:
             case h11.Request():
@@ -220,7 +231,7 @@
         return True
 
     def start_header_timer(self) -> None:
-        """Bound how long the rest of a head may take."""
+        """Start the header timeout; send the interim response if awaited."""
         has_started = self.partial_request is None and bool(
             self.http.trailing_data[0]
         )
@@ -236,15 +247,15 @@
             self.transport.write(self.http.send(interim_response))
 
     def handle_header_timeout(self) -> None:
-        """Refuse a caller that takes too long over its header."""
+        """Refuse a request whose header took too long."""
         self.refuse_and_close(REQUEST_TIMEOUT, 'header-timeout')
 
     def handle_body_timeout(self) -> None:
-        """Refuse a caller that stopped in the middle of its body."""
+        """Refuse a request whose body took too long."""
         self.refuse_and_close(REQUEST_TIMEOUT, 'body-timeout')
 
     def begin_request(self, head: h11.Request) -> None:
-        """Begin to read a request."""
+        """Start to receive a body; refuse one whose length is not accepted."""
         self.side.connections_in_header.discard(self)
         now = self.side.reactor.seconds()
         self.partial_request = PartialRequest(head, now, bytearray())
@@ -257,8 +268,9 @@
             fields, b'transfer-encoding'
         )
         if content_length is not None and transfer_encoding is not None:
-            # Two framings: what stands between us and the caller may have
-            # read the other one, and a second request would hide in this one.
+            # A proxy between the caller and this instance may have used the
+            # other framing; the body could then hide a second request
+            # (request smuggling).
             self.refuse_and_close(BAD_REQUEST, 'ambiguous-length')
         elif (
             content_length
@@ -267,7 +279,7 @@
             self.refuse_and_close(TOO_LARGE, 'body-too-large')
 
     def append_body(self, data: bytes) -> None:
-        """Keep a part of the body, within the bounds."""
+        """Append a part of the body, up to the limits on size and memory."""
         self.partial_request.body += data
         self.buffered_body_bytes += len(data)
         self.side.body_bytes += len(data)
@@ -279,7 +291,7 @@
             )
 
     def dispatch_request(self) -> None:
-        """Hand a whole request to the decisions."""
+        """Hand a complete request to the decisions."""
         self.cancel_timer()
         partial_request, self.partial_request = self.partial_request, None
         if partial_request is None or self.is_lingering:
@@ -305,16 +317,14 @@
         self.side.dispatch(relay_events.RequestArrived(request))
 
     def release_body_bytes(self) -> None:
-        """Count the bytes of a body no longer."""
+        """Subtract this connection's body from the total of all bodies."""
         self.side.body_bytes -= self.buffered_body_bytes
         self.buffered_body_bytes = 0
 
-    # -- answering ----------------------------------------------------------
-
     def refuse_and_close(
         self, status: int, code: str, retry_after: float | None = None
     ) -> None:
-        """Answer a request that is not read to its end, then close."""
+        """Refuse a request that was not received completely, then close."""
         self.is_lingering = True
         self.partial_request = None
         self.side.record_refusal(status, code)
@@ -327,7 +337,7 @@
     def refuse_request(
         self, status: int, code: str, retry_after: float | None
     ) -> None:
-        """Answer a request that was read whole with a refusal."""
+        """Refuse a request that was received completely."""
         self.write_refusal(status, code, retry_after, close=False)
         self.start_next_request()
 
@@ -339,7 +349,10 @@
         close: bool,
         detail: str = '',
     ) -> None:
-        """Write an answer of our own; ``detail`` says what is wrong."""
+        """Write an answer of this instance itself.
+
+        ``retry_after`` is in seconds; ``detail`` describes the mistake.
+        """
         problem = {'code': code}
         if detail:
             problem['detail'] = detail
@@ -368,20 +381,20 @@
         )
 
     def write_end(self, body: bytes = b'') -> None:
-        """Write the rest of an answer and its end."""
+        """Write the remaining body of an answer and its end."""
         out = b''
         if body:
             out = self.http.send(h11.Data(data=body)) or b''
         self.write_bytes(out + (self.http.send(h11.EndOfMessage()) or b''))
 
     def write_bytes(self, data: bytes) -> None:
-        """Write bytes, and count what a slow caller has not taken."""
+        """Write bytes; count those that wait for a slow caller."""
         self.transport.write(data)
         if self.is_write_paused:
             self.unsent_bytes += len(data)
 
     def start_next_request(self) -> None:
-        """Wait for the next request, or close if there is to be none."""
+        """Start the next request cycle, or close if there can be none."""
         self.exchange = None
         self.release_body_bytes()
         self.pipelined_bytes = 0
@@ -398,7 +411,7 @@
         self.parse_bytes(b'')
 
     def pass_answer(self, action: relay_actions.PassAnswer) -> None:
-        """Write an engine's whole answer."""
+        """Write an engine's complete answer."""
         headers = with_content_length(action.head.headers, len(action.body))
         self.write_head(action.head.status, action.head.reason, headers)
         self.write_end(action.body)
@@ -410,19 +423,19 @@
         self.write_head(head.status, head.reason, headers)
 
     def pass_events(self, action: relay_actions.PassEvents) -> None:
-        """Write events of a stream."""
+        """Write events of a stream; disconnect a caller that does not read."""
         raw = b''.join(event.raw for event in action.events)
         self.write_bytes(self.http.send(h11.Data(data=raw)))
         if self.unsent_bytes > MAX_UNSENT_BYTES:
             self.transport.abortConnection()
 
     def end_stream(self) -> None:
-        """End a streamed answer."""
+        """Complete a streamed answer."""
         self.write_end()
         self.start_next_request()
 
     def reset_connection(self) -> None:
-        """Reset the connection: the answer must not look complete."""
+        """Reset the connection, so that the answer does not look complete."""
         self.exchange = None
         self.transport.abortConnection()
 
@@ -430,14 +443,14 @@
 def without_content_length(
     headers: requests.Headers,
 ) -> list[tuple[bytes, bytes]]:
-    """Return header fields without the length of a body."""
+    """Return header fields without ``Content-Length``."""
     return [(n, v) for n, v in headers if n.lower() != b'content-length']
 
 
 def with_content_length(
     headers: requests.Headers, length: int
 ) -> list[tuple[bytes, bytes]]:
-    """Return header fields that state the length of a body.
+    """Return header fields with the ``Content-Length`` of a body.
 
     An answer to a ``HEAD`` request states a length without having a body.
     """
@@ -448,7 +461,11 @@
 
 
 class CallerSide(protocol.ServerFactory):
-    """All connections of callers, and the exchanges that wait on them."""
+    """All connections of callers, and the exchanges that await an answer.
+
+    ``record_refusal`` gets status and code of each refusal that precedes any
+    decision. ``body_bytes`` is the total of all buffered bodies.
+    """
 
     noisy = False
 
@@ -475,7 +492,7 @@
 
     @property
     def limits(self) -> routes.Limits:
-        """Return the limits that are in force now."""
+        """Return the current limits on callers."""
         return self.get_limits()
 
     def buildProtocol(  # noqa: N802
@@ -485,35 +502,35 @@
         return CallerConnection(self)
 
     def is_header_timed(self, connection: CallerConnection) -> bool:
-        """Return whether a head's time is being taken already."""
+        """Return whether a connection's header timeout is running."""
         return connection in self.connections_in_header
 
     def report_caller_gone(self, exchange: int) -> None:
-        """Tell the decisions that a caller has left."""
+        """Report that the caller of an exchange has disconnected."""
         if self.exchanges.pop(exchange, None) is not None:
             self.dispatch(events.CallerGone(exchange))
 
     def remove_connection(self, connection: CallerConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
         self.connections_in_header.discard(connection)
         self.notify_if_drained()
 
     def close_idle_connections(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request or refusal."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close_when_written()
 
     def refuse_partial_requests(self) -> None:
-        """Refuse the requests that have come in only in part."""
+        """Refuse the requests that have been received only in part."""
         for connection in list(self.connections):
             connection.refuse_partial_request()
 
     def drain(self) -> defer.Deferred:
-        """Close all connections; fire once all that was written is out.
+        """Close all connections; the Deferred fires once they are closed.
 
-        What is still in a buffer when the process ends is lost.
+        Bytes that are still in a send buffer when the process ends are lost.
         """
         drained = self.drained = defer.Deferred()
         for connection in list(self.connections):
@@ -522,7 +539,7 @@
         return drained
 
     def notify_if_drained(self) -> None:
-        """Tell that the last connection is closed."""
+        """Fire the Deferred of ``drain`` if no connection is left."""
         if self.drained is not None and not self.connections:
             drained, self.drained = self.drained, None
             drained.callback(None)
@@ -530,15 +547,18 @@
     def reset_waiting_connections(self) -> None:
         """Reset the connections that still wait for an answer.
 
-        Done before the process ends: were the engines' connections closed
-        first, their requests would be sent to other engines once more.
+        This precedes the end of the process: if the engines' connections were
+        closed first, their requests would be sent to other engines again.
         """
         for exchange, connection in list(self.exchanges.items()):
             self.report_caller_gone(exchange)
             connection.reset_connection()
 
     def carry_out(self, action: relay_actions.RelayAction) -> None:
-        """Carry out what concerns a caller."""
+        """Carry out an action on a caller's connection.
+
+        Actions on an exchange that is over are ignored.
+        """
         final = not isinstance(
             action, relay_actions.BeginStream | relay_actions.PassEvents
         )
--- a/src/greengagelb/transport/relay/dialect.py
+++ b/src/greengagelb/transport/relay/dialect.py
@@ -1,4 +1,4 @@
-"""What an adapter translates between the wire and the product's types."""
+"""The interface of an adapter between a wire format and internal types."""
 
 from typing import Protocol
 
@@ -11,7 +11,7 @@
 
 
 class Dialect(Protocol):
-    """Names and formats of one platform; it decides nothing."""
+    """Header names and body formats of one platform, without decisions."""
 
     def read_request(
         self,
@@ -22,14 +22,14 @@
     ) -> requests.CallerRequest:
         """Return a caller's request.
 
-        Raises :class:`~greengagelb.errors.ProtocolError` where a field that
-        decides something can't be read.
+        Raises :class:`~greengagelb.errors.ProtocolError` if a field that
+        decisions depend on can't be read.
         """
 
     def write_send(
         self, send: relay_actions.Send, now: float
     ) -> http_client.WireRequest:
-        """Return a request as its engine gets it."""
+        """Return a request as it is sent to its engine at a time."""
 
     def read_answer_head(self, response: h11.Response) -> requests.AnswerHead:
         """Return the head of an engine's answer."""
@@ -37,40 +37,40 @@
     def is_answer_to(
         self, response: h11.Response, send: relay_actions.Send
     ) -> bool:
-        """Return whether an answer is the one to a send."""
+        """Return whether an answer belongs to a send."""
 
     def write_probe(
         self, engine: engines.EngineEntry
     ) -> http_client.WireRequest:
-        """Return a request that an engine answers while it lives.
+        """Return a probe, which an engine answers while it is alive.
 
-        It needs no free slot, so that a busy engine answers too.
+        It needs no free slot, so a busy engine answers too.
         """
 
     def read_started_at_ms(self, status: int, body: bytes) -> int:
-        """Return when an engine that was probed says that it was started.
+        """Return the start time in an answer to a probe.
 
-        In Unix milliseconds; ``UNKNOWN_START`` where it does not say.
+        In Unix milliseconds; ``UNKNOWN_START`` if the answer has none.
         """
 
     def read_has_model_memory(self, status: int, body: bytes) -> bool:
-        """Return whether what was probed is a model engine, and stays one."""
+        """Return whether a probed engine has a model and is not draining."""
 
     def write_copy_request(
         self, copy: relay_actions.CopyRun
     ) -> http_client.WireRequest:
-        """Return the order to copy a run's memory."""
+        """Return the request that has an engine copy a run's memory."""
 
     def read_copy_handle(self, status: int, body: bytes) -> str:
-        """Return the handle in the answer to such an order, or ''."""
+        """Return the copy's handle in the answer to that request, or ''."""
 
     def write_identity_request(
         self, engine: engines.EngineEntry, path: str
     ) -> http_client.WireRequest:
-        """Return a request whose answer names the engine that answers."""
+        """Return a request whose answer states the engine's identity."""
 
     def read_event_number(self, raw: bytes) -> int:
-        """Return the number of an event of a stream.
+        """Return the number of a stream's event.
 
         Raises :class:`~greengagelb.errors.ProtocolError` if it has none.
         """
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -1,4 +1,4 @@
-"""Carries sends to engines and turns what comes back into events."""
+"""Sends requests to engines and reports their answers as events."""
 
 from collections.abc import Callable
 
@@ -15,11 +15,11 @@
 from greengagelb.transport.relay import timed_requests
 
 MAX_ANSWER_BYTES = 32 << 20
-# An engine that lives answers a probe in a few milliseconds, and within this
-# many seconds also where a packet was lost on the way.
+# A live engine answers a probe in a few milliseconds, and within this time
+# even if a packet is lost.
 PROBE_SECONDS = 0.3
-# A copy of a usual run takes some milliseconds; behind those of a whole data
-# centre's runs it may take a second.
+# Copying a usual run takes some milliseconds, or up to a second while all runs
+# of a data centre are being copied.
 COPY_SECONDS = 2.0
 
 Dispatch = Callable[[relay_events.RelayEvent], None]
@@ -28,7 +28,7 @@
 class EngineAnswer:
     """Receives the answer to one send.
 
-    After the first event that ends the send nothing more is reported.
+    Nothing is reported after the first event that ends the send.
     """
 
     def __init__(self, side: 'EngineSide', send: relay_actions.Send) -> None:
@@ -40,10 +40,10 @@
         self.body_bytes = 0
 
     def answer_started(self, response: h11.Response) -> None:
-        """Check whose answer it is before anything of it is used.
+        """Check that the answer belongs to the send before it is used.
 
-        A late second answer to an earlier request looks just like the answer
-        to this one, but for the id that it echoes.
+        A late second answer to an earlier request differs from the answer to
+        this one only in the request id that it echoes.
         """
         dialect = self.side.dialect
         if not dialect.is_answer_to(response, self.send):
@@ -61,7 +61,7 @@
             )
 
     def body_received(self, data: bytes) -> None:
-        """Report whole events of a stream; gather any other body."""
+        """Report complete events of a stream; collect any other body."""
         if self.splitter is None:
             self.append_body(data)
             return
@@ -78,7 +78,7 @@
             )
 
     def append_body(self, data: bytes) -> None:
-        """Keep a part of a body, within a bound."""
+        """Append a part of a body, up to ``MAX_ANSWER_BYTES``."""
         self.body_bytes += len(data)
         if self.body_bytes > MAX_ANSWER_BYTES:
             self.reject_answer('answer too large')
@@ -86,7 +86,7 @@
         self.body.append(data)
 
     def answer_completed(self) -> None:
-        """Report the end of a whole answer."""
+        """Report a complete answer."""
         exchange, send = self.send.exchange, self.send.send
         self.side.forget_send(self.send)
         if self.splitter is None:
@@ -101,7 +101,7 @@
         self.dispatch_event(relay_events.StreamComplete(exchange, send))
 
     def answer_failed(self, handed_over: bool, detail: str) -> None:
-        """Report that there will be no whole answer."""
+        """Report that there will be no complete answer."""
         self.side.forget_send(self.send)
         self.dispatch_event(
             relay_events.SendFailed(
@@ -110,7 +110,7 @@
         )
 
     def reject_answer(self, detail: str) -> None:
-        """Close the connection: what comes on it can't be trusted."""
+        """Close the connection, since its input can't be trusted."""
         self.side.abandon_send(self.send.exchange, self.send.send)
         self.answer_failed(True, detail)
 
@@ -120,7 +120,11 @@
 
 
 class EngineSide:
-    """The sends that are under way."""
+    """The sends, probes and other requests to engines.
+
+    ``pending_sends`` has the sends without a final event, by exchange and
+    number of the send.
+    """
 
     def __init__(
         self,
@@ -136,7 +140,7 @@
         ] = {}
 
     def send_request(self, send: relay_actions.Send) -> None:
-        """Send a request to an engine."""
+        """Send a caller's request to an engine."""
         seconds = self.pool.reactor.seconds
         key = (send.exchange, send.send)
         pending = self.pool.request(
@@ -157,14 +161,17 @@
         done: Callable[[timed_requests.Answer], None],
         fresh: bool = False,
     ) -> None:
-        """Ask an engine something of our own, for some seconds at most."""
+        """Send an engine a request of this instance, with a timeout.
+
+        ``done`` is called with the answer or its failure.
+        """
         timed_request = timed_requests.TimedRequest(
             entry.life, entry.address, request, seconds, fresh=fresh
         )
         timed_requests.send_timed_request(self.pool, timed_request, done)
 
     def probe_engine(self, probe: relay_actions.ProbeEngine) -> None:
-        """Ask an engine for a sign of life; any answer is one."""
+        """Probe an engine; any answer shows that it is alive."""
 
         def done(answer: timed_requests.Answer) -> None:
             self.dispatch(
@@ -180,14 +187,21 @@
         self.query_engine(probe.engine, request, PROBE_SECONDS, done)
 
     def read_probed_start_ms(self, answer: timed_requests.Answer) -> int:
-        """Return when the engine that answered a probe was started."""
+        """Return the engine's start time in the answer to a probe.
+
+        In Unix milliseconds, or ``UNKNOWN_START``.
+        """
         if answer.response is None:
             return engines.UNKNOWN_START
         status = answer.response.status_code
         return self.dialect.read_started_at_ms(status, answer.body)
 
     def check_engine(self, check: relay_actions.CheckEngine) -> None:
-        """Ask whether an engine has ended, on a new connection."""
+        """Check on a new connection whether an engine has ended.
+
+        It has if its address refuses connections, or if a later start of it
+        answers there.
+        """
         entry = check.entry
 
         def done(answer: timed_requests.Answer) -> None:
@@ -204,7 +218,7 @@
         self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
     def copy_run(self, copy: relay_actions.CopyRun) -> None:
-        """Have an engine copy a run's memory to another one."""
+        """Have an engine copy a run's memory to another engine."""
 
         def done(answer: timed_requests.Answer) -> None:
             response = answer.response
@@ -222,10 +236,10 @@
         self.query_engine(copy.source, request, COPY_SECONDS, done)
 
     def ask_successor(self, question: relay_actions.AskSuccessor) -> None:
-        """Ask who answers at an engine's address, on a new connection.
+        """Ask on a new connection which engine answers at an address.
 
-        If it is the same identity it is asked for its start too: the engine
-        may have crashed and be back.
+        If it is the same engine, its start time is requested as well, as it
+        may have crashed and restarted.
         """
         entry = question.entry
 
@@ -246,10 +260,10 @@
     def ask_for_model_memory(
         self, entry: engines.EngineEntry, found: str
     ) -> None:
-        """Ask whoever is at an address whether it is a model engine.
+        """Ask the engine at an address whether it is a model engine.
 
-        Addresses change hands after seconds, so this is the one that has
-        just named itself there.
+        An address is reused only after seconds, so the engine that answers is
+        the one that has just stated its identity there.
         """
 
         def done(answer: timed_requests.Answer) -> None:
@@ -269,7 +283,7 @@
         self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
     def ask_for_start(self, entry: engines.EngineEntry) -> None:
-        """Ask an engine when it was started."""
+        """Ask an engine for its start time."""
 
         def done(answer: timed_requests.Answer) -> None:
             start = self.read_probed_start_ms(answer)
@@ -281,11 +295,11 @@
         self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
     def abandon_send(self, exchange: int, send: int) -> None:
-        """Close the connection of a send."""
+        """Close the connection of a send that is no longer wanted."""
         pending = self.pending_sends.pop((exchange, send), None)
         if pending is not None:
             pending.abandon()
 
     def forget_send(self, send: relay_actions.Send) -> None:
-        """Drop a send that is over."""
+        """Remove a send that has ended."""
         self.pending_sends.pop((send.exchange, send.send), None)
--- a/src/greengagelb/transport/relay/event_stream.py
+++ b/src/greengagelb/transport/relay/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts a streamed answer into whole events, byte for byte."""
+"""Splits a streamed answer into events, byte for byte."""
 
 from collections.abc import Callable
 
@@ -10,10 +10,10 @@
 
 
 class EventSplitter:
-    """Keeps an unfinished event back until the rest of it is here.
+    """Holds an incomplete event back until the rest of it arrives.
 
-    An engine may die in the middle of an event. Were its beginning passed on,
-    the event of the next engine would be glued to it.
+    An engine may die in the middle of an event. If the first part had been
+    passed on, the next engine's event would be appended to it.
     """
 
     def __init__(self, read_number: Callable[[bytes], int]) -> None:
@@ -21,10 +21,10 @@
         self.remainder = b''
 
     def add_bytes(self, data: bytes) -> tuple[requests.StreamEvent, ...]:
-        """Return the events that are whole now.
+        """Return the events that are complete with the added bytes.
 
-        Raises :class:`~greengagelb.errors.ProtocolError` for an event
-        without a number, or one that never ends.
+        Raises :class:`~greengagelb.errors.ProtocolError` for an event without
+        a number or of more than ``MAX_EVENT_BYTES``.
         """
         *whole, self.remainder = (self.remainder + data).split(END_OF_EVENT)
         if len(self.remainder) > MAX_EVENT_BYTES:
--- a/src/greengagelb/transport/relay/http1.py
+++ b/src/greengagelb/transport/relay/http1.py
@@ -1,8 +1,8 @@
-"""What both sides of relayed HTTP/1.1 have in common.
+"""Header fields and socket options common to client and server side.
 
-The wire format is h11's: it tells exactly where a message ends and whether
-it was whole, which decides what may be passed on and which connection may be
-used again.
+h11 parses and writes the messages. It tells exactly where a message ends and
+whether it is complete, which decides what may be passed on and which
+connection may be reused.
 """
 
 import socket
@@ -11,7 +11,7 @@
 
 from greengagelb.state.relay import requests
 
-# Header fields that concern one connection only and are never passed on.
+# Header fields that apply to a single connection and are never passed on.
 HOP_BY_HOP = frozenset(
     (
         b'connection',
@@ -25,17 +25,18 @@
         b'upgrade',
     )
 )
-# A peer that vanished without a word is noticed after the first figure plus
-# the second times the third, in seconds, on any connection.
+# On any connection, a peer that disappears without notice is detected after
+# KEEPALIVE_IDLE_SECONDS + KEEPALIVE_INTERVAL_SECONDS * KEEPALIVE_PROBES.
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 3
 
 
 def select_end_to_end_headers(raw: requests.Headers) -> requests.Headers:
-    """Return the header fields that do not concern one connection only.
+    """Return the header fields without the hop-by-hop ones.
 
-    Names keep their case. What a ``Connection`` field names goes too.
+    Fields that ``Connection`` lists are removed as well. Names keep their
+    case.
     """
     connection_headers = set(HOP_BY_HOP)
     for name, value in raw:
@@ -47,7 +48,7 @@
 
 
 def first_header_value(headers: requests.Headers, name: bytes) -> bytes | None:
-    """Return the first value of a field; ``name`` is in lower case."""
+    """Return the first value of a field; ``name`` must be in lower case."""
     for found, value in headers:
         if found.lower() == name:
             return value
@@ -55,7 +56,7 @@
 
 
 def configure_socket(transport: interfaces.ITCPTransport) -> None:
-    """Have a connection send at once, and notice a peer that vanished."""
+    """Disable Nagle's algorithm and enable TCP keep-alive probes."""
     transport.setTcpNoDelay(True)
     transport.setTcpKeepAlive(True)
     sock = transport.getHandle()
--- a/src/greengagelb/transport/relay/http_client.py
+++ b/src/greengagelb/transport/relay/http_client.py
@@ -1,8 +1,8 @@
-"""Client connections that carry one request at a time.
+"""A pool of client connections that carry one request at a time.
 
-A connection goes back to the idle ones only after a whole answer with
-nothing behind it. Any byte that comes while none is asked for belongs to
-nobody, and closes it: the next request would get it as its answer.
+A connection is reused only after a complete answer without trailing bytes.
+Bytes that arrive while no request is in flight close the connection, as the
+next request would receive them as its answer.
 """
 
 from collections.abc import Callable
@@ -19,48 +19,49 @@
 from greengagelb.state.relay import requests
 from greengagelb.transport.relay import http1
 
-# A connection within the fleet is up in a few milliseconds. One that takes
-# longer goes to a machine that is dark or to a full queue, and its request
-# still has time for another engine, as nothing of it was sent.
+# A connection within the fleet opens in a few milliseconds. If it takes
+# longer, the machine is down or its accept queue is full. Nothing of the
+# request was sent, and there is still time to send it to another engine.
 CONNECT_SECONDS = 0.25
-# An idle connection is closed this long before the time that its server
-# states, so that a request does not cross the server's close. In seconds.
+# An idle connection is closed this long before the server's own timeout, so
+# that a request does not race with the server's close.
 KEEP_ALIVE_MARGIN_SECONDS = 1.0
-# The same where the server states none.
+# For servers that state no keep-alive timeout; an upper bound for the others.
 DEFAULT_KEEP_ALIVE_SECONDS = 4.0
 MAX_HEADER_BYTES = 65_536
-# A server that has too many connections resets new ones when they are open,
-# within a round trip and a millisecond. For some seconds after one was reset
-# without an answer, requests are held back for this long, so that a reset
-# finds nothing sent: a request that was may have run, and an at-most-once
-# call can then not be tried again. In seconds.
+# A server with too many connections resets new ones once they are open, within
+# a round trip and a millisecond. For RESET_MEMORY_SECONDS after a connection
+# was reset without an answer, requests on new connections to that server are
+# delayed by SEND_DELAY_SECONDS, so that nothing has been sent when the reset
+# arrives. A request that was sent may have run, and an at-most-once call could
+# not be retried then.
 SEND_DELAY_SECONDS = 0.005
 RESET_MEMORY_SECONDS = 5.0
 
 
 class Receiver(Protocol):
-    """What gets the answer to one request."""
+    """Receives the answer to one request."""
 
     def answer_started(self, response: h11.Response) -> None:
-        """The head of the answer is in."""
+        """Handle the head of the answer."""
 
     def body_received(self, data: bytes) -> None:
-        """More of the body is in."""
+        """Handle a part of the body."""
 
     def answer_completed(self) -> None:
-        """The answer is whole; nothing follows on this request."""
+        """Handle the end of a complete answer; no call follows."""
 
     def answer_failed(self, handed_over: bool, detail: str) -> None:
-        """There will be no whole answer.
+        """Handle a failure: there is no complete answer; no call follows.
 
-        ``handed_over`` is false only where no byte of the request was given
-        to a connection.
+        ``handed_over`` is false only if no byte of the request was written to
+        a connection.
         """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WireRequest:
-    """A request as it goes out; ``headers`` hold no framing."""
+    """A request to send; ``headers`` exclude framing fields."""
 
     method: bytes
     target: bytes
@@ -68,7 +69,7 @@
     body: bytes = b''
 
     def build_head(self) -> h11.Request:
-        """Return the head, with the length of the body."""
+        """Return the head with the body's ``Content-Length``."""
         headers = list(self.headers)
         if self.body or self.method not in (b'GET', b'HEAD', b'DELETE'):
             length = str(len(self.body)).encode()
@@ -79,7 +80,10 @@
 
 
 class ClientConnection(protocol.Protocol):
-    """One connection to a server."""
+    """One connection to a server.
+
+    ``delayed_request`` waits for ``SEND_DELAY_SECONDS`` to pass.
+    """
 
     def __init__(self, pool: 'ConnectionPool', key: str) -> None:
         self.pool = pool
@@ -95,11 +99,11 @@
         self.is_closed = False
 
     def connectionMade(self) -> None:  # noqa: N802
-        """Prepare the socket."""
+        """Set the options of the socket."""
         http1.configure_socket(self.transport)
 
     def send_request(self, request: WireRequest, receiver: Receiver) -> None:
-        """Send a request whole; the connection must be idle or new."""
+        """Write a whole request; the connection must be idle or new."""
         if self.http.our_state is h11.DONE:
             self.http.start_next_cycle()
         self.receiver = receiver
@@ -115,21 +119,19 @@
         self.transport.write(out)
 
     def abandon(self) -> None:
-        """Close the connection at once; nobody wants the answer."""
+        """Reset the connection, since the answer is no longer wanted."""
         self.receiver = None
         self.delayed_request = None
         self.reset_connection()
 
     def reset_connection(self) -> None:
-        """Reset the connection and never use it again."""
+        """Reset the connection and remove it from the pool."""
         self.is_closed = True
         self.pool.remove_idle_connection(self)
         self.transport.abortConnection()
 
-    # -- what comes in ------------------------------------------------------
-
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass on what belongs to the request that waits."""
+        """Parse received bytes; reset if no request is in flight."""
         if self.is_closed:
             return
         if self.receiver is None:
@@ -138,7 +140,7 @@
         self.parse_bytes(data)
 
     def parse_bytes(self, data: bytes) -> None:
-        """Have bytes parsed, and carry out what they mean."""
+        """Parse bytes and handle the resulting events."""
         try:
             self.http.receive_data(data)
             while self.receiver is not None and self.handle_next_event():
@@ -147,7 +149,7 @@
             self.fail_request(True, f'not an answer: {exc}')
 
     def handle_next_event(self) -> bool:
-        """Handle one parsed event; return whether there may be more."""
+        """Handle one parsed event; return whether more may follow."""
         event = self.http.next_event()
         match event:
             case h11.Response():
@@ -166,19 +168,19 @@
         return True
 
     def note_keep_alive(self, response: h11.Response) -> None:
-        """Keep how long the server leaves an idle connection open."""
+        """Note how long the server keeps an idle connection open."""
         stated = http1.first_header_value(
             tuple(response.headers.raw_items()), b'keep-alive'
         )
         self.keep_alive_seconds = parse_keep_alive(stated)
 
     def finish_request(self) -> None:
-        """End the request; keep the connection if nothing speaks against it.
+        """Complete the request; keep the connection if it may be reused.
 
-        Bytes behind a whole answer belong to no request. A request that was
-        answered before all of it was sent would be read on by the server as
-        the next one's beginning; all of it is in the send buffer by now, so
-        that the order on the wire holds.
+        Bytes behind a complete answer belong to no request, so the connection
+        is not reused. A request may be answered before all of it was sent.
+        The connection can be reused even then: the whole request is in the
+        send buffer, so the next one follows it on the wire.
         """
         receiver, self.receiver = self.receiver, None
         trailing_bytes = self.http.trailing_data[0]
@@ -195,7 +197,7 @@
         receiver.answer_completed()
 
     def fail_request(self, handed_over: bool, detail: str) -> None:
-        """End the request without a whole answer."""
+        """Fail the request and reset the connection."""
         receiver, self.receiver = self.receiver, None
         self.reset_connection()
         if receiver is not None:
@@ -204,7 +206,10 @@
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """End what is under way; an orderly end may end an answer."""
+        """Fail the request in flight, if there is one.
+
+        An orderly close completes an answer that is delimited by it.
+        """
         self.is_closed = True
         self.pool.remove_idle_connection(self)
         delayed_request, self.delayed_request = self.delayed_request, None
@@ -224,9 +229,11 @@
 
 
 def parse_keep_alive(stated: bytes | None) -> float:
-    """Return how long a connection may be kept, from a ``Keep-Alive`` field.
+    """Return how many seconds a connection may be kept idle.
 
-    Less than a second stated means that it is not kept at all.
+    ``stated`` is the server's ``Keep-Alive`` field. The result is zero or
+    less, so that the connection is not kept, if its timeout is not longer than
+    ``KEEP_ALIVE_MARGIN_SECONDS``.
     """
     if stated is None:
         return DEFAULT_KEEP_ALIVE_SECONDS
@@ -242,9 +249,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingRequest:
-    """A request on its way: waiting for a connection, or on one.
+    """A request in flight, or waiting for its connection.
 
-    ``refused`` tells that nobody listened at its address.
+    ``connection_refused`` tells that its address refused the connection.
     """
 
     build_request: Callable[[], WireRequest]
@@ -255,7 +262,7 @@
     connection_refused: bool = False
 
     def abandon(self) -> None:
-        """Give up the request; its receiver hears no more of it."""
+        """Drop the request; its receiver is not called any more."""
         self.is_finished = True
         if self.connection is not None:
             self.connection.abandon()
@@ -264,7 +271,7 @@
 
 
 class ConnectionOpener(protocol.ClientFactory):
-    """Opens one connection for a request that waits for it."""
+    """Opens a connection for a request that waits for it."""
 
     noisy = False
 
@@ -278,7 +285,7 @@
     def buildProtocol(  # noqa: N802
         self, addr: object
     ) -> ClientConnection:
-        """Return a connection that sends the request when it is up."""
+        """Return a connection that sends the request once it is open."""
         connection = ClientConnection(self.pool, self.key)
         original_connection_made = connection.connectionMade
 
@@ -292,7 +299,7 @@
     def clientConnectionFailed(  # noqa: N802
         self, connector: object, reason: failure.Failure
     ) -> None:
-        """Report that nothing was sent."""
+        """Fail the request, of which nothing was sent."""
         if not self.pending.is_finished:
             self.pending.is_finished = True
             connection_refused = reason.check(error.ConnectionRefusedError)
@@ -302,12 +309,13 @@
 
 
 class ConnectionPool:
-    """Opens connections and keeps idle ones, by a key of the caller's.
+    """Opens connections and keeps idle ones, under keys of its users.
 
-    The key has to change when another server gets the same address: what is
-    kept must never carry a request to it.
+    The key must change when another server gets the same address, as a kept
+    connection must never carry a request for that server.
 
-    Invariant: a connection is in ``idle`` only while it carries no request.
+    Invariant: a connection is in ``idle_connections`` only while it carries no
+    request.
     """
 
     def __init__(self, reactor: interfaces.IReactorTCP) -> None:
@@ -324,10 +332,11 @@
         receiver: Receiver,
         fresh: bool = False,
     ) -> PendingRequest:
-        """Send a request, on an idle connection unless a new one is wanted.
+        """Send a request on an idle connection, or on a new one.
 
-        ``request`` is called right before the sending, so that what it says
-        of the time left is true then.
+        ``fresh`` demands a new connection. ``build_request`` is called right
+        before the request is written, so that the remaining time in it is
+        correct.
         """
         pending = PendingRequest(build_request, receiver)
         connection = None if fresh else self.take_idle_connection(key)
@@ -347,7 +356,10 @@
     def handle_connected(
         self, connection: ClientConnection, pending: PendingRequest
     ) -> None:
-        """Send what waited for a connection, if that seems to hold."""
+        """Send the request that waited for a connection.
+
+        It is delayed if the server has recently reset connections.
+        """
         if pending.is_finished:
             connection.reset_connection()
             return
@@ -363,19 +375,19 @@
         connection.send_request(pending.build_request(), pending.receiver)
 
     def send_delayed_request(self, connection: ClientConnection) -> None:
-        """Send on a connection that was not reset right after it opened."""
+        """Send the delayed request unless its connection was reset."""
         pending, connection.delayed_request = connection.delayed_request, None
         if pending is not None:
             connection.send_request(pending.build_request(), pending.receiver)
 
     def note_reset(self, key: str) -> None:
-        """Note that a server ended a connection that owed an answer."""
+        """Note that a server closed a connection without any answer."""
         self.delay_sends_until[key] = (
             self.reactor.seconds() + RESET_MEMORY_SECONDS
         )
 
     def take_idle_connection(self, key: str) -> ClientConnection | None:
-        """Return an idle connection, the one that was used last."""
+        """Return the most recently used idle connection, or None."""
         kept = self.idle_connections.get(key, [])
         now = self.reactor.seconds()
         while kept:
@@ -386,13 +398,13 @@
         return None
 
     def keep_idle_connection(self, connection: ClientConnection) -> None:
-        """Keep a connection that carries no request now."""
+        """Keep a connection whose request is complete."""
         seconds = connection.keep_alive_seconds
         connection.idle_until = self.reactor.seconds() + seconds
         self.idle_connections.setdefault(connection.key, []).append(connection)
 
     def remove_idle_connection(self, connection: ClientConnection) -> None:
-        """Drop a connection that is closed from the idle ones."""
+        """Remove a closed connection from the idle ones."""
         kept = self.idle_connections.get(connection.key)
         if kept is None:
             return
@@ -402,7 +414,7 @@
             del self.idle_connections[connection.key]
 
     def close_expired(self) -> None:
-        """Close idle connections whose time is over; forget old resets."""
+        """Close expired idle connections; remove expired notes of resets."""
         now = self.reactor.seconds()
         for key, until in list(self.delay_sends_until.items()):
             if now >= until:
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -1,4 +1,4 @@
-"""One relaying instance: sockets, timers and clients around the decisions."""
+"""A relaying instance: sockets, timers and clients around the decisions."""
 
 from collections.abc import Callable
 import random
@@ -36,27 +36,33 @@
 PAUSE_CHECK_SECONDS = 0.1
 MIN_REPORTED_PAUSE_SECONDS = 0.25
 IDLE_SWEEP_SECONDS = 1.0
-# The balancer sends new callers for up to three seconds after an instance
-# has said that it is not ready; they are still served. In seconds.
+# The load balancer sends new callers for up to three seconds after an instance
+# has reported that it is not ready; these are still served.
 READINESS_LAG_SECONDS = 3.5
-# What is still under way so long before the platform kills the process is
-# broken off, so that the callers learn of it. In seconds.
+# Requests in flight are aborted this long before the platform kills the
+# process, so that their callers get an error.
 ABORT_MARGIN_SECONDS = 0.4
-# So long before the platform kills the process it no longer waits for the
-# store, and no longer for callers who are slow to read. The second figure is
-# what a process of half a core needs to end. In seconds.
+# How long before the platform kills the process it stops waiting for the
+# store, and for callers that read slowly. A process with half a core needs the
+# latter time to end.
 STORE_MARGIN_SECONDS = 0.25
 END_MARGIN_SECONDS = 0.15
 STOP_POLL_SECONDS = 0.1
 
 
 def raise_store_timeout(result: object, seconds: float) -> object:
-    """Turn the end of a wait for the store into an error of ours."""
+    """Turn a timeout of the store into an error of this project.
+
+    Raises :class:`~greengagelb.errors.PlatformUnavailable`.
+    """
     raise errors.PlatformUnavailable(f'no answer within {seconds:.3f} s')
 
 
 class RelayInstance:
-    """Owns the sockets and clients, and carries out what is decided."""
+    """Owns the sockets and clients, and carries out the decided actions.
+
+    ``stopped`` fires once the process can end.
+    """
 
     def __init__(
         self,
@@ -131,10 +137,11 @@
         self.serve_until = 0.0
         self.stopped: defer.Deferred = defer.Deferred()
 
-    # -- life ---------------------------------------------------------------
-
     def start(self) -> None:
-        """Open the ports and begin to follow the store."""
+        """Open the ports and start to read the store.
+
+        Raises :class:`~greengagelb.errors.CannotListen`.
+        """
         instance_settings = self.settings.instance
         self.ports = [
             self.listen(instance_settings.caller_address, self.callers)
@@ -159,7 +166,10 @@
     def listen(
         self, address: engines.Address, factory: protocol.ServerFactory
     ) -> interfaces.IListeningPort:
-        """Serve a factory at an address."""
+        """Listen at an address.
+
+        Raises :class:`~greengagelb.errors.CannotListen`.
+        """
         try:
             return self.reactor.listenTCP(
                 address.port, factory, backlog=512, interface=address.host
@@ -168,9 +178,9 @@
             raise errors.CannotListen(str(exc)) from exc
 
     def reload(self, read: Callable[[], relay_settings.RelaySettings]) -> None:
-        """Put changed settings in force, as far as a running process can.
+        """Apply the changed settings that can change in a running process.
 
-        With a bad file the last good settings stay.
+        The current settings stay if the file is invalid.
         """
         try:
             new = read()
@@ -190,7 +200,7 @@
         self.recorder.record(actions.Record('settings-reloaded', why))
 
     def build_sample(self) -> metrics.Sample:
-        """Return what a scrape shows of this instance's state."""
+        """Return the state of this instance for the metrics."""
         table = self.relay.route_table
         now = self.reactor.seconds()
         instance_settings = self.settings.instance
@@ -221,21 +231,21 @@
         )
 
     def metrics_page(self) -> pages.Page:
-        """Return the figures of this instance."""
+        """Return the page of metrics."""
         body = self.metrics.render_relay(self.pool.connections_opened)
         return pages.Page(pages.STATUS_OK, body)
 
     def current_limits(self) -> routes.Limits:
-        """Return the limits on callers that are in force."""
+        """Return the limits on callers of the current configuration."""
         table = self.relay.route_table
         return table.limits if table is not None else routes.Limits()
 
     def record_refusal(self, status: int, code: str) -> None:
-        """Record a refusal that came before any decision."""
+        """Record a refusal that preceded any decision."""
         self.recorder.record(actions.Record('refused', f'{status} {code}'))
 
     def check_pause_and_heartbeat(self) -> None:
-        """Notice when this process itself stood still."""
+        """Report pauses of this process; send heartbeats when due."""
         now = self.reactor.seconds()
         late = now - self.last_pause_check_at - PAUSE_CHECK_SECONDS
         self.last_pause_check_at = now
@@ -248,14 +258,14 @@
             self.peers.send_heartbeat(known=self.relay.digests)
 
     def record_bad_datagram(self, detail: str) -> None:
-        """Record a datagram that could not be sent or read."""
+        """Record a datagram that could not be sent or decoded."""
         self.recorder.record(actions.Record('bad-datagram', detail))
 
     def stop(self, asked_at: float | None = None) -> None:
-        """Stop gracefully: say so, serve what comes, and end in time.
+        """Stop gracefully: report not ready, finish requests, end in time.
 
-        ``asked_at`` is when the platform asked, now if it is not given. It may
-        ask twice; the first time counts.
+        ``asked_at`` is the time of the platform's signal, by default now. The
+        platform may signal twice; the first signal counts.
         """
         if self.abort_at is not None:
             return
@@ -270,7 +280,7 @@
         self.loop.repeat(STOP_POLL_SECONDS, self.end_serving_if_done)
 
     def end_serving_if_done(self) -> None:
-        """Begin to end once nobody is served here, or time is up."""
+        """End serving once no caller is connected or at ``abort_at``."""
         now = self.reactor.seconds()
         if now < self.serve_until or self.relay.is_finished:
             return
@@ -280,11 +290,11 @@
         self.loop.dispatch(relay_events.ServingEnded())
 
     def finish_stopping(self) -> None:
-        """Take the own entry back, then close.
+        """Remove the own entry from the store, then close and end.
 
-        The port stays open meanwhile, so that who connects is told that its
-        request has not run, rather than reset without a word. Whatever goes
-        wrong here, the process ends.
+        The port stays open meanwhile, so that a new caller gets an answer that
+        its request has not run rather than a reset connection. The process
+        ends whatever fails here.
         """
         removed = defer.maybeDeferred(self.leave_fleet)
         wait = self.kill_at - STORE_MARGIN_SECONDS - self.reactor.seconds()
@@ -296,30 +306,28 @@
         removed.addBoth(lambda _: self.end_process())
 
     def leave_fleet(self) -> defer.Deferred:
-        """Give up what is left, and take back what others know of us."""
+        """Abort the remaining requests, announce the end, remove the entry."""
         self.callers.reset_waiting_connections()
         self.callers.refuse_partial_requests()
         self.peers.send_heartbeat(leaving=True)
         return self.watch.stop()
 
     def close_callers(self) -> defer.Deferred:
-        """Close the port and all connections; fire when they are."""
+        """Close the port and all connections; fire once they are closed."""
         wait = self.kill_at - END_MARGIN_SECONDS - self.reactor.seconds()
         drained = self.callers.drain()
         drained.addTimeout(max(0.0, wait), self.reactor)
         return listening.close_all(self.ports, [drained])
 
     def end_process(self) -> None:
-        """Let the process end."""
+        """Record the summary of store calls and let the process end."""
         summary = self.watch.calls.summary()
         self.recorder.record(actions.Record('store-calls', summary))
         self.loop.dispatch(relay_events.ConnectionsClosed())
         self.stopped.callback(None)
 
-    # -- actions ------------------------------------------------------------
-
     def carry_out(self, action: relay_actions.RelayAction) -> None:
-        """Carry out an action."""
+        """Carry out an action of the decisions."""
         self.metrics.count(action)
         match action:
             case relay_actions.ObserveDuration():
--- a/src/greengagelb/transport/relay/pages.py
+++ b/src/greengagelb/transport/relay/pages.py
@@ -1,4 +1,4 @@
-"""Small pages: whether callers may be sent here, and the metrics."""
+"""HTTP pages for the readiness check and the metrics."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,26 +12,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """What is answered to any request."""
+    """An answer, which does not depend on the request."""
 
     status: int
     body: bytes = b''
 
 
 def readiness_page(ready: bool) -> Page:
-    """Return the answer to whether callers may be sent here."""
+    """Return the answer to the load balancer's readiness check."""
     return Page(STATUS_OK if ready else STATUS_UNAVAILABLE)
 
 
 class PageConnection(protocol.Protocol):
-    """One connection; any path is the same question."""
+    """One connection; any path gets the same page."""
 
     def __init__(self, page: Callable[[], Page]) -> None:
         self.page = page
         self.http = h11.Connection(h11.SERVER)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Answer each request that is whole."""
+        """Answer each complete request."""
         try:
             self.http.receive_data(data)
             while True:
@@ -46,7 +46,7 @@
             self.transport.abortConnection()
 
     def write_answer(self) -> None:
-        """Answer with the page as it is now."""
+        """Write the current page."""
         page = self.page()
         length = str(len(page.body)).encode()
         head = h11.Response(
@@ -67,7 +67,7 @@
 
 
 class PageFactory(protocol.ServerFactory):
-    """Serves a page on one port."""
+    """Serves one page."""
 
     noisy = False
 
--- a/src/greengagelb/transport/relay/peer_link.py
+++ b/src/greengagelb/transport/relay/peer_link.py
@@ -1,4 +1,4 @@
-"""Sends hints to the other instances and hears theirs."""
+"""Exchanges heartbeats and hints with the other instances over UDP."""
 
 import collections
 from collections.abc import Callable
@@ -15,24 +15,25 @@
 from greengagelb.state.relay import hints
 from greengagelb.transport.relay import engine_side
 
-# So many instances of another data centre forward a datagram there: one of
-# them may be dead without anybody knowing it yet.
+# How many instances of another data centre forward a datagram there; one of
+# them may have died undetected.
 FORWARDERS_PER_DATA_CENTRE = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """Where another instance is."""
+    """Address and data centre of another instance."""
 
     host: str
     data_centre: str
 
 
 class PeerLink(protocol.DatagramProtocol):
-    """One socket for all other instances.
+    """The socket for all other instances.
 
-    ``peers`` are those that are known, by their incarnations. All instances
-    use the same port.
+    ``peers`` has the known instances by incarnation. All instances use the
+    same port. ``report_bad_datagram`` is called with the reason why a datagram
+    could not be sent or decoded.
     """
 
     def __init__(
@@ -51,16 +52,17 @@
         self.peers: dict[str, Peer] = {}
 
     def open_socket(self, reactor: interfaces.IReactorUDP) -> None:
-        """Open the socket."""
+        """Open the socket.
+
+        Raises :class:`~greengagelb.errors.CannotListen`.
+        """
         try:
             reactor.listenUDP(self.port, self, interface=self.own.host)
         except error.CannotListenError as exc:
             raise errors.CannotListen(str(exc)) from exc
 
-    # -- sending ------------------------------------------------------------
-
     def send_hint_to_all(self, hint: hints.Hint) -> None:
-        """Send a hint to all others."""
+        """Send a hint to each other instance directly."""
         self.send_to_all(relay_hints.encode_hint(self.own.incarnation, hint))
 
     def send_hint_to(self, incarnation: str, hint: hints.Hint) -> None:
@@ -71,9 +73,9 @@
             self.send_datagram(relay_hints.encode_hint(own, hint), peer.host)
 
     def broadcast_hints(self, sent_hints: tuple[hints.Hint, ...]) -> None:
-        """Send hints to all others; some far away forward them there.
+        """Send hints to all instances, using forwarders in other data centres.
 
-        All go by the same forwarders, as they have to arrive in their order.
+        All hints go through the same forwarders, as their order matters.
         """
         own = self.own.incarnation
         hosts = self.choose_forwarders()
@@ -85,7 +87,7 @@
                 self.send_datagram(forwarded, host)
 
     def choose_forwarders(self) -> list[str]:
-        """Return hosts of some instances in each of the other data centres."""
+        """Return the hosts of random instances of each other data centre."""
         hosts_by_data_centre: dict[str, list[str]] = collections.defaultdict(
             list
         )
@@ -101,7 +103,7 @@
         ]
 
     def send_within_data_centre(self, raw: bytes) -> None:
-        """Send a datagram to the others of the own data centre."""
+        """Send a datagram to the other instances of this data centre."""
         for peer in self.peers.values():
             if peer.data_centre == self.own.data_centre:
                 self.send_datagram(raw, peer.host)
@@ -112,22 +114,25 @@
         leaving: bool = False,
         known: hints.Digests = hints.NOTHING_KNOWN,
     ) -> None:
-        """Tell all others that this instance is there, or stops."""
+        """Send a heartbeat to all others; ``leaving`` if this one stops.
+
+        ``known`` are the digests of what this instance knows.
+        """
         raw = relay_hints.encode_heartbeat(
             self.own, leaving=leaving, known=known
         )
         self.send_to_all(raw)
 
     def send_to_all(self, raw: bytes) -> None:
-        """Send a datagram to all others; what can't be sent is lost."""
+        """Send a datagram to all others; ones that can't be sent are lost."""
         for peer in self.peers.values():
             self.send_datagram(raw, peer.host)
 
     def send_datagram(self, raw: bytes, host: str) -> None:
         """Send a datagram.
 
-        A host is what another one says of itself. If it is no IP number, that
-        must not keep the others from being told.
+        The host is stated by the other instance. If it is not an IP address,
+        the error must not prevent sending to the remaining instances.
         """
         try:
             self.transport.write(raw, (host, self.port))
@@ -135,7 +140,7 @@
             self.report_bad_datagram(f'not sent to {host}: {exc}')
 
     def update_peers(self, members: tuple[hints.Member, ...]) -> None:
-        """Take in who else is there, and greet those that are new."""
+        """Replace the known peers; send a heartbeat to new ones."""
         found = {m.incarnation: Peer(m.host, m.data_centre) for m in members}
         greeting = relay_hints.encode_heartbeat(self.own)
         for incarnation, peer in found.items():
@@ -143,12 +148,10 @@
                 self.send_datagram(greeting, peer.host)
         self.peers = found
 
-    # -- hearing ------------------------------------------------------------
-
     def datagramReceived(  # noqa: N802
         self, datagram: bytes, addr: tuple[str, int]
     ) -> None:
-        """Hand what others tell to the decisions."""
+        """Decode a datagram, forward it if asked to, and dispatch it."""
         try:
             sender, message = relay_hints.decode(datagram)
             if isinstance(message, relay_hints.Forwarded):
@@ -171,14 +174,20 @@
     def forward_datagram(
         self, raw: bytes, message: relay_hints.Message
     ) -> None:
-        """Send a datagram on to those nearby, but never a second time."""
+        """Forward a datagram within this data centre.
+
+        One that was wrapped twice is not forwarded, as it would circulate.
+        """
         if not isinstance(message, relay_hints.Forwarded):
             self.send_within_data_centre(raw)
 
     def handle_heartbeat(
         self, sender: str, heartbeat: relay_hints.Heartbeat
     ) -> None:
-        """Note who is there; the list of instances may lag behind."""
+        """Note the sender as a peer, as the list of instances may be stale.
+
+        An earlier incarnation on the same host is removed.
+        """
         if heartbeat.leaving:
             self.peers.pop(sender, None)
             self.dispatch(relay_events.PeerLeft(sender))
--- a/src/greengagelb/transport/relay/relay_metrics.py
+++ b/src/greengagelb/transport/relay/relay_metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a relaying instance for scrapers.
+"""Metrics of a relaying instance.
 
-Times go into histograms, as on call it is the slow ones that count. Labels
-are never taken from callers, so that nobody can make the series grow.
+Durations are histograms, as operators need the slow ones. Labels are never
+taken from callers, so that callers can't increase the number of series.
 """
 
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 from greengagelb.transport import metrics
 from greengagelb.transport.relay import unusable_entries
 
-# Bounds of the histograms, in seconds. The finest lie around the pause that
-# callers of streams do not notice and the goals of short calls.
+# The bounds are closest around the pause that callers of streams do not notice
+# and the goals of short calls.
 HISTOGRAM_BOUNDS_SECONDS = (
     0.02,
     0.05,
@@ -32,10 +32,10 @@
 
 
 class RelayMetrics(metrics.Metrics):
-    """Counts what a relaying instance does.
+    """Counters and histograms of a relaying instance.
 
-    ``unusable`` returns the unusable entries of the store's lists, by what
-    they tell of, and ``store_calls`` are those made so far.
+    ``get_unusable_entries`` returns the unusable entries by the kind of list,
+    and ``store_calls`` counts the calls to the store.
     """
 
     def __init__(self) -> None:
@@ -82,7 +82,7 @@
         }
 
     def histogram(self, name: str, doc: str) -> aioprometheus.Histogram:
-        """Return a new histogram of seconds."""
+        """Return a new histogram of durations in seconds."""
         return aioprometheus.Histogram(
             f'{metrics.PREFIX}_{name}',
             doc,
@@ -91,7 +91,7 @@
         )
 
     def count(self, action: relay_actions.RelayAction) -> None:
-        """Count an action, if it is one that is counted."""
+        """Count an action, if there is a metric for it."""
         match action:
             case relay_actions.Send():
                 self.send_count += 1
@@ -109,11 +109,11 @@
                 self.duration_histograms[kind].observe({}, seconds)
 
     def count_answer(self, kind: str) -> None:
-        """Count a final answer."""
+        """Count a final answer by its kind."""
         self.answer_counts[kind] = self.answer_counts.get(kind, 0) + 1
 
     def render_relay(self, connections_opened: int) -> bytes:
-        """Return all figures in the text format that scrapers read."""
+        """Return all metrics in the text format of Prometheus."""
         for kind, number in self.answer_counts.items():
             self.answer_counter.set({'kind': kind}, number)
         self.send_counter.set({}, self.send_count)
--- a/src/greengagelb/transport/relay/restore_summary.py
+++ b/src/greengagelb/transport/relay/restore_summary.py
@@ -1,16 +1,16 @@
-"""Tells what was read and written after the store came back from a copy."""
+"""Summary of reads and writes after the store was restored from a copy."""
 
 import collections
 
-# After so many seconds it is told what was read and written again.
+# How long after a restore the summary is recorded.
 SUMMARY_DELAY_SECONDS = 5.0
 
 
 class RestoreSummary:
-    """What one instance has done in the store's present era.
+    """Counts the rows that were read and written since a restore.
 
-    ``done`` counts the rows by what was done with them. Nothing is counted
-    before the store has come back from a copy.
+    ``row_counts`` has the number of rows by operation. Nothing is counted
+    until the store has been restored from a copy.
     """
 
     def __init__(self) -> None:
@@ -18,19 +18,19 @@
         self.row_counts: collections.Counter[str] = collections.Counter()
 
     def start_era(self, era: int) -> None:
-        """Count from now on for another era."""
+        """Start to count for a new era."""
         self.era = era
         self.row_counts.clear()
 
     def add_rows(self, operation: str, rows: int = 1) -> None:
-        """Count rows that were read or written."""
+        """Add rows that were read or written."""
         if self.era is not None:
             self.row_counts[operation] += rows
 
     def take_summary(self, era: int) -> str | None:
-        """Return what was done in an era, and count no more.
+        """Return the summary of an era, and stop counting.
 
-        None if another one has begun since.
+        None if another era has started since.
         """
         if era != self.era:
             return None
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -1,8 +1,9 @@
-"""Follows the configuration and the list of engines in the store.
+"""Reads the configuration and the lists of engines and instances.
 
-The configuration is waited for, as it changes seldom and counts within
-seconds. The list changes with every heartbeat of every engine, so it is
-looked at now and then: who waited for its next change would ask all the time.
+The configuration changes rarely and must apply within seconds, so reads of it
+wait at the store for the next change (long polling). The list of engines
+changes with every heartbeat of every engine, so it is polled at intervals; a
+read that waits for a change would return at once.
 """
 
 from collections.abc import Callable
@@ -31,33 +32,33 @@
 from greengagelb.transport.relay import restore_summary
 from greengagelb.transport.relay import unusable_entries
 
-# The longest wait for a change of the configuration, in seconds. An answer
-# that is lost shows only when this and the time of an answer are over, and
-# three seconds after a disturbance the configuration has to be in force.
+# The longest wait at the store for a change of the configuration. A lost
+# answer is noticed only after this time and that of an answer, and the
+# configuration must be in force three seconds after a disturbance.
 CONFIGURATION_WAIT_SECONDS = 1.5
-# How long after word of something newer the store is read at the latest, in
-# seconds: not all who hear of it should ask in the same millisecond.
+# Reads after a notification of something newer are spread over this time, so
+# that not all notified instances read in the same millisecond.
 NOTIFIED_READ_SPREAD_SECONDS = 0.05
-# The least time between two looks whether to read, in seconds. Timers fire
-# late, but what they are late by is not known here.
+# The shortest sleep until the next check whether a read is due. Timers fire
+# late by an unknown time.
 MIN_SLEEP_SECONDS = 0.01
-# The pause after a call that failed, in seconds, spread by half both ways:
-# the first after one failure, which may have been a single lost answer, the
-# second after more. Calls that the store refuses cost as much as others.
+# The pause after a failed call, with a jitter of half in both directions. The
+# first failure may be a single lost answer; the longer pause follows further
+# ones, as calls that the store refuses cost it as much as others.
 FIRST_RETRY_SECONDS = 0.1
 RETRY_SECONDS = 0.6
-# Changes of the list of engines are read on from a read that is at most so
-# old, in seconds. Engines renew their entries every 1.2 seconds, and each
-# renewal is a change: those of a longer time are more than the whole list,
-# after fifteen seconds twelve times as much.
+# Changes of the list of engines are read only since a read that is at most
+# this old; otherwise the whole list is read. Engines renew their entries every
+# 1.2 seconds, and each renewal is a change, so the changes of a longer time
+# are larger than the list: twelve times as large after fifteen seconds.
 MAX_CHANGES_AGE_SECONDS = 2.0
-# What the one entry of the configuration is called where mistakes are kept.
+# The name of the configuration's only entry among the unusable entries.
 CONFIGURATION = 'configuration'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationRead:
-    """The configuration, if there is a new one, and where to read on."""
+    """The configuration, if it has changed, and the position of the read."""
 
     position: positions.Position
     table: routes.RouteTable | None
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesRead:
-    """Entries of engines, and where to read on.
+    """Entries of engines, and the position of the read.
 
     ``mistakes`` are the entries that can't be used.
     """
@@ -81,7 +82,7 @@
 class MembersRead:
     """The instances, and the entries among them that can't be used.
 
-    ``kept_crashes`` stand beside them.
+    ``kept_crashes`` are stored in the same table.
     """
 
     members: tuple[hints.Member, ...]
@@ -90,25 +91,33 @@
 
 
 class StoreClient(Protocol):
-    """The store, as far as the watch needs it.
+    """The calls to the store that the watch makes.
 
-    All raise :class:`~greengagelb.errors.PlatformUnavailable`,
-    :class:`~greengagelb.errors.HistoryGone` and
+    All Deferreds may fail with
+    :class:`~greengagelb.errors.PlatformUnavailable`,
+    :class:`~greengagelb.errors.HistoryGone` or
     :class:`~greengagelb.errors.AnswerTooLong`.
     """
 
     def use_address(self, address: engines.Address) -> None:
-        """Ask at another address from now on."""
+        """Use another address for all further calls."""
 
     def read_configuration(
         self, position: positions.Position | None, wait_seconds: float
     ) -> defer.Deferred:
-        """Return a :class:`ConfigurationRead`; all of it without position."""
+        """Return a :class:`ConfigurationRead` of the changes since a position.
+
+        Without a position the whole configuration is read. ``wait_seconds`` is
+        how long the store may wait for a change.
+        """
 
     def read_engines(
         self, position: positions.Position | None
     ) -> defer.Deferred:
-        """Return an :class:`EnginesRead`; the whole list without position."""
+        """Return an :class:`EnginesRead` of the changes since a position.
+
+        Without a position the whole list is read.
+        """
 
     def register(self, member: hints.Member) -> defer.Deferred:
         """Write this instance's own entry."""
@@ -120,14 +129,18 @@
         """Return a :class:`MembersRead` of all instances."""
 
     def write_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
-        """Write the crashes under a request."""
+        """Write the crashes that a request has caused."""
 
     def delete_crashes(self, fingerprint: str) -> defer.Deferred:
-        """Remove the crashes under a request."""
+        """Remove the crashes that a request has caused."""
 
 
 class StoreWatch:
-    """Reads the store for as long as the process lives."""
+    """Reads the store until the process stops.
+
+    ``own`` is this instance's entry. ``update_peers`` is called with the other
+    instances after each read of their list.
+    """
 
     def __init__(
         self,
@@ -162,7 +175,7 @@
         self.pending_sleeps: set[defer.Deferred] = set()
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start to read."""
         sharing = self.sharing
         self.read_repeatedly(
             self.read_configuration_when_due,
@@ -174,7 +187,7 @@
         self.read_repeatedly(self.read_members_when_due, lambda: None)
 
     def stop(self) -> defer.Deferred:
-        """Read no more, and remove the own entry, if there may be one."""
+        """Stop reading, and remove the own entry if it may exist."""
         self.stopped = True
         if not self.may_be_registered:
             return defer.succeed(None)
@@ -184,14 +197,14 @@
         )
 
     def record_entry_left_behind(self, why: failure.Failure) -> None:
-        """Record that the own entry stays behind; others find it silent."""
+        """Record that the own entry remains; others find it silent."""
         why.trap(errors.GreengagelbError)
         self.record(actions.Record('entry-left-behind', str(why.value)))
 
     def unusable_entries_by_list(
         self,
     ) -> dict[str, unusable_entries.UnusableEntries]:
-        """Return the unusable entries of each list, by what they tell of."""
+        """Return the unusable entries of each list, by the kind of entry."""
         return {
             'engine': self.unusable_engines,
             'instance': self.unusable_members,
@@ -202,9 +215,9 @@
     def read_members_when_due(self) -> object:
         """Register once, then read the list of instances when it is due.
 
-        Instances that start greet all that are listed, so the list need not
-        be read often. An own entry that another writer has spoilt is written
-        again: those that start would never hear of this instance.
+        Starting instances send a heartbeat to all listed ones, so the list
+        need not be read often. If another writer has overwritten the own
+        entry, it is written again: starting instances would not know this one.
         """
         if self.has_read_members:
             yield self.sleep_until_due(self.sharing.members_due_at)
@@ -240,7 +253,7 @@
         self.dispatch(relay_events.CrashesListed(reports))
 
     def write_crashes(self, report: crashes.CrashReport) -> None:
-        """Write the crashes under a request."""
+        """Write the crashes that a request has caused."""
         call, cause = store_calls.Call.CRASHES, store_calls.Cause.FOUND
         self.calls.count(call, cause)
         self.restore_summary.add_rows('crashes written')
@@ -250,13 +263,13 @@
         )
 
     def delete_crashes(self, fingerprint: str) -> None:
-        """Remove the crashes under a request."""
+        """Remove the crashes that a request has caused."""
         self.calls.count(store_calls.Call.CRASHES, store_calls.Cause.OVER)
         done = self.store_client.delete_crashes(fingerprint)
         done.addErrback(self.record_crashes_not_written)
 
     def record_crashes_not_written(self, why: failure.Failure) -> None:
-        """Record a failed write; who reads for all tries again."""
+        """Record a failed write; the instance that reads for all retries."""
         why.trap(errors.GreengagelbError)
         self.record(actions.Record('crashes-not-written', str(why.value)))
 
@@ -271,7 +284,10 @@
         read_once: Callable[[], defer.Deferred],
         note_failure: Callable[[], None],
     ) -> object:
-        """Look again and again; tell of each failure, and pause after it."""
+        """Repeat a read until stopped; report each failure and pause after it.
+
+        ``note_failure`` is called without an argument after each failure.
+        """
         failures = 0
         while not self.stopped:
             try:
@@ -279,7 +295,7 @@
                 failures = 0
             except errors.GreengagelbError as exc:
                 if self.stopped:
-                    # The process ends, and with it its connections.
+                    # The process is ending, which closes its connections.
                     return
                 failures += 1
                 note_failure()
@@ -293,11 +309,11 @@
 
     @defer.inlineCallbacks
     def sleep_until_due(self, due_at: Callable[[float], float]) -> object:
-        """Return once a moment has come that may move while it is waited for.
+        """Return once a time is reached that may change meanwhile.
 
-        It is asked for again when it should be there, and when there is word
-        of something newer; asking all the time would take more of the
-        processor than all other work of a calm instance.
+        ``due_at`` is called again when the time should be reached, and after a
+        notification of something newer. Calling it continuously would take
+        more processor time than all other work of an idle instance.
         """
         while True:
             now = self.reactor.seconds()
@@ -314,20 +330,20 @@
             self.pending_sleeps.discard(pending_sleep)
 
     def schedule_read_check(self) -> None:
-        """Ask soon again whether the store is to be read."""
+        """Check soon whether a read of the store is due."""
         wait = random.uniform(0.0, NOTIFIED_READ_SPREAD_SECONDS)
         self.reactor.callLater(wait, self.end_sleeps)
 
     def end_sleeps(self) -> None:
-        """End the sleep of all who wait for the next read."""
+        """End all waits for the next read, to check the due times again."""
         for pending_sleep in list(self.pending_sleeps):
             pending_sleep.cancel()
 
     @defer.inlineCallbacks
     def read_configuration_when_due(self) -> object:
-        """Read the configuration when it is time to, and apply it.
+        """Read the configuration when it is due, and dispatch it.
 
-        The one who reads for all waits at the store for its next change.
+        The instance that reads for all waits at the store for a change.
         """
         yield self.sleep_until_due(self.sharing.configuration_due_at)
         now = self.reactor.seconds()
@@ -358,10 +374,12 @@
         found: positions.Position,
         requested_since: positions.Position | None = None,
     ) -> None:
-        """Raise what is wrong with an answer of another era.
+        """Check the era of an answer; record a restore of the store.
 
-        One to a question for the changes since a version of another era leaves
-        out what has changed below that version, and nothing else shows it.
+        Raises :class:`~greengagelb.errors.LateAnswer` for an earlier era, and
+        :class:`~greengagelb.errors.HistoryGone` if the changes were requested
+        since a version of another era. Such an answer lacks what has changed
+        below that version, and nothing else shows it.
         """
         previous_era = self.sharing.eras.era
         verdict = self.sharing.eras.check_answer(
@@ -374,12 +392,12 @@
             case store_eras.EraVerdict.RESTORED:
                 self.record_restore(previous_era, found)
         if requested_since is not None and requested_since.era != found.era:
-            raise errors.HistoryGone('store has come back from a copy')
+            raise errors.HistoryGone('store was restored from a copy')
 
     def record_restore(
         self, previous_era: int, found: positions.Position
     ) -> None:
-        """Tell that the store has come back from a copy."""
+        """Record that the store was restored from a copy."""
         known = max(
             position.version if position else 0
             for position in (
@@ -401,25 +419,25 @@
         self.dispatch(relay_events.StoreRestored())
 
     def record_restore_summary(self, era: int) -> None:
-        """Tell what was read and written since the store was restored."""
+        """Record what was read and written since the store was restored."""
         why = self.restore_summary.take_summary(era)
         if why is not None and not self.stopped:
             self.record(actions.Record('store-read-again', why))
 
     def position_to_read_from(self) -> positions.Position | None:
-        """Return from where to read changes on, or None to read it whole.
+        """Return the position since which to read changes; None for all.
 
-        The changes have every version since, of which only the last counts.
-        After many versions they would fill a slow link for so long that old
-        keys and routes stay in force; so once something newer is known to be
-        there, the one in force is asked for.
+        The changes contain every version since, of which only the last one
+        matters. After many versions they would occupy a slow link for so long
+        that old keys and routes stay in force. Once a newer version is known
+        to exist, the current configuration is therefore read as a whole.
         """
         if self.sharing.configuration.is_stale:
             return None
         return self.configuration_position
 
     def record_configuration_mistake(self, read: ConfigurationRead) -> None:
-        """Tell of a configuration that can't be used, once."""
+        """Record once that a configuration can't be used."""
         if read.table is not None:
             self.unusable_configuration.remove_entries([CONFIGURATION])
         if not read.mistake:
@@ -430,7 +448,7 @@
 
     @defer.inlineCallbacks
     def read_engines_when_due(self) -> object:
-        """Take in what has changed in the list, when it is time to."""
+        """Read the list of engines, or its changes, when it is due."""
         yield self.sleep_until_due(self.sharing.engines_due_at)
         now = self.reactor.seconds()
         call = store_calls.Call.ENGINES
@@ -443,8 +461,8 @@
             read = yield self.store_client.read_engines(position)
             self.check_era(read.position, position)
         except (errors.HistoryGone, errors.AnswerTooLong):
-            # Waiting for the next look would cost a second, in which engines
-            # that have left get work.
+            # Waiting for the next read would take a second, in which engines
+            # that have left would get requests.
             whole = True
             self.calls.count(call, store_calls.Cause.HISTORY_GONE)
             read = yield self.store_client.read_engines(None)
@@ -464,13 +482,13 @@
                 )
             )
         if was_failing:
-            # Looks at the configuration wait for this.
+            # Reads of the configuration wait for this.
             self.end_sleeps()
 
     def record_engine_mistakes(
         self, read: EnginesRead, *, whole: bool
     ) -> None:
-        """Tell of the engines' entries that can't be used, once each."""
+        """Record once each engine's entry that can't be used."""
         if whole:
             new_mistakes = self.unusable_engines.replace_all(read.mistakes)
         else:
--- a/src/greengagelb/transport/relay/timed_requests.py
+++ b/src/greengagelb/transport/relay/timed_requests.py
@@ -1,4 +1,4 @@
-"""Questions of our own: one request, one whole answer or none, in time."""
+"""Requests of this instance, with a timeout and a bounded answer."""
 
 from collections.abc import Callable
 import dataclasses
@@ -9,23 +9,22 @@
 from greengagelb.state.relay import engines
 from greengagelb.transport.relay import http_client
 
-# What engines say of themselves is a few hundred bytes.
+# Engines' answers to probes have a few hundred bytes.
 DEFAULT_MAX_BYTES = 65_536
-# The longest pause within an answer that is on its way, in seconds. A packet
-# that was lost is there again within a quarter of a second; on a connection
-# that is silent for longer nothing may ever come.
+# The longest pause within an answer. A lost packet is retransmitted within a
+# quarter of a second; a connection without input for longer may be dead.
 MAX_PAUSE_SECONDS = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimedRequest:
-    """A request whose answer is gathered whole.
+    """A request whose answer is collected completely.
 
-    ``key`` is that of the connections that may carry it. There is no answer
-    later than after ``seconds``, and none of more than ``most_bytes``. One
-    that has begun by then may take ``coming_seconds`` from its beginning, if
-    it does not pause: on a slow link a long answer takes its time, and asked
-    for once more it would take as long again.
+    ``key`` selects the connections that may carry it. The request fails if no
+    answer is complete after ``seconds``, or if the body exceeds ``max_bytes``.
+    An answer that has started by then may take ``receive_seconds`` from its
+    start, as long as it does not pause: a long answer takes time on a slow
+    link, and a repeated request would take as long again.
     """
 
     key: str
@@ -39,10 +38,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What came of a question: a whole answer, or why there is none.
+    """The complete answer to a request, or the reason why there is none.
 
-    ``too_long`` tells that it was given up while it still came, and
-    ``refused`` that nobody listened at the address.
+    ``response`` is None on a failure, and ``detail`` its reason. ``too_long``
+    tells that the answer was too large or still being received at the timeout,
+    and ``connection_refused`` that the address refused the connection.
     """
 
     response: h11.Response | None
@@ -53,9 +53,10 @@
 
 
 class AnswerCollector:
-    """Receives one answer; ``done`` is called exactly once.
+    """Collects one answer; ``done`` is called exactly once.
 
-    ``began_at`` and ``moved_at`` are when its first and its last part came.
+    ``answer_started_at`` and ``last_received_at`` are when the first and the
+    last part of the answer arrived.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
 
     @property
     def expires_at(self) -> float:
-        """Return when the answer is to be given up if nothing more comes."""
+        """Return when the request times out if no more input arrives."""
         timed_request = self.timed_request
         first = self.asked_at + timed_request.seconds
         if self.answer_started_at is None:
@@ -86,19 +87,19 @@
         return max(first, min(self.last_received_at + MAX_PAUSE_SECONDS, last))
 
     def answer_started(self, response: h11.Response) -> None:
-        """Keep the head."""
+        """Note the head of the answer."""
         self.response = response
         self.answer_started_at = self.last_received_at = self.reactor.seconds()
 
     def body_received(self, data: bytes) -> None:
-        """Gather the body, as far as its bound."""
+        """Append a part of the body, up to ``max_bytes``."""
         self.last_received_at = self.reactor.seconds()
         self.body_bytes += len(data)
         if self.body_bytes <= self.timed_request.max_bytes:
             self.body.append(data)
 
     def answer_completed(self) -> None:
-        """Give the answer to who asked."""
+        """Deliver the answer, or a failure if it is too large."""
         if self.body_bytes > self.timed_request.max_bytes:
             why = f'answer too large, {self.body_bytes} bytes'
             self.deliver_answer(Answer(None, detail=why, too_long=True))
@@ -106,19 +107,19 @@
             self.deliver_answer(Answer(self.response, b''.join(self.body)))
 
     def answer_failed(self, handed_over: bool, detail: str) -> None:
-        """Tell who asked that there is none."""
+        """Deliver the failure of the request."""
         self.deliver_answer(Answer(None, detail=detail))
 
     def deliver_timeout(self) -> None:
-        """Tell who asked that it took too long, and how much had come."""
+        """Deliver a timeout, with the number of bytes received."""
         is_receiving = (
             self.reactor.seconds() < self.last_received_at + MAX_PAUSE_SECONDS
         )
-        why = f'no answer in time, {self.body_bytes} bytes came'
+        why = f'no complete answer in time, {self.body_bytes} bytes received'
         self.deliver_answer(Answer(None, detail=why, too_long=is_receiving))
 
     def deliver_answer(self, answer: Answer) -> None:
-        """Call back once."""
+        """Call ``done``, unless it was called before."""
         if not self.is_finished:
             self.is_finished = True
             self.done(answer)
@@ -129,7 +130,7 @@
     timed_request: TimedRequest,
     done: Callable[[Answer], None],
 ) -> None:
-    """Ask, and have ``done`` called with what comes of it."""
+    """Send a request; call ``done`` with the answer or its failure."""
 
     def deliver_answer(answer: Answer) -> None:
         if timer.active():
--- a/src/greengagelb/transport/relay/unusable_entries.py
+++ b/src/greengagelb/transport/relay/unusable_entries.py
@@ -1,21 +1,21 @@
-"""Which entries of the store's lists can't be used, and what is new in that.
+"""Tracks the entries of the store's lists that can't be used.
 
-Other programs write there too. An entry of theirs may stay for days and is
-read again and again, so that telling each mistake with each read would bury
-the other lines of the log.
+Other programs write to the store too. An unusable entry may stay for days and
+is read repeatedly; a log line for each read would hide the other lines, so
+each mistake is reported once.
 """
 
 from collections.abc import Iterable
 import dataclasses
 
-# The most that a line of the log has of a mistake, in characters: names in it
-# are those of the other writer, and may be of any length.
+# The longest name or reason in a log line. Other programs choose the names,
+# which may have any length.
 MAX_TEXT_CHARACTERS = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnusableEntry:
-    """An entry that can't be used; ``name`` is empty where it has none."""
+    """An entry that can't be used; ``name`` is empty if it has none."""
 
     name: str
     reason: str
@@ -24,8 +24,8 @@
 class UnusableEntries:
     """The unusable entries of one list.
 
-    ``reasons`` has those that stand there now; ``told`` counts the mistakes
-    that were ever returned as new.
+    ``reasons`` has the reason for each entry that is unusable now;
+    ``reported_count`` counts all mistakes that were returned as new.
     """
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
     def replace_all(
         self, found: tuple[UnusableEntry, ...]
     ) -> list[UnusableEntry]:
-        """Take in a whole list; return the mistakes that are new."""
+        """Process a complete list; return the mistakes that are new."""
         found_names = {entry.name for entry in found}
         self.remove_entries(self.reasons.keys() - found_names)
         return self.add_changed(found)
@@ -43,7 +43,7 @@
     def add_changed(
         self, found: tuple[UnusableEntry, ...]
     ) -> list[UnusableEntry]:
-        """Take in changed entries; return the mistakes that are new."""
+        """Process changed entries; return the mistakes that are new."""
         new_mistakes = []
         for entry in found:
             reason = entry.reason[:MAX_TEXT_CHARACTERS]
@@ -56,6 +56,6 @@
         return new_mistakes
 
     def remove_entries(self, names: Iterable[str]) -> None:
-        """Forget entries that can be used now, or are gone."""
+        """Remove entries that are usable now, or no longer exist."""
         for name in list(names):
             self.reasons.pop(name, None)
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Callers that are slow, large, torn or gone, on connections of their own."""
+"""Connections of callers: timeouts, limits, errors and disconnections."""
 
 import pytest
 from twisted.internet import testing
@@ -23,7 +23,7 @@
 
 
 class Callers:
-    """A caller side whose decisions are the test's."""
+    """A caller side whose actions the test chooses."""
 
     def __init__(self):
         self.clock = testing.MemoryReactorClock()
@@ -81,7 +81,7 @@
 
 
 def test_disconnected_caller_is_reported():
-    """Otherwise its engine would go on working for nobody."""
+    """Guards against an engine that goes on working without a caller."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
@@ -90,9 +90,10 @@
 
 
 def test_broken_stream_does_not_look_complete():
-    """An engine is lost for good in the middle of a stream.
+    """A stream is aborted after its engine is lost.
 
-    An orderly end would tell the caller that its text is whole.
+    Guards against an orderly end, after which the caller would take the text
+    for complete.
     """
     callers = Callers()
     connection = callers.connect()
@@ -139,9 +140,9 @@
     ],
 )
 def test_bad_request_gets_its_answer_and_costs_no_engine(raw, status):
-    """What a caller sends wrong is told with a status of its own.
+    """Invalid requests get a status, and the connection closes later.
 
-    The connection is not reset under the answer, which could be lost with it.
+    Guards against a reset right after the answer, which could lose it.
     """
     callers = Callers()
     connection = callers.connect()
@@ -164,7 +165,7 @@
 
 
 def test_slow_header_is_given_up():
-    """Callers that never finish would hold descriptors until none is left."""
+    """Guards against slow callers that use up all file descriptors."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(b'GET / HT')
@@ -184,7 +185,7 @@
 
 
 def test_answer_while_stopping_closes_its_connection():
-    """A caller that went on using it would find it cut a moment later."""
+    """Guards against callers that reuse a connection about to be closed."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
@@ -197,8 +198,7 @@
 def test_caller_that_does_not_read_is_given_up():
     """A caller stops reading in the middle of a long stream.
 
-    What waits for it would fill the memory of the instance, at the cost of all
-    others.
+    Guards against unsent events that fill the memory of the instance.
     """
     callers = Callers()
     connection = callers.connect()
--- a/tests/relay/test_connection_machine.py
+++ b/tests/relay/test_connection_machine.py
@@ -1,7 +1,7 @@
-"""Random histories of the connections to engines.
+"""Random sequences of events on the connections to engines.
 
-Each answer names the request that it belongs to, so that one that reaches
-another request's receiver is found out.
+Each answer contains the number of its request, so a test can tell when it
+reaches the receiver of another request.
 """
 
 from hypothesis import settings
@@ -17,7 +17,7 @@
 
 
 class TrackedRequest(relay_wires.Receiver):
-    """A request; counts how often it was told of an end."""
+    """A request; counts how often its end was reported."""
 
     def __init__(self, number):
         super().__init__()
@@ -44,7 +44,10 @@
 
 
 class ConnectionMachine(RuleBasedStateMachine):
-    """Requests, and engines that answer well, badly, late or not at all."""
+    """Requests to engines whose answers are valid, invalid, late or missing.
+
+    ``unusable`` has the connections that must not be reused.
+    """
 
     def __init__(self):
         super().__init__()
@@ -52,8 +55,6 @@
         self.requests = []
         self.unusable = set()
 
-    # -- helpers ------------------------------------------------------------
-
     @property
     def open_connections(self):
         return [c for c in self.server.connections if not c.is_closed]
@@ -63,12 +64,10 @@
         return [c for c in self.open_connections if c.receiver is not None]
 
     def report_own_reset(self, connection):
-        """Tell a connection that we have reset that it is closed."""
+        """Report the loss of a connection that the pool has reset."""
         if connection.transport.aborted:
             relay_wires.reset(connection)
 
-    # -- rules --------------------------------------------------------------
-
     @rule(fresh=st.booleans(), key=st.sampled_from(['engine-1', 'engine-2']))
     def ask(self, fresh, key):
         request = TrackedRequest(len(self.requests))
@@ -84,7 +83,7 @@
             self.server.accept()
         self.requests.append(request)
         carrier = request.pending.connection
-        assert carrier not in self.unusable, 'a spoiled connection is reused'
+        assert carrier not in self.unusable, 'an unusable connection is reused'
 
     @precondition(lambda self: self.busy_connections)
     @rule(number=INDEX, pieces=st.integers(1, 3))
@@ -153,8 +152,6 @@
         for connection in self.open_connections:
             self.report_own_reset(connection)
 
-    # -- promises -----------------------------------------------------------
-
     @invariant()
     def each_request_gets_its_own_answer_or_none(self):
         for request in self.requests:
@@ -176,7 +173,7 @@
                 assert connection not in self.unusable
 
     def teardown(self):
-        """A request whose connection is gone has heard of it."""
+        """Check that each request whose connection is closed has ended."""
         for connection in self.open_connections:
             relay_wires.reset(connection)
         for request in self.requests:
--- a/tests/relay/test_engine_connections.py
+++ b/tests/relay/test_engine_connections.py
@@ -1,4 +1,4 @@
-"""Answers of engines that are late, torn, doubled or somebody else's."""
+"""Answers of engines that are late, truncated, repeated or misdirected."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def receive_answer(raw):
-    """Return server, receiver and connection after some bytes came back."""
+    """Return server, receiver and connection after an engine's bytes."""
     server = relay_wires.Server()
     receiver = relay_wires.Receiver()
     connection = server.ask(receiver)
@@ -30,7 +30,7 @@
 def test_bytes_behind_an_answer_close_the_connection():
     """An engine sends a second answer right behind the first.
 
-    Kept, the connection would give it to the next caller as its own.
+    Guards against passing it to the next caller on a reused connection.
     """
     server, receiver, connection = receive_answer(WHOLE + WHOLE)
     assert receiver.body == b'ok'
@@ -39,7 +39,7 @@
 
 
 def test_unsolicited_answer_closes_the_connection():
-    """The second answer comes a moment later, on the idle connection."""
+    """The second answer arrives while the connection is idle."""
     server, _, connection = receive_answer(WHOLE)
     connection.dataReceived(b'HTTP/1.1 200 OK\r\nContent-Len')
     assert connection.transport.aborted
@@ -55,10 +55,9 @@
     ],
 )
 def test_truncated_answer_fails(raw):
-    """An engine ends its connection within an answer.
+    """An engine closes its connection within an answer.
 
-    Passed on as it is, it would look like a whole one to a caller who trusts
-    the length it is told.
+    Guards against passing on a truncated answer as a complete one.
     """
     _, receiver, connection = receive_answer(raw)
     relay_wires.close(connection)
@@ -76,9 +75,9 @@
 
 
 def test_answer_without_length_that_is_reset_fails():
-    """Only the way its connection ends tells whether it is whole.
+    """Only an orderly close shows that such an answer is complete.
 
-    A reset on the way would hand the caller a part as the whole.
+    Guards against passing on a part of it after a reset.
     """
     raw = b'HTTP/1.1 200 OK\r\n\r\nhalf of'
     _, receiver, connection = receive_answer(raw)
@@ -103,8 +102,8 @@
 def test_keep_alive_timeout_of_the_engine_is_respected():
     """An engine closes idle connections after two seconds.
 
-    A request that crosses the close is lost, and may not be repeated if it is
-    a charge.
+    Guards against a request that races with the close: it is lost, and a
+    charge must not be repeated.
     """
     raw = WHOLE.replace(b'\r\n\r\n', b'\r\nKeep-Alive: timeout=2\r\n\r\n')
     server, _, connection = receive_answer(raw)
@@ -113,10 +112,10 @@
 
 
 def test_early_answer_does_not_corrupt_the_next_request():
-    """An engine answers before it has read a long body and goes on reading.
+    """An engine answers before it has read all of a long body.
 
-    The body was handed over whole, so the next request's bytes come after it
-    and not in its place.
+    Guards against a next request whose bytes the engine reads as the rest of
+    that body.
     """
     server = relay_wires.Server()
     receiver = relay_wires.Receiver()
@@ -130,7 +129,7 @@
 
 
 def test_refused_connection_has_sent_nothing():
-    """Only then may a charge go to another engine."""
+    """Only in this case may a charge be sent to another engine."""
     server = relay_wires.Server()
     receiver = relay_wires.Receiver()
     server.pool.request(
@@ -149,7 +148,7 @@
 def test_engine_that_took_over_an_address_gets_no_kept_connection():
     """An engine restarts at the same address.
 
-    What was kept for the former one must not carry requests to it.
+    Guards against reuse of connections to the previous one.
     """
     server, _, connection = receive_answer(WHOLE)
     receiver = relay_wires.Receiver()
@@ -157,9 +156,9 @@
 
 
 def test_request_that_must_not_repeat_gets_a_new_connection():
-    """An idle connection may have been dropped without a word.
+    """An idle connection may have been lost without notice.
 
-    What is sent on it next is lost, and nobody knows whether it ran.
+    A request sent on it is lost, and it is unknown whether it ran.
     """
     server, _, connection = receive_answer(WHOLE)
     assert server.ask(relay_wires.Receiver(), fresh=True) is not connection
--- a/tests/transport/test_compressed_rows.py
+++ b/tests/transport/test_compressed_rows.py
@@ -1,4 +1,4 @@
-"""Documents in the platform's rows and between instances are compressed."""
+"""Compression of documents in the platform's rows and between instances."""
 
 import base64
 import zlib
@@ -28,6 +28,6 @@
     ],
 )
 def test_row_that_cannot_be_decoded_is_rejected(text):
-    """Somebody has written over a row of the platform's table by hand."""
+    """A row of the platform's table was overwritten by hand."""
     with pytest.raises(errors.ProtocolError):
         codec.decompress_from_text(text, plans.Confirmation)
--- a/tests/transport/test_connections.py
+++ b/tests/transport/test_connections.py
@@ -1,4 +1,4 @@
-"""How connections to upstreams are made, without a network."""
+"""Attempts to connect to upstreams, without a network."""
 
 from twisted.internet import error
 from twisted.internet import testing
@@ -10,8 +10,8 @@
 def test_refused_connection_is_reported_without_waiting():
     """An engine was killed and its port refuses connections.
 
-    An agent that still waits for further addresses reports this 0.3 s late,
-    and each stream of that engine stands still for so long.
+    Guards against an agent that waits for further addresses: it reports this
+    0.3 s late, and each stream of the engine pauses for that time.
     """
     reactor = testing.MemoryReactorClock()
     agent = http.fresh_connection_agent(reactor)
--- a/tests/transport/test_engine_control.py
+++ b/tests/transport/test_engine_control.py
@@ -1,4 +1,4 @@
-"""Short orders to engines, over connections that exist in memory only."""
+"""Short requests to engines, over connections in memory."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
@@ -22,9 +22,9 @@
 
 
 def test_redirect_of_a_probe_is_not_followed():
-    """Something in front of an engine answers with a redirect.
+    """A proxy in front of an engine answers with a redirect.
 
-    Followed, the report of another engine would be taken for this one's.
+    Guards against taking the report of another engine for this one's.
     """
     network = wires.Network()
     client, found = create_client(network)
@@ -36,10 +36,10 @@
 
 
 def test_refused_cancellation_closes_its_connection():
-    """An engine refuses a cancellation, again and again.
+    """An engine refuses cancellations repeatedly.
 
-    An answer that nobody reads keeps its connection open for good; after
-    some thousands of them the instance can open no more.
+    Guards against unread answers that keep their connections open: after some
+    thousands of them the instance can open no more.
     """
     network = wires.Network()
     client, found = create_client(network)
@@ -51,9 +51,9 @@
 
 
 def test_endless_report_is_cut_at_the_bound():
-    """An engine gone wrong sends a report that never ends.
+    """A faulty engine sends a report that never ends.
 
-    Kept whole, it would fill the memory that all callers' streams need.
+    Guards against a report that fills the memory of the instance.
     """
     network = wires.Network()
     client, found = create_client(network)
@@ -65,10 +65,10 @@
 
 
 def test_stream_that_has_ended_is_forgotten():
-    """An instance serves one answer after the other, for weeks.
+    """An instance serves many streams over weeks.
 
-    Kept after its end, each of them would take some memory for good, until
-    the instance ends and breaks the streams that it serves.
+    Guards against a memory leak: if each ended stream were kept, the instance
+    would run out of memory and break the streams that it serves.
     """
     network = wires.Network()
     client, found = create_client(network)
--- a/tests/transport/test_engine_fate.py
+++ b/tests/transport/test_engine_fate.py
@@ -1,4 +1,4 @@
-"""What becomes of an engine whose connections broke, by sockets."""
+"""Checks whether an engine whose connections failed has ended."""
 
 import h11
 import pytest
@@ -31,18 +31,18 @@
 
 
 class Reactor(task.Clock):
-    """Keeps the connections that are being opened."""
+    """Records the factory of the connection that is being opened."""
 
     def connectTCP(self, host, port, factory, **named):  # noqa: N802
         self.factory = factory
         return self
 
     def disconnect(self):
-        """Stop connecting."""
+        """Ignore the end of the attempt to connect."""
 
 
 def check_engine():
-    """Ask an engine for its fate; return the reactor and what is reported."""
+    """Check an engine; return the reactor and the reported events."""
     reactor = Reactor()
     found = []
     pool = http_client.ConnectionPool(reactor)
@@ -52,7 +52,7 @@
 
 
 def test_engine_that_refuses_connections_has_ended():
-    """Guards against crashes that count for nothing."""
+    """Guards against crashes that are not counted."""
     reactor, found = check_engine()
     refused = failure.Failure(error.ConnectionRefusedError())
     reactor.factory.clientConnectionFailed(None, refused)
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize('why', [error.TimeoutError, error.NoRouteError])
 def test_fate_of_an_unreachable_engine_is_unknown(why):
-    """Guards against links that are down and count as crashes."""
+    """Guards against failures of links that are counted as crashes."""
     reactor, found = check_engine()
     failed = failure.Failure(why())
     reactor.factory.clientConnectionFailed(None, failed)
@@ -69,7 +69,7 @@
 
 
 def test_fate_of_an_unresponsive_engine_is_unknown():
-    """Guards against engines that are dark and count as crashed."""
+    """Guards against unresponsive engines that are counted as crashed."""
     reactor, found = check_engine()
     reactor.advance(1.0)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
@@ -80,7 +80,7 @@
     [(1000, FATE.ALIVE), (0, FATE.ALIVE), (1001, FATE.ENDED)],
 )
 def test_engine_with_a_later_start_has_restarted(start, fate):
-    """Guards against an engine that is back before it is asked."""
+    """Guards against missing the crash of an engine that has restarted."""
     reactor, found = check_engine()
     connection = reactor.factory.buildProtocol(None)
     connection.makeConnection(relay_wires.Wire())
--- a/tests/transport/test_relay.py
+++ b/tests/transport/test_relay.py
@@ -1,4 +1,4 @@
-"""Tokens are gathered between relays, and none is lost or reordered by it."""
+"""Batching of an engine's tokens keeps them complete and in order."""
 
 from twisted.internet import task
 
@@ -13,7 +13,7 @@
 
 
 class GatheredStream:
-    """An engine stream fed by hand, with the events that came of it."""
+    """An engine stream with input from the test, and its events."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -54,9 +54,9 @@
 
 
 def test_gathered_tokens_are_passed_on_before_the_end():
-    """The last tokens and the end of an answer come in one read.
+    """The last tokens and the end of an answer arrive in one read.
 
-    An end that overtook them would look like an answer with a gap.
+    Guards against an end that overtakes them, which looks like missing tokens.
     """
     gathered = GatheredStream()
     gathered.receive(0, 'a')
@@ -69,8 +69,8 @@
 def test_gap_between_batches_stays_visible():
     """An engine skips a position.
 
-    Gathered as if they followed on, the tokens would reach the caller with
-    one missing; kept apart, the gap is seen and the stream recovers.
+    Guards against batching tokens across the gap: the caller would miss one.
+    Separate batches show the gap, and the stream recovers.
     """
     gathered = GatheredStream()
     gathered.receive(0, 'a')
@@ -81,7 +81,7 @@
 
 
 def test_abandoned_connection_reports_nothing_more():
-    """A connection is replaced while tokens of it wait to be relayed."""
+    """A connection is replaced while some of its tokens are still batched."""
     gathered = GatheredStream()
     gathered.receive(0, 'a')
     gathered.receive(1, 'b')
