--- a/measure/control_traffic.py
+++ b/measure/control_traffic.py
@@ -68,12 +68,12 @@
     peer_codec = peer_api.PeerCodec('the-secret-of-the-fleet')
     stamp = timeline.Stamp(int(time.time() * 1000), 3)
     plain = fleet.Heartbeat(peer(1), 100_000, False, stamp)
-    size = len(peer_codec.seal(peer_api.message_of(plain)))
+    size = len(peer_codec.seal_message(peer_api.to_message(plain)))
     notices = tuple(
         identity.EngineId(f'engine-{n:03}', f'{n:012x}') for n in range(8)
     )
     noticed = fleet.Heartbeat(peer(1), 100_000, False, stamp, notices)
-    noticed_size = len(peer_codec.seal(peer_api.message_of(noticed)))
+    noticed_size = len(peer_codec.seal_message(peer_api.to_message(noticed)))
     report('heartbeat', size, 'bytes')
     report('heartbeat with 8 leaving upstreams', noticed_size, 'bytes')
     others = INSTANCES - 1
@@ -100,13 +100,13 @@
     frames = []
     for number in range(1, INSTANCES):
         heartbeat = fleet.Heartbeat(peer(number), 1, False, plain.stamp)
-        frames.append(peer_codec.seal(peer_api.message_of(heartbeat)))
+        frames.append(peer_codec.seal_message(peer_api.to_message(heartbeat)))
     begun = time.process_time()
     for turn in range(ROUNDS):
         now = turn * INTERVAL
         for frame in frames:
             member.handle_heartbeat(
-                peer_api.heartbeat_of(peer_codec.open(frame)), now
+                peer_api.to_heartbeat(peer_codec.open_frame(frame)), now
             )
     taken = (time.process_time() - begun) / ROUNDS / len(frames)
     report('one heartbeat taken in', taken * 1e6, 'us')
@@ -114,7 +114,7 @@
     for turn in range(ROUNDS):
         for action in member.tick(ROUNDS * INTERVAL + turn):
             if isinstance(action, membership.SendHeartbeat):
-                peer_codec.seal(peer_api.message_of(action.heartbeat))
+                peer_codec.seal_message(peer_api.to_message(action.heartbeat))
     sent = (time.process_time() - begun) / ROUNDS
     report('one round of heartbeats made', sent * 1e6, 'us')
     share = (taken * len(frames) + sent) / INTERVAL
--- a/measure/in_force.py
+++ b/measure/in_force.py
@@ -57,7 +57,9 @@
     began_at = time.monotonic()
     found = await reader.read_all(addresses)
     seconds = time.monotonic() - began_at
-    answers = sum(isinstance(page, in_force.InForce) for _, page in found)
+    answers = sum(
+        isinstance(page, in_force.InstanceReport) for _, page in found
+    )
     print(f'{answers} of {instances} answered, {seconds:.2f} s')
 
 
--- a/measure/recovery.py
+++ b/measure/recovery.py
@@ -108,7 +108,7 @@
         for timed in self.raw:
             if not timed.event_id:
                 continue
-            now = seal.open(timed.event_id).attempt
+            now = seal.open_point(timed.event_id).attempt
             if attempt and now != attempt and timed.arrived_at > failed_at:
                 return timed.arrived_at - failed_at
             attempt = now
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -262,11 +262,15 @@
 ) -> None:
     """Hear all peers once and send one heartbeat to each."""
     for number in range(1, peers + 1):
-        frame = codec.seal(peer_api.message_of(sample_heartbeat(number)))
-        found.handle_heartbeat(peer_api.heartbeat_of(codec.open(frame)), 1.0)
+        frame = codec.seal_message(
+            peer_api.to_message(sample_heartbeat(number))
+        )
+        found.handle_heartbeat(
+            peer_api.to_heartbeat(codec.open_frame(frame)), 1.0
+        )
     for action in found.tick(1.0):
         if isinstance(action, membership.SendHeartbeat):
-            codec.seal(peer_api.message_of(action.heartbeat))
+            codec.seal_message(peer_api.to_message(action.heartbeat))
 
 
 def peer_lines() -> dict[str, Line]:
@@ -282,7 +286,7 @@
         rounds.append((float(peers), seconds))
         held = bytes_of(lambda n=peers: peers_heard(n))
         memory.append((float(peers), float(held)))
-    frame = codec.seal(peer_api.message_of(sample_heartbeat(1)))
+    frame = codec.seal_message(peer_api.to_message(sample_heartbeat(1)))
     return {
         'heartbeat_round_per_peer': fit('processor seconds', rounds),
         'memory_per_peer': fit('bytes', memory),
@@ -301,7 +305,7 @@
         for number in range(loads)
     )
     heartbeat = dataclasses.replace(sample_heartbeat(1), loads=told)
-    return float(len(codec.seal(peer_api.message_of(heartbeat))))
+    return float(len(codec.seal_message(peer_api.to_message(heartbeat))))
 
 
 def relay_lines() -> dict[str, Line]:
--- a/src/greengagelb/cli/explain.py
+++ b/src/greengagelb/cli/explain.py
@@ -80,7 +80,7 @@
         and first <= event.stamp.milliseconds <= last
         and (event.process in processes or event.upstream in upstreams)
     ]
-    return sorted(own + around, key=timeline.order_key)
+    return sorted(own + around, key=timeline.sort_key)
 
 
 def render(story: list[timeline.TimelineEvent]) -> str:
--- a/src/greengagelb/cli/in_force.py
+++ b/src/greengagelb/cli/in_force.py
@@ -59,7 +59,7 @@
     'DIFFERS',
 )
 
-Has = Callable[[in_force.InForce], bool]
+Has = Callable[[in_force.InstanceReport], bool]
 
 
 def show(words: list[str]) -> int:
@@ -67,7 +67,9 @@
     addresses = read_addresses()
     wanted = wanted_by_flags()
 
-    async def look(reactor: interfaces.IReactorCore) -> list[in_force.Seen]:
+    async def look(
+        reactor: interfaces.IReactorCore,
+    ) -> list[in_force.ComparedReport]:
         reader = page_reader.PageReader(reactor)
         return await look_until(reactor, reader, addresses, wanted)
 
@@ -101,7 +103,7 @@
     if version is None and digest is None:
         return None
 
-    def has(page: in_force.InForce) -> bool:
+    def has(page: in_force.InstanceReport) -> bool:
         return (version is None or page.configuration_version >= version) and (
             digest is None or page.digest == digest
         )
@@ -114,21 +116,21 @@
     reader: page_reader.PageReader,
     addresses: list[operator_client.Address],
     wanted: Has | None,
-) -> list[in_force.Seen]:
+) -> list[in_force.ComparedReport]:
     """Return what is found, at once or when all have what is wanted."""
     deadline = reactor.seconds() + DEADLINE_SECONDS.value
     last_told = ''
     while True:
         found = await reader.read_all(addresses)
         if wanted is None:
-            return in_force.compare(found)
+            return in_force.compare_reports(found)
         count = sum(has_it(page, wanted) for _, page in found)
         told = f'{count} of {len(found)} have it\n'
         if told != last_told:
             sys.stderr.write(told)
             last_told = told
         if count == len(found) or reactor.seconds() >= deadline:
-            return in_force.compare(found)
+            return in_force.compare_reports(found)
         await sleep(reactor, LOOK_SECONDS)
 
 
@@ -139,16 +141,20 @@
     return task.deferLater(reactor, seconds, lambda: None)
 
 
-def has_it(page: in_force.InForce | in_force.NoPage, wanted: Has) -> bool:
+def has_it(
+    page: in_force.InstanceReport | in_force.ReportUnavailable, wanted: Has
+) -> bool:
     """Return whether an instance has what is waited for."""
-    return isinstance(page, in_force.InForce) and wanted(page)
+    return isinstance(page, in_force.InstanceReport) and wanted(page)
 
 
 def exit_code_of(
-    seen: list[in_force.Seen], wanted: Has | None
+    seen: list[in_force.ComparedReport], wanted: Has | None
 ) -> exit_codes.ExitCode:
     """Return the exit code: the worst of what was seen."""
-    answered = [one for one in seen if isinstance(one.found, in_force.InForce)]
+    answered = [
+        one for one in seen if isinstance(one.found, in_force.InstanceReport)
+    ]
     if not answered:
         return exit_codes.ExitCode.NOTHING_FOUND
     if len(answered) < len(seen):
@@ -162,20 +168,20 @@
     return exit_codes.ExitCode.DIFFERENT
 
 
-def as_table(seen: list[in_force.Seen]) -> str:
+def as_table(seen: list[in_force.ComparedReport]) -> str:
     """Return a line for each instance, and how many agree."""
     rows = [list(HEAD), *map(row_of, seen)]
     agree = sum(not one.differences for one in seen)
     return tables.render(rows) + f'{agree} of {len(seen)} agree\n'
 
 
-def row_of(seen: in_force.Seen) -> list[str]:
+def row_of(seen: in_force.ComparedReport) -> list[str]:
     """Return the cells of one instance."""
     differs = '; '.join(seen.differences)
     match seen.found:
-        case in_force.NoPage():
+        case in_force.ReportUnavailable():
             return [seen.address, *['?'] * (len(HEAD) - 2), differs]
-        case in_force.InForce() as page:
+        case in_force.InstanceReport() as page:
             age = page.store_seconds
             return [
                 seen.address,
@@ -193,12 +199,12 @@
             ]
 
 
-def as_json(seen: list[in_force.Seen]) -> str:
+def as_json(seen: list[in_force.ComparedReport]) -> str:
     """Return a line of JSON for each instance."""
     lines = []
     for one in seen:
         fields = {'address': one.address, 'differences': one.differences}
-        if isinstance(one.found, in_force.InForce):
+        if isinstance(one.found, in_force.InstanceReport):
             fields |= dataclasses.asdict(one.found)
         lines.append(json.dumps(fields))
     return '\n'.join(lines) + '\n'
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -149,7 +149,7 @@
         return plan_state.ReplaceConfiguration(
             read_json(CONFIGURATION.value, read_configuration)
         )
-    return read_json(INTENT.value, operator_api.read_intent)
+    return read_json(INTENT.value, operator_api.decode_intent)
 
 
 def read_configuration(raw: bytes) -> configuration_state.Configuration:
--- a/src/greengagelb/cli/timeline.py
+++ b/src/greengagelb/cli/timeline.py
@@ -25,7 +25,7 @@
     2_000,
     'The last events that each instance gives.',
     lower_bound=1,
-    upper_bound=timeline_api.MOST_EVENTS,
+    upper_bound=timeline_api.MAX_EVENTS,
 )
 
 WIDEST_CELL = 60
@@ -74,7 +74,7 @@
         match part:
             case timeline_api.TimelinePart(events=found):
                 events += found
-    return sorted(events, key=timeline_state.order_key)
+    return sorted(events, key=timeline_state.sort_key)
 
 
 def render(parts: list[Part], wanted: timeline_state.Selection) -> str:
--- a/src/greengagelb/coordination/configuration/orders.py
+++ b/src/greengagelb/coordination/configuration/orders.py
@@ -100,8 +100,8 @@
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
-        self.targets: dict[str, order_state.Wanted] = {}
-        self.reports: dict[str, order_state.EngineSeen] = {}
+        self.targets: dict[str, order_state.RequiredTarget] = {}
+        self.reports: dict[str, order_state.EngineObservation] = {}
         self.progress: dict[str, order_state.OrderProgress] = {}
         self.is_lease_candidate = False
         self.fencing_number = 0
@@ -117,7 +117,9 @@
         self.load_requested_for = ''
         self.load_refusals = 0
 
-    def set_targets(self, wanted: Iterable[order_state.Wanted]) -> None:
+    def set_targets(
+        self, wanted: Iterable[order_state.RequiredTarget]
+    ) -> None:
         """Set the targets of a configuration."""
         self.targets = {one.upstream.name: one for one in wanted}
         for name, progress in list(self.progress.items()):
@@ -126,7 +128,9 @@
             else:
                 progress.may_load = False
 
-    def update_report(self, name: str, seen: order_state.EngineSeen) -> None:
+    def update_report(
+        self, name: str, seen: order_state.EngineObservation
+    ) -> None:
         """Store the latest report of an engine."""
         self.reports[name] = seen
 
--- a/src/greengagelb/coordination/events.py
+++ b/src/greengagelb/coordination/events.py
@@ -50,7 +50,7 @@
     """The engine has started to answer with an event stream."""
 
     attempt: identity.AttemptId
-    said: limits.Said = limits.NOTHING_SAID
+    said: limits.UpstreamAdvertisement = limits.NO_ADVERTISEMENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -78,7 +78,7 @@
     attempt: identity.AttemptId
     code: str
     retry_after: float | None
-    said: limits.Said = limits.NOTHING_SAID
+    said: limits.UpstreamAdvertisement = limits.NO_ADVERTISEMENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -213,7 +213,7 @@
     status: int
     body: bytes
     try_number: int = 1
-    said: limits.Said = limits.NOTHING_SAID
+    said: limits.UpstreamAdvertisement = limits.NO_ADVERTISEMENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -228,7 +228,7 @@
     detail: str
     handed_over: bool
     try_number: int = 1
-    said: limits.Said | None = None
+    said: limits.UpstreamAdvertisement | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -34,7 +34,7 @@
 
     upstream: str
     asked_at: float
-    said: limits.Said
+    said: limits.UpstreamAdvertisement
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -145,7 +145,7 @@
         name, said = answer.upstream, answer.said
         incarnation = said.incarnation or known
         self.reset_for_incarnation(name, incarnation)
-        if isinstance(said.limit, limits.Unusable):
+        if isinstance(said.limit, limits.UnusableLimit):
             reason = f'limit-unusable: {said.limit.text}'
             refusal = actions.Record(
                 'engine-limit-refused', reason, upstream=name
@@ -160,7 +160,7 @@
         return self.apply_limit(news)
 
     def apply_limit(
-        self, news: limits.LimitNews, source: str = ''
+        self, news: limits.LimitUpdate, source: str = ''
     ) -> list[actions.Action]:
         """Apply a changed limit; ``source`` is the peer that reported it."""
         name = upstream_of_life(news.life)
@@ -189,7 +189,7 @@
         news about another incarnation is ignored. It is empty if unknown.
         """
         match message:
-            case limits.LimitNews(life):
+            case limits.LimitUpdate(life):
                 if known and life != f'{upstream_of_life(life)} {known}':
                     return []
                 if not self.keeper.merge_news(message, now):
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -284,7 +284,7 @@
     ) -> list[actions.Action]:
         """Apply a message of another instance about limits."""
         known_incarnation = ''
-        if isinstance(message, limits.LimitNews):
+        if isinstance(message, limits.LimitUpdate):
             name = upstream_limits.upstream_of_life(message.life)
             view = self.directory.views.get(name)
             known_incarnation = view.incarnation if view else ''
--- a/src/greengagelb/coordination/relay/calls.py
+++ b/src/greengagelb/coordination/relay/calls.py
@@ -142,7 +142,7 @@
         goal = exchange.ruling.route.goal
         late = timers.timer_name(LATE_CALL_TIMER, exchange.number)
         done.append(actions.SetTimer(late, now + goal))
-        if exchange.ruling.route.repeatable:
+        if exchange.ruling.route.is_repeatable:
             name = timers.timer_name(HEDGE_TIMER, exchange.number)
             done.append(actions.SetTimer(name, now + HEDGE_DELAY_SHARE * goal))
         return done
@@ -150,7 +150,7 @@
     def handle_answer(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
@@ -163,7 +163,7 @@
     def decide_answer(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
@@ -178,11 +178,11 @@
         self.parts.engines.note_success(sent.entry.engine, now)
         if head.status >= 500:
             self.count_engine_error(sent, now)
-        if not head.sealed and head.succeeded:
+        if not head.sealed and head.is_success:
             return self.handle_lost_send(
                 exchange, sent, 'unsigned answer', now
             )
-        if head.status >= 500 and exchange.ruling.route.repeatable:
+        if head.status >= 500 and exchange.ruling.route.is_repeatable:
             exchange.failed = (head, event.body)
             return self.handle_lost_send(
                 exchange, sent, f'status {head.status}', now
@@ -193,16 +193,20 @@
         call = relay_actions.DurationKind.CALL
         return [*done, passed, relay_actions.ObserveDuration(call, took)]
 
-    def count_engine_error(self, sent: exchanges.Sent, now: float) -> None:
+    def count_engine_error(
+        self, sent: exchanges.InFlightSend, now: float
+    ) -> None:
         """Count an error of an engine here and announce it to others."""
         engine, start = sent.entry.engine, sent.entry.started_at_ms
         self.parts.engines.note_call_error(engine, now, start)
-        self.parts.send_table.pending_hints.append(hints.Erred(engine, start))
+        self.parts.send_table.pending_hints.append(
+            hints.EngineErrored(engine, start)
+        )
 
     def retry_not_run(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         status: int,
         now: float,
     ) -> list[Action]:
@@ -220,7 +224,7 @@
     def handle_broken_send(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
@@ -262,7 +266,7 @@
     def handle_lost_send(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         detail: str,
         now: float,
     ) -> list[Action]:
@@ -272,7 +276,7 @@
         ]
         if exchange.sends:
             return done
-        if exchange.ruling.route.repeatable:
+        if exchange.ruling.route.is_repeatable:
             if self.parts.crash_watch.hold_until_checked(exchange, sent, now):
                 return done
             return done + self.send_to_next_engine(
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -38,7 +38,7 @@
 
     entry: engines.EngineEntry
     attempts: int = 1
-    held_runs: list[tuple[int, exchanges.Sent]] = dataclasses.field(
+    held_runs: list[tuple[int, exchanges.InFlightSend]] = dataclasses.field(
         default_factory=list
     )
 
@@ -48,7 +48,7 @@
     """The requests that a crash counts against, and those to resume."""
 
     counted_fingerprints: tuple[str, ...]
-    held_runs: tuple[tuple[int, exchanges.Sent], ...]
+    held_runs: tuple[tuple[int, exchanges.InFlightSend], ...]
 
 
 class CrashWatch:
@@ -70,7 +70,7 @@
     def suspect_engine(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         began_at: float,
         now: float,
     ) -> list[Action]:
@@ -87,7 +87,10 @@
         return [relay_actions.CheckEngine(sent.entry)]
 
     def hold_until_checked(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> bool:
         """Hold a request that the checks in progress may block.
 
--- a/src/greengagelb/coordination/relay/crashing_requests.py
+++ b/src/greengagelb/coordination/relay/crashing_requests.py
@@ -92,7 +92,7 @@
         return []
 
     def resume_held(
-        self, number: int, sent: exchanges.Sent, now: float
+        self, number: int, sent: exchanges.InFlightSend, now: float
     ) -> list[Action]:
         """Continue a request that was held, if its caller still waits."""
         exchange = self.running.get(number)
@@ -100,7 +100,7 @@
             return []
         if self.watch.hold_until_checked(exchange, sent, now):
             return []
-        if exchange.ruling.route.repeat is routes.Repeat.STREAM:
+        if exchange.ruling.route.repeat is routes.RepeatPolicy.STREAM:
             return self.streams.start_replacement(exchange, sent, now)
         return self.calls.send_to_next_engine(exchange, now, 'engines-failed')
 
@@ -141,7 +141,11 @@
         """Ask an instance for its reports if its digest differs."""
         if not self.watch.should_query_peer(digest, now):
             return []
-        return [relay_actions.TellPeer(incarnation, crash_state.Wanted())]
+        return [
+            relay_actions.TellPeer(
+                incarnation, crash_state.CrashReportsRequest()
+            )
+        ]
 
     def send_reports(self, incarnation: str, now: float) -> list[Action]:
         """Send an instance the reports known here."""
--- a/src/greengagelb/coordination/relay/directory.py
+++ b/src/greengagelb/coordination/relay/directory.py
@@ -140,7 +140,7 @@
             for name, state in self.states.items()
             if state.entry.address == entry.address
             and name != entry.engine
-            and not entry.ended_before(state.entry.started_at_ms)
+            and not entry.is_earlier_than(state.entry.started_at_ms)
             and state.learned_at < learned_before
             and not state.replaced
         ]
@@ -182,14 +182,14 @@
         state = self.states.get(entry.engine)
         if state is None:
             return False
-        return state.entry.ended_before(entry.started_at_ms)
+        return state.entry.is_earlier_than(entry.started_at_ms)
 
     def is_past_life(self, entry: engines.EngineEntry) -> bool:
         """Return whether a later life of an entry's engine is known."""
         state = self.states.get(entry.engine)
         if state is None:
             return False
-        return entry.ended_before(state.entry.started_at_ms)
+        return entry.is_earlier_than(state.entry.started_at_ms)
 
     def begin_life(self, entry: engines.EngineEntry, now: float) -> None:
         """Replace what is known of an engine by an entry.
@@ -236,7 +236,7 @@
         Returns its entry, or None if the life is not newer than the known one.
         """
         state = self.states.get(engine)
-        if state is None or not state.entry.ended_before(started_at_ms):
+        if state is None or not state.entry.is_earlier_than(started_at_ms):
             return None
         entry = dataclasses.replace(
             state.entry,
@@ -434,7 +434,7 @@
         others = [
             name
             for name, other in service_engines.items()
-            if name != engine and other.usable(now)
+            if name != engine and other.is_usable(now)
         ]
         self.outliers.count_error(engine, others, now)
 
@@ -534,7 +534,7 @@
             name
             for name, state in self.states.items()
             if state.entry.address == address
-            and state.usable(now)
+            and state.is_usable(now)
             and self.is_configured_service(state.entry.service)
         }
 
@@ -561,9 +561,9 @@
         usable = [
             state
             for name, state in self.by_service.get(service, {}).items()
-            if name not in excluded and state.usable(now)
+            if name not in excluded and state.is_usable(now)
         ]
-        trusted = [state for state in usable if state.trusted(now)]
+        trusted = [state for state in usable if state.is_trusted(now)]
         return trusted or usable
 
     def data_centre_failure_risks(
@@ -576,9 +576,9 @@
         """
         failed: collections.Counter[str] = collections.Counter()
         for state in self.by_service.get(service, {}).values():
-            if not state.usable(now):
+            if not state.is_usable(now):
                 continue
-            if now < state.doubted_until or not state.trusted(now):
+            if now < state.doubted_until or not state.is_trusted(now):
                 failed[state.entry.data_centre] += 1
         return {
             data_centre: min(1.0, failure_count / DATA_CENTRE_FAILURE_COUNT)
--- a/src/greengagelb/coordination/relay/engine_list.py
+++ b/src/greengagelb/coordination/relay/engine_list.py
@@ -113,7 +113,7 @@
         """Tell the others, after a failure, that this instance tries again."""
         if not self.sharing.engines.failures:
             return []
-        return [relay_actions.ForwardHints((hints.StoreTried(),))]
+        return [relay_actions.ForwardHints((hints.StoreProbed(),))]
 
     def read_notification(self, *, was_reader: bool) -> hints.StoreRead:
         """Return the notification of a read of the store.
@@ -176,15 +176,15 @@
     """Return changes as hints that fit into one datagram each."""
     count = ENTRIES_PER_DATAGRAM
     found: list[hints.Hint] = [
-        hints.EnginesTold(entries[at : at + count], ())
+        hints.EngineListChanged(entries[at : at + count], ())
         for at in range(0, len(entries), count)
     ]
     found += [
-        hints.EnginesTold((), removed[at : at + count])
+        hints.EngineListChanged((), removed[at : at + count])
         for at in range(0, len(removed), count)
     ]
     found += [
-        hints.EnginesTold((), (), unusable[at : at + count])
+        hints.EngineListChanged((), (), unusable[at : at + count])
         for at in range(0, len(unusable), count)
     ]
     return found
--- a/src/greengagelb/coordination/relay/engine_selection.py
+++ b/src/greengagelb/coordination/relay/engine_selection.py
@@ -161,7 +161,7 @@
         )
         if not found:
             return None
-        needed_tokens = prompt.most_memory if prompt else 0
+        needed_tokens = prompt.max_memory_tokens if prompt else 0
         prompt_part = prompt.own_part if prompt else ''
         holder = self.loads.prompts.likely_holder(prompt_part, now)
         failing_by_data_centre = self.engines.data_centre_failure_risks(
@@ -234,7 +234,7 @@
         """
         if service.engines is None or not service.engines.copies:
             return None
-        needed_tokens = prompt.most_memory if prompt else 0
+        needed_tokens = prompt.max_memory_tokens if prompt else 0
         copy_limit_tokens = (
             MAX_COPIED_MEMORY_SHARE * service.engines.memory_tokens
         )
@@ -244,7 +244,7 @@
             for state in self.engines.candidates(
                 service.name, excluded | {run_entry.engine}, now
             )
-            if state.trusted(now)
+            if state.is_trusted(now)
             and now >= state.doubted_until
             and self.held_tokens(state.entry.engine) + needed_tokens
             <= copy_limit_tokens
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -226,7 +226,7 @@
 
     incarnation: str
     data_centre: str
-    known: hints.Digests = hints.NOTHING_KNOWN
+    known: hints.Digests = hints.EMPTY_DIGESTS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/greengagelb/coordination/relay/fleet.py
+++ b/src/greengagelb/coordination/relay/fleet.py
@@ -100,7 +100,7 @@
         return ([incarnation] if known else []) + self.forget_silent(now)
 
     def add_peer_run(
-        self, incarnation: str, hint: hints.Placed, now: float
+        self, incarnation: str, hint: hints.RunPlaced, now: float
     ) -> bool:
         """Count a run of another instance; return whether it is new."""
         self.note_alive(incarnation, now)
@@ -118,7 +118,7 @@
         self.loads.add_run(key, run, now)
         return is_new
 
-    def end_peer_run(self, incarnation: str, hint: hints.Ended) -> None:
+    def end_peer_run(self, incarnation: str, hint: hints.RunEnded) -> None:
         """Stop counting a run of another instance."""
         key = (incarnation, hint.number)
         self.placed_at.pop(key, None)
--- a/src/greengagelb/coordination/relay/held_sends.py
+++ b/src/greengagelb/coordination/relay/held_sends.py
@@ -38,7 +38,7 @@
     after a longer wait it would be faster to read it again.
     """
 
-    lost: exchanges.Sent
+    lost: exchanges.InFlightSend
     max_wait_seconds: float
 
 
--- a/src/greengagelb/coordination/relay/limited_sends.py
+++ b/src/greengagelb/coordination/relay/limited_sends.py
@@ -45,7 +45,7 @@
     ) -> list[Action]:
         """Handle a message about limits of another instance."""
         match message:
-            case limits.LimitNews(life):
+            case limits.LimitUpdate(life):
                 if not self.is_current_life(life, now):
                     return []
                 if not self.keeper.merge_news(message, now):
--- a/src/greengagelb/coordination/relay/peer_events.py
+++ b/src/greengagelb/coordination/relay/peer_events.py
@@ -95,26 +95,26 @@
     ) -> list[Action]:
         """Apply a hint of another instance."""
         match hint:
-            case hints.Placed():
+            case hints.RunPlaced():
                 self.count_peer_run(incarnation, hint, now)
-            case hints.Ended():
+            case hints.RunEnded():
                 self.fleet.end_peer_run(incarnation, hint)
-            case hints.Failed(engine, started_at_ms):
+            case hints.EngineFailed(engine, started_at_ms):
                 self.engines.note_peer_failure(engine, now, started_at_ms)
-            case hints.Erred(engine, started_at_ms):
+            case hints.EngineErrored(engine, started_at_ms):
                 self.engines.note_call_error(engine, now, started_at_ms)
-            case hints.Replaced(engine, successor, started_at_ms):
+            case hints.EngineReplaced(engine, successor, started_at_ms):
                 if successor:
                     self.engines.add_successor(
                         engine, successor, now, started_at_ms
                     )
                 else:
                     self.engines.note_replaced(engine, started_at_ms)
-            case hints.Restarted(engine, started_at_ms):
+            case hints.EngineRestarted(engine, started_at_ms):
                 return self.restarts.note_peer_reported_start(
                     engine, started_at_ms, now
                 )
-            case hints.EnginesTold(entries, removed, unusable):
+            case hints.EngineListChanged(entries, removed, unusable):
                 return self.engine_updates.apply_changes(
                     entries, removed, unusable, now
                 )
@@ -123,13 +123,13 @@
             case hints.StoreRestored(era):
                 if self.sharing.eras.adopt_from_peer(era):
                     return self.engine_updates.handle_store_restored(now)
-            case hints.StoreTried():
+            case hints.StoreProbed():
                 self.sharing.note_peer_attempt(now)
             case crashes.CrashReport():
                 return self.crashing.apply_report(hint, now)
-            case crashes.Wanted():
+            case crashes.CrashReportsRequest():
                 return self.crashing.send_reports(incarnation, now)
-            case hints.NotListed(incarnations):
+            case hints.InstancesNotListed(incarnations):
                 return self.handle_not_listed(incarnations)
             case hints.ConfigurationApplied(version):
                 self.note_peer_version(version, now)
@@ -148,7 +148,7 @@
         )
         if not missing or not self.sharing.reads_for_all:
             return []
-        hint = hints.NotListed(missing[:MAX_NOT_LISTED_IN_HINT])
+        hint = hints.InstancesNotListed(missing[:MAX_NOT_LISTED_IN_HINT])
         return [relay_actions.ForwardHints((hint,))]
 
     def handle_not_listed(self, incarnations: tuple[str, ...]) -> list[Action]:
@@ -172,7 +172,7 @@
         return self.read_store_if_stale()
 
     def count_peer_run(
-        self, incarnation: str, hint: hints.Placed, now: float
+        self, incarnation: str, hint: hints.RunPlaced, now: float
     ) -> None:
         """Count a run of another instance, and the send that began it."""
         state = self.engines.states.get(hint.engine)
@@ -207,13 +207,13 @@
     ) -> list[Action]:
         """Replace the copies on an engine that died according to a hint."""
         match hint:
-            case hints.Failed(
+            case hints.EngineFailed(
                 engine, started_at_ms=started_at_ms
-            ) | hints.Replaced(engine, started_at_ms=started_at_ms):
+            ) | hints.EngineReplaced(engine, started_at_ms=started_at_ms):
                 return self.copies.replace_lost_copies(
                     engine, now, started_at_ms
                 )
-            case hints.Silent(engine, started_at_ms):
+            case hints.StreamSilent(engine, started_at_ms):
                 if self.engines.note_silence(engine, now, started_at_ms):
                     return self.copies.replace_lost_copies(
                         engine, now, started_at_ms
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -278,7 +278,7 @@
         if not self.succession.accept_answer(event, now):
             return []
         old, new = event.old, event.new
-        self.send_table.pending_hints.append(hints.Replaced(old, new))
+        self.send_table.pending_hints.append(hints.EngineReplaced(old, new))
         return [actions.Record('engine-succeeded', f'by {new}', upstream=old)]
 
     def handle_request(
@@ -300,7 +300,7 @@
         self.budget.count_request(ruling.service.name, now)
         name = timers.timer_name(DEADLINE_TIMER, request.exchange)
         done: list[Action] = [actions.SetTimer(name, ruling.deadline)]
-        stream = ruling.route.repeat is routes.Repeat.STREAM
+        stream = ruling.route.repeat is routes.RepeatPolicy.STREAM
         refusal = self.crashing_requests.refuse_if_blocked(exchange, now)
         if refusal is not None:
             return done + refusal
@@ -331,7 +331,7 @@
         sent = exchange.sends.get(event.send) if exchange else None
         if exchange is None or sent is None:
             return []
-        stream = exchange.ruling.route.repeat is routes.Repeat.STREAM
+        stream = exchange.ruling.route.repeat is routes.RepeatPolicy.STREAM
         match event:
             case relay_events.AnswerStarted():
                 return self.streams.handle_answer_head(
@@ -366,7 +366,7 @@
     def handle_probe(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.EngineProbed,
         now: float,
     ) -> list[Action]:
@@ -380,7 +380,7 @@
     def handle_stream_progress(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
@@ -520,7 +520,7 @@
         case relay_actions.AbortStream(code=code):
             why = f'{code}, after event {exchange.position}'
             return [sending.record(exchange, None, 'broken-off', why)]
-        case relay_actions.PassAnswer(head=head) if not head.succeeded:
+        case relay_actions.PassAnswer(head=head) if not head.is_success:
             why = f'status {head.status}'
             return [sending.record(exchange, None, 'failure-passed-on', why)]
     return []
--- a/src/greengagelb/coordination/relay/request_routing.py
+++ b/src/greengagelb/coordination/relay/request_routing.py
@@ -38,11 +38,11 @@
                 'no-configuration',
                 NO_CONFIGURATION_RETRY_SECONDS,
             )
-        route = table.find(request.host, request.path)
+        route = table.find_route(request.host, request.path)
         if route is None:
             code = 'unknown-route'
             return relay_actions.Refuse(request.exchange, NOT_FOUND, code)
-        account = table.account_of(request.key) if request.key else None
+        account = table.find_account(request.key) if request.key else None
         needs_account = table.accounts is not None and not route.public
         if account is None and needs_account:
             code = 'unknown-key'
--- a/src/greengagelb/coordination/relay/restarts.py
+++ b/src/greengagelb/coordination/relay/restarts.py
@@ -49,7 +49,7 @@
         entry = self.parts.engines.apply_restart(engine, started_at_ms, now)
         if entry is None:
             return []
-        hint = hints.Restarted(engine, started_at_ms)
+        hint = hints.EngineRestarted(engine, started_at_ms)
         self.parts.send_table.pending_hints.append(hint)
         return self.end_former_lives([entry], now)
 
@@ -110,7 +110,7 @@
         return done
 
     def is_lost(
-        self, sent: exchanges.Sent, entry: engines.EngineEntry
+        self, sent: exchanges.InFlightSend, entry: engines.EngineEntry
     ) -> bool:
         """Return whether a send certainly went to the former life.
 
@@ -125,11 +125,14 @@
         return sent.began_at <= state.former_until
 
     def continue_elsewhere(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Continue a send elsewhere that cannot be answered any more."""
         exchange.may_have_run = True
-        if exchange.ruling.route.repeat is routes.Repeat.STREAM:
+        if exchange.ruling.route.repeat is routes.RepeatPolicy.STREAM:
             return self.streams.replace_send(
                 exchange, sent, RESTART_DETAIL, now
             )
--- a/src/greengagelb/coordination/relay/run_copies.py
+++ b/src/greengagelb/coordination/relay/run_copies.py
@@ -61,7 +61,10 @@
         return done
 
     def replace_copy(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Order a copy in place of one that was lost or not made."""
         lost = sent.copy_to.engine if sent.copy_to else ''
@@ -72,7 +75,10 @@
         return self.order_new_copy(exchange, sent, {lost}, now)
 
     def order_missing_copy(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Order a copy of a run without one when its first event arrives.
 
@@ -86,7 +92,7 @@
     def order_new_copy(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         excluded: set[str],
         now: float,
     ) -> list[Action]:
@@ -112,7 +118,7 @@
         return [self.build_copy_order(exchange, sent)]
 
     def build_copy_order(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> relay_actions.CopyRun:
         """Return the action that copies a run to its chosen engine."""
         return relay_actions.CopyRun(
@@ -126,7 +132,7 @@
     def handle_copy_result(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.RunCopied,
         now: float,
     ) -> list[Action]:
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -78,8 +78,8 @@
     ) -> list[Action]:
         """Send a request to an engine, from the caller's position on."""
         request, ruling = exchange.request, exchange.ruling
-        stream = ruling.route.repeat is routes.Repeat.STREAM
-        sent = exchanges.Sent(
+        stream = ruling.route.repeat is routes.RepeatPolicy.STREAM
+        sent = exchanges.InFlightSend(
             next(self.send_numbers),
             state.entry,
             began_at=now,
@@ -116,21 +116,21 @@
                 exchange.position or None,
                 copy_from,
                 copy_to,
-                fresh=not ruling.route.repeatable,
+                fresh=not ruling.route.is_repeatable,
             ),
         ]
 
     def note_answer_head(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         head: requests.AnswerHead,
         now: float,
     ) -> list[Action]:
         """Record the load and the limit that an answer's head reports."""
         self.engines.update_load(sent.entry.engine, head.load, now)
         life = sent.entry.life
-        if isinstance(head.limit, limits.Unusable):
+        if isinstance(head.limit, limits.UnusableLimit):
             why = f'limit-unusable: {head.limit.text}'
             return [record(exchange, sent, 'engine-limit-refused', why)]
         changed_limit = self.keeper.update_from_answer(
@@ -161,7 +161,7 @@
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
     ) -> str:
         """Return the figures behind the choice of an engine for a send."""
         work = self.loads.work_on(state.entry.engine)
@@ -185,7 +185,10 @@
         return ', '.join(parts)
 
     def count_run(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> None:
         """Count a run's memory and unread prompt for its engine."""
         prompt = exchange.request.prompt
@@ -199,7 +202,7 @@
             sent.alone_with = unread_tokens
         run = loads.Run(
             sent.entry.engine,
-            prompt.most_memory,
+            prompt.max_memory_tokens,
             unread_tokens,
             copy_to,
             prompt.own_part,
@@ -208,7 +211,10 @@
         self.count_and_announce_run(sent.number, run, now)
 
     def update_copy_location(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> None:
         """Count the copy of a run for the engine that now holds it."""
         known = self.loads.runs.get((OWN_INSTANCE, sent.number))
@@ -223,7 +229,7 @@
         """Count a run here, and announce it to the other instances."""
         self.loads.add_run((OWN_INSTANCE, number), run, now)
         self.pending_hints.append(
-            hints.Placed(
+            hints.RunPlaced(
                 number,
                 run.engine,
                 run.memory_tokens,
@@ -235,7 +241,7 @@
         )
 
     def note_engine_replaced(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> None:
         """Record that another engine answered at a send's address.
 
@@ -246,13 +252,13 @@
         replaced = sent.entry
         self.engines.note_replaced(replaced.engine, replaced.started_at_ms)
         self.pending_hints.append(
-            hints.Replaced(
+            hints.EngineReplaced(
                 replaced.engine, started_at_ms=replaced.started_at_ms
             )
         )
 
     def release_send(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> None:
         """Stop counting a send; its later events are ignored."""
         del exchange.sends[sent.number]
@@ -260,10 +266,10 @@
         if state is not None:
             state.in_flight -= 1
         if self.loads.remove_run((OWN_INSTANCE, sent.number)):
-            self.pending_hints.append(hints.Ended(sent.number))
+            self.pending_hints.append(hints.RunEnded(sent.number))
 
     def abandon_send(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> list[Action]:
         """Release a send and close its connection."""
         self.release_send(exchange, sent)
@@ -289,7 +295,7 @@
 
 def lost_send_record(
     exchange: exchanges.Exchange,
-    sent: exchanges.Sent,
+    sent: exchanges.InFlightSend,
     detail: str,
     now: float,
 ) -> actions.Record:
@@ -303,7 +309,7 @@
 
 def record(
     exchange: exchanges.Exchange,
-    sent: exchanges.Sent | None,
+    sent: exchanges.InFlightSend | None,
     kind: str,
     reason: str,
 ) -> actions.Record:
--- a/src/greengagelb/coordination/relay/store_sharing.py
+++ b/src/greengagelb/coordination/relay/store_sharing.py
@@ -126,15 +126,15 @@
         return max(earliest, self.fresh_at + self.wait_seconds)
 
     @property
-    def cause(self) -> store_calls.Cause:
+    def cause(self) -> store_calls.CallCause:
         """Return why a follower reads now."""
         if self.is_never_read:
-            return store_calls.Cause.START
+            return store_calls.CallCause.START
         if self.failures:
-            return store_calls.Cause.AFTER_FAILURE
+            return store_calls.CallCause.AFTER_FAILURE
         if self.is_stale:
-            return store_calls.Cause.NEWER_KNOWN
-        return store_calls.Cause.NO_NOTIFICATION
+            return store_calls.CallCause.NEWER_KNOWN
+        return store_calls.CallCause.NO_NOTIFICATION
 
     def note_read_asked(self, now: float) -> None:
         """Note that a read begins."""
@@ -291,10 +291,10 @@
             return self.members_read_at + READER_MEMBERS_INTERVAL_SECONDS
         return self.follower_members_due_at
 
-    def read_cause(self, freshness: Freshness) -> store_calls.Cause:
+    def read_cause(self, freshness: Freshness) -> store_calls.CallCause:
         """Return why the list of engines or the configuration is read now."""
         if self.reads_for_all:
-            return store_calls.Cause.READS_FOR_ALL
+            return store_calls.CallCause.READS_FOR_ALL
         return freshness.cause
 
     def is_engines_read_due(self, now: float) -> bool:
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -174,14 +174,14 @@
         return max(now, work.reading_until) + FIRST_EVENT_MARGIN_SECONDS
 
     def silence_timer(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> actions.SetTimer:
         """Return the timer at which a send is checked for silence."""
         name = timers.timer_name(SILENCE_TIMER, exchange.number)
         return actions.SetTimer(name, self.next_event_due_at(exchange, sent))
 
     def next_event_due_at(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> float:
         """Return the monotonic time by which the next event is due."""
         if not sent.events_seen:
@@ -217,7 +217,10 @@
         return self.handle_lost_send(exchange, sent, detail, now, dead=False)
 
     def probe_engine(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Probe an engine whose next event is overdue."""
         sent.first_due = now + PROBED_MARGIN_SECONDS
@@ -232,7 +235,7 @@
     def handle_probe(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.EngineProbed,
         now: float,
     ) -> list[Action]:
@@ -242,7 +245,7 @@
         the run, or would have started it by now.
         """
         moved_since = sent.events_seen and sent.moved_at > sent.asked_at
-        restarted = sent.entry.ended_before(event.started_at_ms)
+        restarted = sent.entry.is_earlier_than(event.started_at_ms)
         if moved_since or (event.alive and not restarted):
             return []
         exchange.may_have_run = True
@@ -254,7 +257,7 @@
     def handle_answer_head(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.AnswerStarted,
         now: float,
     ) -> list[Action]:
@@ -278,7 +281,7 @@
     def pass_events(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.StreamProgressed,
         now: float,
     ) -> list[Action]:
@@ -326,7 +329,10 @@
         return relay_actions.ObserveDuration(kind, waited)
 
     def end_stream(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """End the caller's answer as complete, unless it has no events."""
         exchange.may_have_run = True
@@ -348,7 +354,7 @@
     def handle_refusal(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
@@ -361,7 +367,7 @@
     def continue_after_refusal(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
@@ -389,7 +395,7 @@
     def handle_broken_send(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         event: relay_events.SendFailed,
         now: float,
     ) -> list[Action]:
@@ -409,7 +415,7 @@
     def handle_lost_send(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         detail: str,
         now: float,
         *,
@@ -424,7 +430,7 @@
         self.parts.engines.note_failure(
             engine, now, dead=dead, started_at_ms=start
         )
-        kind = hints.Failed if dead else hints.Silent
+        kind = hints.EngineFailed if dead else hints.StreamSilent
         self.parts.send_table.pending_hints.append(kind(engine, start))
         heard_at = sent.moved_at if sent.head else self.engine_heard_at(sent)
         return [
@@ -435,7 +441,7 @@
     def replace_send(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         detail: str,
         now: float,
     ) -> list[Action]:
@@ -450,7 +456,7 @@
                 *done,
                 self.parts.answers.fail_request(exchange, code, now),
             ]
-        if exchange.may_have_run and not exchange.ruling.route.repeatable:
+        if exchange.may_have_run and not exchange.ruling.route.is_repeatable:
             code = 'outcome-unknown'
             return [
                 *done,
@@ -461,7 +467,10 @@
         return done + self.start_replacement(exchange, sent, now)
 
     def start_replacement(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Start a run in place of an abandoned one."""
         copy = self.usable_copy_engine(sent, now) if sent.events_seen else None
@@ -478,7 +487,10 @@
         return self.resume_from_copy(exchange, sent, now)
 
     def resume_from_copy(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> list[Action]:
         """Resume a run on the engine that holds its copy."""
         copy = self.usable_copy_engine(sent, now)
@@ -489,13 +501,13 @@
             return [self.parts.answers.fail_request(exchange, code, now)]
         return self.send_stream(exchange, copy, now, sent.copy_name)
 
-    def engine_heard_at(self, sent: exchanges.Sent) -> float:
+    def engine_heard_at(self, sent: exchanges.InFlightSend) -> float:
         """Return the monotonic time when an engine was last heard from."""
         state = self.parts.engines.states.get(sent.entry.engine)
         return state.heard_at if state else float('-inf')
 
     def usable_copy_engine(
-        self, sent: exchanges.Sent, now: float
+        self, sent: exchanges.InFlightSend, now: float
     ) -> engine_states.EngineState | None:
         """Return the engine with a copy of a run, if it can resume it.
 
@@ -507,7 +519,7 @@
         if self.parts.engines.is_past_life(sent.copy_to):
             return None
         state = self.parts.engines.states.get(sent.copy_to.engine)
-        if state is None or not state.reachable(now):
+        if state is None or not state.is_reachable(now):
             return None
         return state
 
--- a/src/greengagelb/coordination/sharing/crash_guard.py
+++ b/src/greengagelb/coordination/sharing/crash_guard.py
@@ -49,7 +49,7 @@
         self.suspicions = suspicions.Suspicions()
         self.pending_probes: dict[str, PendingProbe] = {}
         self.cached_change_count = 0
-        self.cached_suspects: tuple[crash_state.Suspect, ...] = ()
+        self.cached_suspects: tuple[crash_state.SuspectRequest, ...] = ()
 
     def blocked_until(
         self, request: fingerprints.OwnRequest, now: float
@@ -185,7 +185,7 @@
             if self.records.merge_report(report, now)
         ]
 
-    def sorted_suspects(self) -> tuple[crash_state.Suspect, ...]:
+    def sorted_suspects(self) -> tuple[crash_state.SuspectRequest, ...]:
         """Return the suspects to report, those with most crashes first."""
         if self.cached_change_count == self.records.change_count:
             return self.cached_suspects
@@ -204,7 +204,10 @@
 
 
 def heartbeat_reports(
-    suspects: tuple[crash_state.Suspect, ...], now: float, *, include_all: bool
+    suspects: tuple[crash_state.SuspectRequest, ...],
+    now: float,
+    *,
+    include_all: bool,
 ) -> tuple[crash_state.CrashReport, ...]:
     """Return the crash reports for a heartbeat, most crashes first."""
     selected = [
@@ -213,12 +216,12 @@
         if include_all or now < suspect.changed_at + report_seconds(suspect)
     ]
     return tuple(
-        crash_state.report_on(suspect, now)
+        crash_state.build_crash_report(suspect, now)
         for suspect in selected[:MAX_REPORTS_PER_HEARTBEAT]
     )
 
 
-def report_seconds(suspect: crash_state.Suspect) -> float:
+def report_seconds(suspect: crash_state.SuspectRequest) -> float:
     """Return for how many seconds a suspect is reported."""
     is_single = len(suspect.crashes) == 1
     return REPORT_SINGLE_CRASH_SECONDS if is_single else REPORT_SECONDS
--- a/src/greengagelb/coordination/sharing/crash_records.py
+++ b/src/greengagelb/coordination/sharing/crash_records.py
@@ -248,10 +248,10 @@
         )
         return zlib.crc32('\n'.join(lines).encode()) if lines else 0
 
-    def get_suspect(self, fingerprint: str) -> crashes.Suspect:
+    def get_suspect(self, fingerprint: str) -> crashes.SuspectRequest:
         """Return an immutable snapshot of the history of a request."""
         history = self.histories[fingerprint]
-        return crashes.Suspect(
+        return crashes.SuspectRequest(
             fingerprint,
             tuple(sorted(history.crashes.values(), key=end_time)),
             history.survived_at,
@@ -262,7 +262,7 @@
         self, fingerprint: str, now: float
     ) -> crashes.CrashReport:
         """Return the report on a request for other instances."""
-        return crashes.report_on(self.get_suspect(fingerprint), now)
+        return crashes.build_crash_report(self.get_suspect(fingerprint), now)
 
 
 def end_time(crash: crashes.Crash) -> float:
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -198,7 +198,7 @@
                 MAX_PROBE_INTERVAL_SECONDS, interval_seconds
             )
             suspect.probe_count += 1
-            messages.append(OutgoingMessage(issuer, limits.PresenceWanted()))
+            messages.append(OutgoingMessage(issuer, limits.LivenessQuery()))
         return messages
 
     def next_due_at(self) -> float:
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -130,7 +130,7 @@
 
     def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
-    ) -> limits.LimitNews | None:
+    ) -> limits.LimitUpdate | None:
         """Apply the limit in an answer; broadcast it if it is new."""
         news = self.table.update_from_answer(life, rate, asked_at, now)
         if news is not None:
@@ -141,10 +141,10 @@
             self.apply_limit_change(life, now)
         return news
 
-    def figures(self) -> limits.Figures:
+    def figures(self) -> limits.LimitStatistics:
         """Return the metrics of limits."""
         rates = self.table.limits_in_force().values()
-        return limits.Figures(
+        return limits.LimitStatistics(
             len(rates),
             sum(rates),
             len(self.requests),
@@ -159,9 +159,9 @@
         if digest == self.table.digest() or now < self.next_news_request_at:
             return
         self.next_news_request_at = now + NEWS_REQUEST_INTERVAL_SECONDS
-        self.send(incarnation, limits.NewsWanted())
+        self.send(incarnation, limits.LimitUpdatesRequest())
 
-    def merge_news(self, news: limits.LimitNews, now: float) -> bool:
+    def merge_news(self, news: limits.LimitUpdate, now: float) -> bool:
         """Merge the limit of another instance; return whether it is new."""
         is_news = self.table.merge_news(news, now)
         if is_news:
@@ -243,7 +243,7 @@
         limit = self.table.known_limits.get(request.life)
         if limit is None or limit.rate is None:
             return
-        wanted = limits.PermitWanted(
+        wanted = limits.PermitRequestMessage(
             request.life,
             request.number,
             request.account,
@@ -266,7 +266,7 @@
     def count_unpermitted(self, life: str, count: int, now: float) -> None:
         """Report requests that were sent to a life without a permit."""
         issuer = self.ranking.issuer_of(life, now)
-        self.send_or_handle(issuer, limits.Spent(life, count), now)
+        self.send_or_handle(issuer, limits.UnpermittedSends(life, count), now)
 
     def deny_request(
         self,
@@ -313,42 +313,42 @@
         self.schedule_changed = True
         self.ranking.mark_alive(sender)
         match message:
-            case limits.LimitNews():
+            case limits.LimitUpdate():
                 self.merge_news(message, now)
-            case limits.NewsWanted():
+            case limits.LimitUpdatesRequest():
                 for news in self.table.list_news():
                     self.send(sender, news)
-            case limits.LeaseWanted():
+            case limits.LeaseRequest():
                 self.issuers.handle_lease_wanted(sender, message, now)
-            case limits.Leased():
+            case limits.LeaseGrant():
                 self.issuers.handle_lease(sender, message, now)
             case limits.LeaseReturned(life):
                 self.parts.take_back(life, sender, now)
-            case limits.PermitWanted():
+            case limits.PermitRequestMessage():
                 self.handle_permit_wanted(sender, message, now)
             case limits.PermitAnswer():
                 self.handle_permit_answer(sender, message, now)
             case limits.PermitReturned():
                 self.issuers.handle_permit_returned(sender, message, now)
-            case limits.Spent():
+            case limits.UnpermittedSends():
                 self.issuers.handle_spent(message, now)
-            case limits.PresenceWanted() | limits.IssuerSilent(
+            case limits.LivenessQuery() | limits.IssuerSilent(
                 self.own_incarnation
             ):
-                self.send(sender, limits.Present())
+                self.send(sender, limits.LivenessReply())
             case limits.IssuerSilent(issuer):
                 self.ranking.suspect_reported(issuer, now)
 
     def handle_permit_wanted(
-        self, sender: str, wanted: limits.PermitWanted, now: float
+        self, sender: str, wanted: limits.PermitRequestMessage, now: float
     ) -> None:
         """Process a permit request and its sender's view of the limit."""
         life = wanted.life
-        news = limits.LimitNews(life, wanted.rate, wanted.version)
+        news = limits.LimitUpdate(life, wanted.rate, wanted.version)
         self.merge_news(news, now)
         limit = self.table.known_limits[life]
         if limit.version > wanted.version:
-            newer = limits.LimitNews(life, limit.rate, limit.version)
+            newer = limits.LimitUpdate(life, limit.rate, limit.version)
             self.send(sender, newer)
         self.issuers.handle_permit_wanted(sender, wanted, now)
 
@@ -423,7 +423,7 @@
         """Broadcast a limit again."""
         limit = self.table.known_limits.get(life)
         if limit is not None:
-            self.send('', limits.LimitNews(life, limit.rate, limit.version))
+            self.send('', limits.LimitUpdate(life, limit.rate, limit.version))
 
     def give_up_request(self, request: PermitRequest, now: float) -> None:
         """Deny a request that was not answered in time."""
--- a/src/greengagelb/coordination/sharing/limit_table.py
+++ b/src/greengagelb/coordination/sharing/limit_table.py
@@ -54,7 +54,7 @@
 
     def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
-    ) -> limits.LimitNews | None:
+    ) -> limits.LimitUpdate | None:
         """Apply the limit in an answer to a request sent at ``asked_at``.
 
         Returns the news for the other instances, or None.
@@ -72,7 +72,7 @@
             return None
         return self.store_limit(life, rate, limit.version + 1, now)
 
-    def merge_news(self, news: limits.LimitNews, now: float) -> bool:
+    def merge_news(self, news: limits.LimitUpdate, now: float) -> bool:
         """Merge the value of another instance; return whether it is new."""
         limit = self.known_limits.get(news.life)
         if limit is not None and precedence(news) <= precedence(limit):
@@ -82,12 +82,12 @@
 
     def store_limit(
         self, life: str, rate: float | None, version: int, now: float
-    ) -> limits.LimitNews:
+    ) -> limits.LimitUpdate:
         """Store a value and return it as news."""
         self.known_limits[life] = limits.KnownLimit(rate, version, now, now)
         self.change_count += 1
         self.evict_old_lives(now)
-        return limits.LimitNews(life, rate, version)
+        return limits.LimitUpdate(life, rate, version)
 
     def forget_life(self, life: str) -> None:
         """Drop a life that has ended."""
@@ -120,23 +120,23 @@
             self.cached_digest = zlib.crc32('\n'.join(lines).encode())
         return self.cached_digest
 
-    def list_news(self) -> list[limits.LimitNews]:
+    def list_news(self) -> list[limits.LimitUpdate]:
         """Return all known values, for an instance that differs."""
         return [
-            limits.LimitNews(life, limit.rate, limit.version)
+            limits.LimitUpdate(life, limit.rate, limit.version)
             for life, limit in self.known_limits.items()
         ]
 
 
 def precedence(
-    value: limits.LimitNews | limits.KnownLimit,
+    value: limits.LimitUpdate | limits.KnownLimit,
 ) -> tuple[int, float]:
     """Return the sort key by which values replace each other."""
     rate = math.inf if value.rate is None else value.rate
     return (value.version, -rate)
 
 
-def describe_limit(news: limits.LimitNews) -> str:
+def describe_limit(news: limits.LimitUpdate) -> str:
     """Return the text of a limit for the timeline."""
     if news.rate is None:
         return f'lifted, version {news.version}'
--- a/src/greengagelb/coordination/sharing/permit_issuers.py
+++ b/src/greengagelb/coordination/sharing/permit_issuers.py
@@ -86,7 +86,7 @@
             issued.issuer.borrowed.end_part(incarnation, now)
 
     def handle_lease_wanted(
-        self, sender: str, wanted: limits.LeaseWanted, now: float
+        self, sender: str, wanted: limits.LeaseRequest, now: float
     ) -> None:
         """Lend a part to an issuer, unless it is lent to another."""
         life = wanted.life
@@ -98,11 +98,11 @@
             return
         unused = self.parts.lend(life, sender, limit.known_at, now)
         if unused is not None:
-            lease = limits.Leased(life, share, unused, wanted.stamp)
+            lease = limits.LeaseGrant(life, share, unused, wanted.stamp)
             self.send(sender, lease, now)
 
     def handle_lease(
-        self, sender: str, lease: limits.Leased, now: float
+        self, sender: str, lease: limits.LeaseGrant, now: float
     ) -> None:
         """Add a leased part, unless it was requested before a hand-over."""
         issued = self.lives.get(lease.life)
@@ -118,7 +118,7 @@
         borrowed = issued.issuer.borrowed
         is_first = not borrowed.total_share(now)
         lenders = {*self.ranking.members(life), self.own_incarnation}
-        wanted = limits.LeaseWanted(life, now)
+        wanted = limits.LeaseRequest(life, now)
         lenders_to_ask = borrowed.lenders_ending_before(
             lenders, now + RENEW_MARGIN_SECONDS
         )
@@ -128,7 +128,7 @@
             self.send(lender, wanted, now)
 
     def handle_permit_wanted(
-        self, sender: str, wanted: limits.PermitWanted, now: float
+        self, sender: str, wanted: limits.PermitRequestMessage, now: float
     ) -> None:
         """Process a permit request, of this or another instance."""
         life = wanted.life
@@ -179,7 +179,7 @@
             issued.issuer.return_permit((sender, returned.number), now)
             self.send_due_answers(returned.life, issued, now)
 
-    def handle_spent(self, spent: limits.Spent, now: float) -> None:
+    def handle_spent(self, spent: limits.UnpermittedSends, now: float) -> None:
         """Count requests that were sent to a life without a permit."""
         issued = self.lives.get(spent.life)
         if issued is not None:
--- a/src/greengagelb/coordination/sharing/permits.py
+++ b/src/greengagelb/coordination/sharing/permits.py
@@ -111,7 +111,7 @@
         self.rate = rate
 
     def add_lease(
-        self, lender: str, lease: limits.Leased, until: float, now: float
+        self, lender: str, lease: limits.LeaseGrant, until: float, now: float
     ) -> None:
         """Add a lease, with credit for the time its part was not lent."""
         self.accrue(now)
@@ -129,7 +129,7 @@
         self.available_permits -= count
 
     def request_permit(
-        self, wanted: limits.PermitWanted, holder: Holder, now: float
+        self, wanted: limits.PermitRequestMessage, holder: Holder, now: float
     ) -> Answer | None:
         """Add a request; answer at once if it was already made."""
         self.last_asked_at = now
--- a/src/greengagelb/coordination/streams/attempts.py
+++ b/src/greengagelb/coordination/streams/attempts.py
@@ -170,7 +170,7 @@
     ) -> list[actions.Action]:
         """Cancel the current attempt and the spare of a stream."""
         planned: list[actions.Action] = []
-        for attempt in stream.own_attempts():
+        for attempt in stream.active_attempts():
             planned += self.cancel_attempt(stream, attempt)
         return planned
 
--- a/src/greengagelb/coordination/streams/endings.py
+++ b/src/greengagelb/coordination/streams/endings.py
@@ -71,7 +71,7 @@
             retry_after *= self.directory.rng.uniform(1.0, 2.0)
         failure = requests.Failure(
             code,
-            stream.what_ran,
+            stream.execution_status,
             f'{stream.position} tokens of generation {stream.generation} sent',
             retry_after,
         )
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -75,7 +75,11 @@
         the probe's waiting time if it is dead.
         """
         is_spare_wanted = stream.service.recovery.spare_attempt
-        if not is_spare_wanted or stream.spare is not None or stream.is_whole:
+        if (
+            not is_spare_wanted
+            or stream.spare is not None
+            or stream.is_complete
+        ):
             return []
         if stream.would_run_twice or self.guard.must_not_run(
             stream.request, now
@@ -138,7 +142,7 @@
         self.recovering_streams.pop(exchange, None)
         if stream.recover_by is None:
             stream.recover_by = now + RECOVERY_TIMEOUT_SECONDS
-        if stream.is_whole:
+        if stream.is_complete:
             # All tokens arrived and only the end event was lost; continuing
             # would generate one token too many.
             return self.complete_stream(stream, 'length')
@@ -236,13 +240,13 @@
             return self.fail_stream(
                 stream, 'replay-budget-spent', wait_seconds
             )
-        stream.start_afresh(pool)
+        stream.restart_generation(pool)
         started = self.attempt_table.start_attempt(stream, view, now)
         restart = actions.SendRestart(
             stream.request.exchange,
             stream.generation,
             'version-withdrawn',
-            stream.resume_point(),
+            stream.build_resume_point(),
         )
         return [
             attempts.record(stream, None, 'stream-restarted', pool.version),
--- a/src/greengagelb/coordination/streams/resumption.py
+++ b/src/greengagelb/coordination/streams/resumption.py
@@ -64,12 +64,12 @@
             event.request,
             service,
             pinned,
-            stream_state.digest_of_request(event.request),
+            stream_state.hash_request(event.request),
         )
         stream.generation = point.generation
         stream.engine_deaths = point.engine_deaths
         stream.may_have_run = True
-        stream.accept(0, event.received)
+        stream.append_tokens(0, event.received)
         return stream
 
     def find_rejection_code(
--- a/src/greengagelb/coordination/streams/stalls.py
+++ b/src/greengagelb/coordination/streams/stalls.py
@@ -39,7 +39,9 @@
         observed_pace.latest = now
         if attempt.latest_arrival is not None:
             gap = now - attempt.latest_arrival
-            observed_pace.observe(min(gap, stream.service.recovery.most_stall))
+            observed_pace.observe_gap(
+                min(gap, stream.service.recovery.most_stall)
+            )
         attempt.latest_arrival = now
         attempt.has_progressed = True
         attempt.answered = True
--- a/src/greengagelb/coordination/streams/supervisor.py
+++ b/src/greengagelb/coordination/streams/supervisor.py
@@ -92,7 +92,7 @@
                     request, 'engine-deaths-exceeded'
                 )
             ]
-        digest = stream_state.digest_of_request(request)
+        digest = stream_state.hash_request(request)
         stream = stream_state.Stream(request, service, pool, digest)
         self.streams[request.exchange] = stream
         return [
@@ -160,7 +160,7 @@
             return []
         planned = self.keep_one_attempt(stream, attempt, now)
         position = stream.position
-        stream.accept(event.position + already_sent, tokens)
+        stream.append_tokens(event.position + already_sent, tokens)
         stream.recover_by = None
         stream.excluded.clear()
         self.stall_detector.observe_tokens(stream, attempt, now)
@@ -169,7 +169,7 @@
                 stream.request.exchange,
                 position,
                 tokens,
-                stream.resume_point(),
+                stream.build_resume_point(),
             )
         )
         planned.append(
@@ -399,7 +399,7 @@
         return [
             self.stall_detector.reset_stall_timer(stream, attempt, now)
             for stream in self.streams.values()
-            for attempt in stream.own_attempts()
+            for attempt in stream.active_attempts()
         ]
 
     def has_recovering_stream_in(self, pool: configuration_state.Pool) -> bool:
--- a/src/greengagelb/platform/rows.py
+++ b/src/greengagelb/platform/rows.py
@@ -35,9 +35,9 @@
 Place = Annotated[str, msgspec.Meta(max_length=200)]
 
 REPEATS = {
-    'safe': routes.Repeat.IDEMPOTENT,
-    'unsafe': routes.Repeat.AT_MOST_ONCE,
-    'streaming': routes.Repeat.STREAM,
+    'safe': routes.RepeatPolicy.IDEMPOTENT,
+    'unsafe': routes.RepeatPolicy.AT_MOST_ONCE,
+    'streaming': routes.RepeatPolicy.STREAM,
 }
 DRAINING = 'draining'
 # The greatest whole number that every reader of JSON takes in exactly. As
@@ -71,9 +71,9 @@
     era: int = positions.NO_ERA
 
     @property
-    def position(self) -> positions.Position:
+    def position(self) -> positions.StorePosition:
         """Return from where to read on."""
-        return positions.Position(self.era, self.ver)
+        return positions.StorePosition(self.era, self.ver)
 
 
 class RowName(msgspec.Struct):
@@ -283,9 +283,9 @@
     )
 
 
-def read_limits(limits: WireLimits) -> routes.Limits:
+def read_limits(limits: WireLimits) -> routes.CallerLimits:
     """Return the limits on callers."""
-    return routes.Limits(
+    return routes.CallerLimits(
         limits.header_bytes,
         limits.max_body_bytes,
         limits.header_timeout_ms / 1000.0,
@@ -300,7 +300,7 @@
     if tenants is None:
         return None
     return {
-        routes.digest_of_key(key): read_account(tenant)
+        routes.hash_api_key(key): read_account(tenant)
         for tenant in tenants
         for key in tenant.api_keys
     }
@@ -342,9 +342,9 @@
     return member
 
 
-def read_crashes(row: Row, prefix: str) -> crashes.KeptCrashes:
+def read_crashes(row: Row, prefix: str) -> crashes.StoredCrashes:
     """Return the crashes under a request."""
-    kept = decode_value(row, crashes.KeptCrashes)
+    kept = decode_value(row, crashes.StoredCrashes)
     if prefix + kept.fingerprint != row.key:
         raise errors.ProtocolError('entry names another request')
     return kept
--- a/src/greengagelb/platform/store.py
+++ b/src/greengagelb/platform/store.py
@@ -147,7 +147,10 @@
         return self.get(target, ANSWER_SECONDS, WHOLE_SECONDS)
 
     def read_changes(
-        self, table: str, position: positions.Position, wait_seconds: float
+        self,
+        table: str,
+        position: positions.StorePosition,
+        wait_seconds: float,
     ) -> defer.Deferred:
         """Return the rows that have changed since a version."""
         wait = int(wait_seconds * 1000)
@@ -161,7 +164,7 @@
     # -- what the watch asks for --------------------------------------------
 
     def read_configuration(
-        self, position: positions.Position | None, wait_seconds: float
+        self, position: positions.StorePosition | None, wait_seconds: float
     ) -> defer.Deferred:
         """Return the configuration, or what has become of it since."""
         if position is None:
@@ -171,7 +174,7 @@
         return found.addCallback(configuration_of)
 
     def read_engines(
-        self, position: positions.Position | None
+        self, position: positions.StorePosition | None
     ) -> defer.Deferred:
         """Return the list of engines, or what has changed in it since."""
         if position is None:
@@ -196,7 +199,7 @@
         """Return the entries of all instances."""
         return self.read_all(MEMBERS_TABLE).addCallback(members_of)
 
-    def write_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
+    def write_crashes(self, kept: crashes.StoredCrashes) -> defer.Deferred:
         """Write the crashes under a request."""
         key = CRASHES_PREFIX + kept.fingerprint
         row = rows.NewRow(MEMBERS_TABLE, '', key, rows.encode_value(kept))
--- a/src/greengagelb/platform/wire.py
+++ b/src/greengagelb/platform/wire.py
@@ -171,7 +171,7 @@
             or http1.first_header_value(fields, NOT_RUN.lower()) is not None,
             read_load(http1.first_header_value(fields, LOAD.lower())),
             engine.decode('latin-1'),
-            limit_header.read_limit(values(fields, LIMIT)),
+            limit_header.parse_limit(values(fields, LIMIT)),
         )
 
     def is_answer_to(
--- a/src/greengagelb/protocol/caller_api.py
+++ b/src/greengagelb/protocol/caller_api.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-MOST_TOKENS = 131_072
+MAX_TOKENS = 131_072
 
 
 class Message(msgspec.Struct, frozen=True):
@@ -34,7 +34,7 @@
 
     model: str
     messages: Annotated[list[Message], msgspec.Meta(min_length=1)]
-    max_tokens: Annotated[int, msgspec.Meta(ge=1, le=MOST_TOKENS)] = 256
+    max_tokens: Annotated[int, msgspec.Meta(ge=1, le=MAX_TOKENS)] = 256
     stream: bool = True
     received: list[str] = []
 
@@ -70,7 +70,7 @@
     object: str = 'chat.completion.chunk'
 
 
-class Restarted(msgspec.Struct, frozen=True):
+class GenerationRestarted(msgspec.Struct, frozen=True):
     """The answer starts afresh; all tokens before this event are void."""
 
     generation: int
--- a/src/greengagelb/protocol/codec.py
+++ b/src/greengagelb/protocol/codec.py
@@ -16,7 +16,7 @@
 
 T = TypeVar('T')
 SEAL_BYTES = 16
-MOST_DOCUMENT_BYTES = 16 << 20
+MAX_DOCUMENT_BYTES = 16 << 20
 NO_STAMP = timeline.Stamp(0, 0)
 
 _encoder = msgspec.json.Encoder()
@@ -27,14 +27,14 @@
     return _encoder.encode(message)
 
 
-def decode(raw: bytes | str, kind: type[T]) -> T:
+def decode(raw: bytes | str, message_type: type[T]) -> T:
     """Return the message in ``raw``, validated.
 
     Raises :class:`~greengagelb.errors.ProtocolError` saying where it is wrong,
     also for one that is nested deeper than can be read.
     """
     try:
-        return msgspec.json.decode(raw, type=kind)
+        return msgspec.json.decode(raw, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as exc:
         raise errors.ProtocolError(str(exc)) from exc
 
@@ -59,21 +59,21 @@
     return zlib.compress(encode(message))
 
 
-def decompress(raw: bytes, kind: type[T]) -> T:
+def decompress(raw: bytes, message_type: type[T]) -> T:
     """Return the message in compressed JSON, validated.
 
     Raises :class:`~greengagelb.errors.ProtocolError`, also for a document
     that is larger than any configuration: a few bytes can unpack to more than
     the memory holds.
     """
-    unpacker = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        document = unpacker.decompress(raw, MOST_DOCUMENT_BYTES)
+        document = decompressor.decompress(raw, MAX_DOCUMENT_BYTES)
     except zlib.error as exc:
         raise errors.ProtocolError('message is not compressed') from exc
-    if unpacker.unconsumed_tail:
+    if decompressor.unconsumed_tail:
         raise errors.ProtocolError('message is too large')
-    return decode(document, kind)
+    return decode(document, message_type)
 
 
 def compress_to_text(message: Any) -> str:
@@ -81,13 +81,13 @@
     return base64.b64encode(compress(message)).decode()
 
 
-def decompress_from_text(text: str, kind: type[T]) -> T:
+def decompress_from_text(text: str, message_type: type[T]) -> T:
     """Return the message in a row's text, validated."""
     try:
         raw = base64.b64decode(text, validate=True)
     except ValueError as exc:
         raise errors.ProtocolError('row is not base64') from exc
-    return decompress(raw, kind)
+    return decompress(raw, message_type)
 
 
 class CursorSeal:
@@ -102,20 +102,22 @@
     def __init__(self, secret: bytes) -> None:
         self.secret = secret
 
-    def seal(
+    def seal_point(
         self,
         point: requests.ResumePoint,
         stamp: timeline.Stamp = NO_STAMP,
     ) -> str:
         """Return the cursor of a resume point; URL-safe text."""
         payload = msgspec.msgpack.encode(SealedCursor(point, stamp))
-        return base64.urlsafe_b64encode(self.tag(payload) + payload).decode()
+        return base64.urlsafe_b64encode(
+            self.compute_tag(payload) + payload
+        ).decode()
 
-    def open(self, cursor: str) -> requests.ResumePoint:
+    def open_point(self, cursor: str) -> requests.ResumePoint:
         """Return the resume point of a cursor that this fleet sealed."""
-        return self.open_whole(cursor).point
+        return self.open_cursor(cursor).point
 
-    def open_whole(self, cursor: str) -> SealedCursor:
+    def open_cursor(self, cursor: str) -> SealedCursor:
         """Return all that is in a cursor that this fleet sealed.
 
         Raises :class:`~greengagelb.errors.BadCursor`.
@@ -125,14 +127,14 @@
         except (binascii.Error, ValueError) as exc:
             raise errors.BadCursor('cursor was not sealed here') from exc
         tag, payload = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
-        if not hmac.compare_digest(tag, self.tag(payload)):
+        if not hmac.compare_digest(tag, self.compute_tag(payload)):
             raise errors.BadCursor('cursor was not sealed here')
         try:
             return msgspec.msgpack.decode(payload, type=SealedCursor)
         except msgspec.DecodeError as exc:
             raise errors.BadCursor('cursor of another release') from exc
 
-    def tag(self, payload: bytes) -> bytes:
+    def compute_tag(self, payload: bytes) -> bytes:
         """Return the keyed digest of a payload; 16 bytes."""
         digest = hmac.digest(self.secret, payload, hashlib.sha256)
         return digest[:SEAL_BYTES]
--- a/src/greengagelb/protocol/engine_api.py
+++ b/src/greengagelb/protocol/engine_api.py
@@ -80,7 +80,7 @@
     tokens: list[str]
 
 
-class Ended(msgspec.Struct, frozen=True):
+class AttemptEnded(msgspec.Struct, frozen=True):
     """The attempt is over: ``position`` tokens in all, prior ones included.
 
     ``reason`` is ``stop``, ``length`` or ``cancelled``.
--- a/src/greengagelb/protocol/limit_header.py
+++ b/src/greengagelb/protocol/limit_header.py
@@ -13,10 +13,10 @@
 # Digits are bounded so that no value is infinite.
 DECIMAL = re.compile(rb'\d{1,9}(\.\d{0,9})?')
 # The most of an unusable value that is kept for the log.
-MOST_TEXT = 40
+MAX_TEXT_CHARACTERS = 40
 
 
-def read_limit(values: Sequence[bytes]) -> limits.Named:
+def parse_limit(values: Sequence[bytes]) -> limits.AdvertisedLimit:
     """Return what the values of the header say; None without any.
 
     Two values would leave open which one holds.
@@ -25,5 +25,5 @@
         return None
     if len(values) == 1 and DECIMAL.fullmatch(values[0].strip()):
         return float(values[0])
-    text = b', '.join(values)[:MOST_TEXT]
-    return limits.Unusable(text.decode('latin-1'))
+    text = b', '.join(values)[:MAX_TEXT_CHARACTERS]
+    return limits.UnusableLimit(text.decode('latin-1'))
--- a/src/greengagelb/protocol/limit_messages.py
+++ b/src/greengagelb/protocol/limit_messages.py
@@ -19,7 +19,7 @@
 Rate = Annotated[float, msgspec.Meta(ge=0.0, lt=1e10)]
 
 
-class LimitNews(
+class LimitUpdate(
     msgspec.Struct, frozen=True, array_like=True, tag='ln', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.LimitNews`."""
@@ -29,13 +29,13 @@
     version: Number
 
 
-class NewsWanted(
+class LimitUpdatesRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lq', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.NewsWanted`."""
 
 
-class LeaseWanted(
+class LeaseRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lw', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.LeaseWanted`."""
@@ -44,7 +44,7 @@
     stamp: float
 
 
-class Leased(
+class LeaseGrant(
     msgspec.Struct, frozen=True, array_like=True, tag='ll', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.Leased`."""
@@ -63,7 +63,7 @@
     life: Life
 
 
-class PermitWanted(
+class PermitRequestMessage(
     msgspec.Struct, frozen=True, array_like=True, tag='lp', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.PermitWanted`."""
@@ -98,7 +98,7 @@
     number: Number
 
 
-class Spent(
+class UnpermittedSends(
     msgspec.Struct, frozen=True, array_like=True, tag='ls', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.Spent`."""
@@ -107,13 +107,13 @@
     count: Number
 
 
-class PresenceWanted(
+class LivenessQuery(
     msgspec.Struct, frozen=True, array_like=True, tag='lh', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.PresenceWanted`."""
 
 
-class Present(
+class LivenessReply(
     msgspec.Struct, frozen=True, array_like=True, tag='li', tag_field='kind'
 ):
     """See :class:`greengagelb.state.limits.Present`."""
@@ -127,48 +127,48 @@
     issuer: Incarnation
 
 
-Wire = (
-    LimitNews
-    | NewsWanted
-    | LeaseWanted
-    | Leased
+WireMessage = (
+    LimitUpdate
+    | LimitUpdatesRequest
+    | LeaseRequest
+    | LeaseGrant
     | LeaseReturned
-    | PermitWanted
+    | PermitRequestMessage
     | PermitAnswer
     | PermitReturned
-    | Spent
-    | PresenceWanted
-    | Present
+    | UnpermittedSends
+    | LivenessQuery
+    | LivenessReply
     | IssuerSilent
 )
-WIRES = {
-    limits.LimitNews: LimitNews,
-    limits.NewsWanted: NewsWanted,
-    limits.LeaseWanted: LeaseWanted,
-    limits.Leased: Leased,
+WIRE_TYPES = {
+    limits.LimitUpdate: LimitUpdate,
+    limits.LimitUpdatesRequest: LimitUpdatesRequest,
+    limits.LeaseRequest: LeaseRequest,
+    limits.LeaseGrant: LeaseGrant,
     limits.LeaseReturned: LeaseReturned,
-    limits.PermitWanted: PermitWanted,
+    limits.PermitRequestMessage: PermitRequestMessage,
     limits.PermitAnswer: PermitAnswer,
     limits.PermitReturned: PermitReturned,
-    limits.Spent: Spent,
-    limits.PresenceWanted: PresenceWanted,
-    limits.Present: Present,
+    limits.UnpermittedSends: UnpermittedSends,
+    limits.LivenessQuery: LivenessQuery,
+    limits.LivenessReply: LivenessReply,
     limits.IssuerSilent: IssuerSilent,
 }
-MESSAGES = {wire: message for message, wire in WIRES.items()}
+MESSAGE_TYPES = {wire: message for message, wire in WIRE_TYPES.items()}
 
 
-def write(message: limits.Message) -> Wire:
+def to_wire(message: limits.Message) -> WireMessage:
     """Return a message as it is sent.
 
     Both kinds have the same fields in the same order.
     """
-    wire = WIRES[type(message)]
+    wire = WIRE_TYPES[type(message)]
     fields = [getattr(message, name) for name in wire.__struct_fields__]
     return wire(*fields)
 
 
-def read(wire: Wire) -> limits.Message:
+def from_wire(wire: WireMessage) -> limits.Message:
     """Return the message that was sent."""
     fields = [getattr(wire, name) for name in wire.__struct_fields__]
-    return MESSAGES[type(wire)](*fields)
+    return MESSAGE_TYPES[type(wire)](*fields)
--- a/src/greengagelb/protocol/metrics_page.py
+++ b/src/greengagelb/protocol/metrics_page.py
@@ -10,43 +10,45 @@
 from greengagelb.state import in_force
 
 PREFIX = 'greengagelb_'
-MOST_LABEL_CHARACTERS = 128
+MAX_LABEL_CHARACTERS = 128
 LINE = re.compile(r'^(?P<name>[a-z_]+)(?:\{(?P<labels>.*)\})? (?P<value>\S+)$')
 LABEL = re.compile(r'([a-z_]+)="((?:[^"\\]|\\.)*)"')
 
 
-def read(raw: bytes) -> in_force.InForce:
+def parse_page(raw: bytes) -> in_force.InstanceReport:
     """Return what a page says; raise :class:`errors.ProtocolError` if not."""
     try:
         text = raw.decode('utf-8')
     except UnicodeDecodeError as exc:
         raise errors.ProtocolError('not UTF-8') from exc
-    figures: dict[str, float] = {}
+    metrics: dict[str, float] = {}
     labels: dict[str, str] = {}
     for line in text.splitlines():
-        found = LINE.match(line)
-        if found is None or not found['name'].startswith(PREFIX):
+        line_match = LINE.match(line)
+        if line_match is None or not line_match['name'].startswith(PREFIX):
             continue
-        name = found['name'].removeprefix(PREFIX)
+        name = line_match['name'].removeprefix(PREFIX)
         if name == 'instance':
-            labels = dict(LABEL.findall(found['labels'] or ''))
-        elif found['labels'] is None:
-            figures[name] = number(name, found['value'])
-    return in_force.InForce(
-        name=label(labels, 'name'),
-        data_centre=label(labels, 'data_centre'),
-        release=label(labels, 'release'),
-        stopping=bool(figure(figures, 'stopping')),
-        settings_digest=int(figure(figures, 'settings_digest')),
-        settings_seconds=figure(figures, 'settings_age_seconds'),
-        configuration_version=int(figure(figures, 'configuration_version')),
-        engines=int(figure(figures, 'engines')),
-        running=int(figure(figures, 'running')),
-        store_seconds=figures.get('store_age_seconds'),
+            labels = dict(LABEL.findall(line_match['labels'] or ''))
+        elif line_match['labels'] is None:
+            metrics[name] = parse_number(name, line_match['value'])
+    return in_force.InstanceReport(
+        name=require_label(labels, 'name'),
+        data_centre=require_label(labels, 'data_centre'),
+        release=require_label(labels, 'release'),
+        stopping=bool(require_metric(metrics, 'stopping')),
+        settings_digest=int(require_metric(metrics, 'settings_digest')),
+        settings_seconds=require_metric(metrics, 'settings_age_seconds'),
+        configuration_version=int(
+            require_metric(metrics, 'configuration_version')
+        ),
+        engines=int(require_metric(metrics, 'engines')),
+        running=int(require_metric(metrics, 'running')),
+        store_seconds=metrics.get('store_age_seconds'),
     )
 
 
-def number(name: str, text: str) -> float:
+def parse_number(name: str, text: str) -> float:
     """Return the value of a metric."""
     try:
         value = float(text)
@@ -57,15 +59,15 @@
     return value
 
 
-def figure(figures: dict[str, float], name: str) -> float:
+def require_metric(metrics: dict[str, float], name: str) -> float:
     """Return a metric that has to be there."""
-    if name not in figures:
+    if name not in metrics:
         raise errors.BadValue(f'{PREFIX}{name} is missing')
-    return figures[name]
+    return metrics[name]
 
 
-def label(labels: dict[str, str], name: str) -> str:
+def require_label(labels: dict[str, str], name: str) -> str:
     """Return a label of the instance that has to be there."""
     if name not in labels:
         raise errors.BadValue(f'{PREFIX}instance has no {name}')
-    return labels[name][:MOST_LABEL_CHARACTERS]
+    return labels[name][:MAX_LABEL_CHARACTERS]
--- a/src/greengagelb/protocol/operator_api.py
+++ b/src/greengagelb/protocol/operator_api.py
@@ -85,9 +85,13 @@
     changes: list[plans.Confirmation]
 
 
-def write_intent(intent: plans.Intent) -> bytes:
+def encode_intent(intent: plans.Intent) -> bytes:
     """Return the message of an intent."""
-    (kind,) = [k for k, wanted in INTENTS.items() if wanted is type(intent)]
+    (kind,) = [
+        k
+        for k, intent_class in INTENTS.items()
+        if intent_class is type(intent)
+    ]
     fields = {
         field.name: getattr(intent, field.name)
         for field in dataclasses.fields(intent)
@@ -95,7 +99,7 @@
     return codec.encode({'type': kind, **fields})
 
 
-def read_intent(raw: bytes) -> plans.Intent:
+def decode_intent(raw: bytes) -> plans.Intent:
     """Return the intent in a message.
 
     Raises :class:`~greengagelb.errors.ProtocolError` for attributes that the
@@ -107,10 +111,12 @@
         raise errors.ProtocolError(
             f'unknown type {kind}; write one of {known}'
         )
-    wanted = INTENTS[kind]
-    given = codec.decode(raw, dict[str, msgspec.Raw])
-    known = {field.name for field in dataclasses.fields(wanted)} | {'type'}
-    unknown = sorted(set(given) - known)
+    intent_class = INTENTS[kind]
+    given_attributes = codec.decode(raw, dict[str, msgspec.Raw])
+    known = {field.name for field in dataclasses.fields(intent_class)} | {
+        'type'
+    }
+    unknown = sorted(set(given_attributes) - known)
     if unknown:
         raise errors.ProtocolError(f'{kind} has no {", ".join(unknown)}')
-    return codec.decode(raw, wanted)
+    return codec.decode(raw, intent_class)
--- a/src/greengagelb/protocol/peer_api.py
+++ b/src/greengagelb/protocol/peer_api.py
@@ -28,19 +28,19 @@
 from greengagelb.state import timeline
 
 TAG_BYTES = 16
-STEP_UNITS_A_SECOND = 10_000
-MOST_MESSAGE_BYTES = 4 << 20
+STEP_UNITS_PER_SECOND = 10_000
+MAX_MESSAGE_BYTES = 4 << 20
 KEY_PURPOSE = b'greengagelb peers'
 
 
-class Notice(msgspec.Struct, frozen=True, array_like=True):
+class LeavingUpstream(msgspec.Struct, frozen=True, array_like=True):
     """An upstream that is leaving."""
 
     name: str
     incarnation: str
 
 
-class Summary(msgspec.Struct, frozen=True, array_like=True):
+class DataCentreSummary(msgspec.Struct, frozen=True, array_like=True):
     """What one data centre says of its instances."""
 
     data_centre: str
@@ -50,7 +50,7 @@
     missing: list[str]
 
 
-class Load(msgspec.Struct, frozen=True, array_like=True):
+class UpstreamLoad(msgspec.Struct, frozen=True, array_like=True):
     """The load of an upstream; the step is in units of 0.1 ms."""
 
     index: int
@@ -59,7 +59,7 @@
     step: int
 
 
-class Crash(msgspec.Struct, frozen=True, array_like=True):
+class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
     """See :class:`greengagelb.state.crashes.ToldCrash`."""
 
     life: str
@@ -71,7 +71,7 @@
     """See :class:`greengagelb.state.crashes.CrashReport`."""
 
     fingerprint: str
-    crashes: list[Crash]
+    crashes: list[ReportedCrash]
     survived_age: float | None
 
 
@@ -87,9 +87,9 @@
     leaving: bool
     milliseconds: int
     count: int
-    notices: list[Notice] = []
-    summaries: list[Summary] = []
-    loads: list[Load] = []
+    notices: list[LeavingUpstream] = []
+    summaries: list[DataCentreSummary] = []
+    loads: list[UpstreamLoad] = []
     held: list[str] = []
     crash_reports: list[CrashReport] = []
 
@@ -120,7 +120,7 @@
     """What an instance says about limits; see :mod:`.limit_messages`."""
 
     incarnation: str
-    message: limit_messages.Wire
+    message: limit_messages.WireMessage
 
 
 Message = (
@@ -140,27 +140,27 @@
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Message)
 
-    def seal(self, message: Message) -> bytes:
+    def seal_message(self, message: Message) -> bytes:
         """Return the frame of a message."""
         payload = self.encoder.encode(message)
-        return self.tag(payload) + payload
+        return self.compute_tag(payload) + payload
 
-    def open(self, frame: bytes) -> Message:
+    def open_frame(self, frame: bytes) -> Message:
         """Return the message in a frame that an instance has sealed."""
         tag, payload = frame[:TAG_BYTES], frame[TAG_BYTES:]
-        if not hmac.compare_digest(tag, self.tag(payload)):
+        if not hmac.compare_digest(tag, self.compute_tag(payload)):
             raise errors.ProtocolError('message of no instance of this fleet')
         try:
             return self.decoder.decode(payload)
         except msgspec.DecodeError as exc:
             raise errors.ProtocolError('message of another release') from exc
 
-    def tag(self, payload: bytes) -> bytes:
+    def compute_tag(self, payload: bytes) -> bytes:
         """Return the keyed digest of a payload."""
         return hmac.digest(self.key, payload, hashlib.sha256)[:TAG_BYTES]
 
 
-def message_of(heartbeat: fleet.Heartbeat) -> HeartbeatMessage:
+def to_message(heartbeat: fleet.Heartbeat) -> HeartbeatMessage:
     """Return the message that carries a heartbeat."""
     sender = heartbeat.sender
     return HeartbeatMessage(
@@ -174,11 +174,11 @@
         milliseconds=heartbeat.stamp.milliseconds,
         count=heartbeat.stamp.count,
         notices=[
-            Notice(engine.name, engine.incarnation)
+            LeavingUpstream(engine.name, engine.incarnation)
             for engine in heartbeat.leaving_upstreams
         ],
         summaries=[
-            Summary(
+            DataCentreSummary(
                 one.data_centre,
                 one.version,
                 one.in_force_on,
@@ -188,11 +188,11 @@
             for one in heartbeat.summaries
         ],
         loads=[
-            Load(
+            UpstreamLoad(
                 one.index,
                 one.running,
                 one.queued,
-                round(one.step_seconds * STEP_UNITS_A_SECOND),
+                round(one.step_seconds * STEP_UNITS_PER_SECOND),
             )
             for one in heartbeat.loads
         ],
@@ -200,7 +200,10 @@
         crash_reports=[
             CrashReport(
                 report.fingerprint,
-                [Crash(c.life, c.seconds, c.age) for c in report.crashes],
+                [
+                    ReportedCrash(c.life, c.seconds, c.age)
+                    for c in report.crashes
+                ],
                 report.survived_age,
             )
             for report in heartbeat.crash_reports
@@ -208,7 +211,7 @@
     )
 
 
-def heartbeat_of(message: HeartbeatMessage) -> fleet.Heartbeat:
+def to_heartbeat(message: HeartbeatMessage) -> fleet.Heartbeat:
     """Return the heartbeat in a message."""
     return fleet.Heartbeat(
         sender=fleet.PeerId(
@@ -239,7 +242,7 @@
                 one.index,
                 one.running,
                 one.queued,
-                one.step / STEP_UNITS_A_SECOND,
+                one.step / STEP_UNITS_PER_SECOND,
             )
             for one in message.loads
         ),
@@ -248,7 +251,7 @@
             crashes.CrashReport(
                 one.fingerprint,
                 tuple(
-                    crashes.ToldCrash(c.life, c.seconds, c.age)
+                    crashes.ReportedCrash(c.life, c.seconds, c.age)
                     for c in one.crashes
                 ),
                 one.survived_age,
--- a/src/greengagelb/protocol/platform_api.py
+++ b/src/greengagelb/protocol/platform_api.py
@@ -50,6 +50,6 @@
     state: str = LIVE
 
 
-def engine_of(instance: Instance) -> identity.EngineId:
+def to_engine_id(instance: Instance) -> identity.EngineId:
     """Return the upstream that an entry of the list shows."""
     return identity.EngineId(instance.name, instance.incarnation)
--- a/src/greengagelb/protocol/problems.py
+++ b/src/greengagelb/protocol/problems.py
@@ -43,7 +43,7 @@
 }
 
 
-def problem_of(failure: requests.Failure) -> caller_api.Problem:
+def to_problem(failure: requests.Failure) -> caller_api.Problem:
     """Return the problem document of a failure."""
     return caller_api.Problem(
         title=failure.code.replace('-', ' '),
--- a/src/greengagelb/protocol/relay_hints.py
+++ b/src/greengagelb/protocol/relay_hints.py
@@ -33,7 +33,7 @@
     limits_digest: int = 0
 
 
-class Placed(
+class RunPlaced(
     msgspec.Struct, frozen=True, array_like=True, tag='p', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Placed`."""
@@ -47,7 +47,7 @@
     attempt: int = 0
 
 
-class Ended(
+class RunEnded(
     msgspec.Struct, frozen=True, array_like=True, tag='e', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Ended`."""
@@ -55,7 +55,7 @@
     number: int
 
 
-class Failed(
+class EngineFailed(
     msgspec.Struct, frozen=True, array_like=True, tag='f', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Failed`."""
@@ -64,7 +64,7 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Erred(
+class EngineErrored(
     msgspec.Struct, frozen=True, array_like=True, tag='x', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Erred`."""
@@ -73,7 +73,7 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Silent(
+class StreamSilent(
     msgspec.Struct, frozen=True, array_like=True, tag='q', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Silent`."""
@@ -82,7 +82,7 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Replaced(
+class EngineReplaced(
     msgspec.Struct, frozen=True, array_like=True, tag='r', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Replaced`."""
@@ -92,7 +92,7 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Restarted(
+class EngineRestarted(
     msgspec.Struct, frozen=True, array_like=True, tag='a', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.Restarted`."""
@@ -101,7 +101,7 @@
     started_at_ms: int
 
 
-class Engine(msgspec.Struct, frozen=True, array_like=True):
+class EngineEntry(msgspec.Struct, frozen=True, array_like=True):
     """See :class:`greengagelb.state.relay.engines.EngineEntry`."""
 
     engine: str
@@ -115,12 +115,12 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class EnginesTold(
+class EngineListChanged(
     msgspec.Struct, frozen=True, array_like=True, tag='t', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.EnginesTold`."""
 
-    entries: tuple[Engine, ...]
+    entries: tuple[EngineEntry, ...]
     removed: tuple[str, ...]
     unusable: tuple[str, ...] = ()
 
@@ -134,7 +134,7 @@
     version: int | None
 
 
-class StoreTried(
+class StoreProbed(
     msgspec.Struct, frozen=True, array_like=True, tag='u', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.StoreTried`."""
@@ -148,7 +148,7 @@
     era: int
 
 
-class NotListed(
+class InstancesNotListed(
     msgspec.Struct, frozen=True, array_like=True, tag='n', tag_field='kind'
 ):
     """See :class:`greengagelb.state.relay.hints.NotListed`."""
@@ -172,7 +172,7 @@
     version: int
 
 
-class ToldCrash(msgspec.Struct, frozen=True, array_like=True):
+class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
     """See :class:`greengagelb.state.crashes.ToldCrash`."""
 
     life: Life
@@ -186,11 +186,11 @@
     """See :class:`greengagelb.state.crashes.CrashReport`."""
 
     fingerprint: Fingerprint
-    crashes: tuple[ToldCrash, ...]
+    crashes: tuple[ReportedCrash, ...]
     survived_age: float | None = None
 
 
-class CrashesWanted(
+class CrashReportsRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='w', tag_field='kind'
 ):
     """See :class:`greengagelb.state.crashes.Wanted`."""
@@ -202,23 +202,23 @@
     incarnation: str
     message: (
         Heartbeat
-        | Placed
-        | Ended
-        | Failed
-        | Erred
-        | Silent
-        | Replaced
-        | Restarted
-        | EnginesTold
+        | RunPlaced
+        | RunEnded
+        | EngineFailed
+        | EngineErrored
+        | StreamSilent
+        | EngineReplaced
+        | EngineRestarted
+        | EngineListChanged
         | StoreRead
-        | StoreTried
+        | StoreProbed
         | StoreRestored
-        | NotListed
+        | InstancesNotListed
         | ConfigurationApplied
         | CrashReport
-        | CrashesWanted
+        | CrashReportsRequest
         | Forwarded
-        | limit_messages.Wire
+        | limit_messages.WireMessage
     )
 
 
@@ -226,9 +226,9 @@
 _decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-def write_engine(entry: engines.EngineEntry) -> Engine:
+def write_engine(entry: engines.EngineEntry) -> EngineEntry:
     """Return an engine's entry as it is sent."""
-    return Engine(
+    return EngineEntry(
         entry.engine,
         entry.service,
         entry.address.host,
@@ -241,7 +241,7 @@
     )
 
 
-def read_engine(wire: Engine) -> engines.EngineEntry:
+def read_engine(wire: EngineEntry) -> engines.EngineEntry:
     """Return an engine's entry."""
     return engines.EngineEntry(
         wire.engine,
@@ -258,8 +258,8 @@
 def encode_hint(incarnation: str, hint: hints.Hint) -> bytes:
     """Return a hint as a datagram."""
     match hint:
-        case hints.Placed():
-            wire = Placed(
+        case hints.RunPlaced():
+            wire = RunPlaced(
                 hint.number,
                 hint.engine,
                 hint.memory_tokens,
@@ -268,38 +268,40 @@
                 hint.part,
                 hint.attempt,
             )
-        case hints.Ended(number):
-            wire = Ended(number)
-        case hints.Failed(engine, started_at_ms):
-            wire = Failed(engine, started_at_ms)
-        case hints.Erred(engine, started_at_ms):
-            wire = Erred(engine, started_at_ms)
-        case hints.Silent(engine, started_at_ms):
-            wire = Silent(engine, started_at_ms)
-        case hints.Replaced(engine, successor, started_at_ms):
-            wire = Replaced(engine, successor, started_at_ms)
-        case hints.Restarted(engine, started_at_ms):
-            wire = Restarted(engine, started_at_ms)
-        case hints.EnginesTold(entries, removed, unusable):
-            written = tuple(map(write_engine, entries))
-            wire = EnginesTold(written, removed, unusable)
+        case hints.RunEnded(number):
+            wire = RunEnded(number)
+        case hints.EngineFailed(engine, started_at_ms):
+            wire = EngineFailed(engine, started_at_ms)
+        case hints.EngineErrored(engine, started_at_ms):
+            wire = EngineErrored(engine, started_at_ms)
+        case hints.StreamSilent(engine, started_at_ms):
+            wire = StreamSilent(engine, started_at_ms)
+        case hints.EngineReplaced(engine, successor, started_at_ms):
+            wire = EngineReplaced(engine, successor, started_at_ms)
+        case hints.EngineRestarted(engine, started_at_ms):
+            wire = EngineRestarted(engine, started_at_ms)
+        case hints.EngineListChanged(entries, removed, unusable):
+            encoded_entries = tuple(map(write_engine, entries))
+            wire = EngineListChanged(encoded_entries, removed, unusable)
         case hints.StoreRead(digest, version):
             wire = StoreRead(digest, version)
-        case hints.StoreTried():
-            wire = StoreTried()
+        case hints.StoreProbed():
+            wire = StoreProbed()
         case hints.StoreRestored(era):
             wire = StoreRestored(era)
-        case hints.NotListed(incarnations):
-            wire = NotListed(incarnations)
+        case hints.InstancesNotListed(incarnations):
+            wire = InstancesNotListed(incarnations)
         case hints.ConfigurationApplied(version):
             wire = ConfigurationApplied(version)
         case crashes.CrashReport(fingerprint, found, survived_age):
-            told = tuple(ToldCrash(c.life, c.seconds, c.age) for c in found)
-            wire = CrashReport(fingerprint, told, survived_age)
-        case crashes.Wanted():
-            wire = CrashesWanted()
+            reported = tuple(
+                ReportedCrash(c.life, c.seconds, c.age) for c in found
+            )
+            wire = CrashReport(fingerprint, reported, survived_age)
+        case crashes.CrashReportsRequest():
+            wire = CrashReportsRequest()
         case _:
-            wire = limit_messages.write(hint)
+            wire = limit_messages.to_wire(hint)
     return _encoder.encode(Datagram(incarnation, wire))
 
 
@@ -307,18 +309,18 @@
     member: hints.Member,
     *,
     leaving: bool = False,
-    known: hints.Digests = hints.NOTHING_KNOWN,
+    digests: hints.Digests = hints.EMPTY_DIGESTS,
 ) -> bytes:
     """Return a heartbeat as a datagram."""
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         member.name,
         member.host,
         member.data_centre,
         leaving,
-        known.crashes,
-        known.limits,
+        digests.crashes,
+        digests.limits,
     )
-    return _encoder.encode(Datagram(member.incarnation, beat))
+    return _encoder.encode(Datagram(member.incarnation, heartbeat))
 
 
 def encode_forwarded(incarnation: str, raw: bytes) -> bytes:
@@ -329,7 +331,7 @@
 Message = Heartbeat | Forwarded | hints.Hint
 
 
-def decode(raw: bytes) -> tuple[str, Message]:
+def decode_datagram(raw: bytes) -> tuple[str, Message]:
     """Return who sent a datagram, and what.
 
     Raises :class:`~greengagelb.errors.ProtocolError`.
@@ -339,8 +341,8 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise errors.ProtocolError(str(exc)) from exc
     match datagram.message:
-        case Placed() as wire:
-            hint = hints.Placed(
+        case RunPlaced() as wire:
+            hint = hints.RunPlaced(
                 wire.number,
                 wire.engine,
                 wire.memory_tokens,
@@ -349,40 +351,41 @@
                 wire.part,
                 wire.attempt,
             )
-        case Ended(number):
-            hint = hints.Ended(number)
-        case Failed(engine, started_at_ms):
-            hint = hints.Failed(engine, started_at_ms)
-        case Erred(engine, started_at_ms):
-            hint = hints.Erred(engine, started_at_ms)
-        case Silent(engine, started_at_ms):
-            hint = hints.Silent(engine, started_at_ms)
-        case Replaced(engine, successor, started_at_ms):
-            hint = hints.Replaced(engine, successor, started_at_ms)
-        case Restarted(engine, started_at_ms):
-            hint = hints.Restarted(engine, started_at_ms)
-        case EnginesTold(entries, removed, unusable):
-            read = tuple(map(read_engine, entries))
-            hint = hints.EnginesTold(read, removed, unusable)
+        case RunEnded(number):
+            hint = hints.RunEnded(number)
+        case EngineFailed(engine, started_at_ms):
+            hint = hints.EngineFailed(engine, started_at_ms)
+        case EngineErrored(engine, started_at_ms):
+            hint = hints.EngineErrored(engine, started_at_ms)
+        case StreamSilent(engine, started_at_ms):
+            hint = hints.StreamSilent(engine, started_at_ms)
+        case EngineReplaced(engine, successor, started_at_ms):
+            hint = hints.EngineReplaced(engine, successor, started_at_ms)
+        case EngineRestarted(engine, started_at_ms):
+            hint = hints.EngineRestarted(engine, started_at_ms)
+        case EngineListChanged(entries, removed, unusable):
+            decoded_entries = tuple(map(read_engine, entries))
+            hint = hints.EngineListChanged(decoded_entries, removed, unusable)
         case StoreRead(digest, version):
             hint = hints.StoreRead(digest, version)
-        case StoreTried():
-            hint = hints.StoreTried()
+        case StoreProbed():
+            hint = hints.StoreProbed()
         case StoreRestored(era):
             hint = hints.StoreRestored(era)
-        case NotListed(incarnations):
-            hint = hints.NotListed(incarnations)
+        case InstancesNotListed(incarnations):
+            hint = hints.InstancesNotListed(incarnations)
         case ConfigurationApplied(version):
             hint = hints.ConfigurationApplied(version)
-        case CrashReport(fingerprint, told, survived_age):
+        case CrashReport(fingerprint, reported, survived_age):
             found = tuple(
-                crashes.ToldCrash(c.life, c.seconds, c.age) for c in told
+                crashes.ReportedCrash(c.life, c.seconds, c.age)
+                for c in reported
             )
             hint = crashes.CrashReport(fingerprint, found, survived_age)
-        case CrashesWanted():
-            hint = crashes.Wanted()
-        case Heartbeat() | Forwarded() as other:
-            return datagram.incarnation, other
-        case limited:
-            hint = limit_messages.read(limited)
+        case CrashReportsRequest():
+            hint = crashes.CrashReportsRequest()
+        case Heartbeat() | Forwarded() as message:
+            return datagram.incarnation, message
+        case limit_message:
+            hint = limit_messages.from_wire(limit_message)
     return datagram.incarnation, hint
--- a/src/greengagelb/protocol/sse.py
+++ b/src/greengagelb/protocol/sse.py
@@ -8,7 +8,7 @@
 
 from greengagelb import errors
 
-MOST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -19,21 +19,21 @@
     data: bytes
 
 
-def write_event(data: bytes, kind: str = '', event_id: str = '') -> bytes:
+def encode_event(data: bytes, kind: str = '', event_id: str = '') -> bytes:
     """Return an event as bytes; ``data`` must hold no line break."""
-    head = b''
+    field_lines = b''
     if kind:
-        head += b'event: ' + kind.encode() + b'\n'
+        field_lines += b'event: ' + kind.encode() + b'\n'
     if event_id:
-        head += b'id: ' + event_id.encode() + b'\n'
-    return head + b'data: ' + data + b'\n\n'
+        field_lines += b'id: ' + event_id.encode() + b'\n'
+    return field_lines + b'data: ' + data + b'\n\n'
 
 
 class EventReader:
     """Cuts a byte stream into events; keeps an unfinished one for later."""
 
     def __init__(self) -> None:
-        self.rest = b''
+        self.pending_bytes = b''
 
     def feed(self, raw: bytes) -> list[ServerSentEvent]:
         """Return the events that ``raw`` completes.
@@ -41,8 +41,8 @@
         Raises :class:`~greengagelb.errors.ProtocolError` where an event grows
         past a bound: an upstream gone wrong must not fill the memory.
         """
-        *blocks, self.rest = (self.rest + raw).split(b'\n\n')
-        if len(self.rest) > MOST_EVENT_BYTES:
+        *blocks, self.pending_bytes = (self.pending_bytes + raw).split(b'\n\n')
+        if len(self.pending_bytes) > MAX_EVENT_BYTES:
             raise errors.ProtocolError('event without an end')
         return [parse_event(block) for block in blocks]
 
--- a/src/greengagelb/protocol/timeline_api.py
+++ b/src/greengagelb/protocol/timeline_api.py
@@ -11,7 +11,7 @@
 from greengagelb import errors
 from greengagelb.state import timeline
 
-MOST_EVENTS = 20_000
+MAX_EVENTS = 20_000
 
 
 class TimelinePart(msgspec.Struct, frozen=True):
@@ -22,31 +22,34 @@
     events: list[timeline.TimelineEvent]
 
 
-def parameters_of(wanted: timeline.Selection) -> dict[str, str]:
+def to_parameters(selection: timeline.Selection) -> dict[str, str]:
     """Return the query parameters that ask for a selection of events."""
     return {
-        'account': wanted.account,
-        'request': wanted.request,
-        'kind': wanted.kind,
-        'most_events': str(wanted.most_events),
+        'account': selection.account,
+        'request': selection.request,
+        'kind': selection.kind,
+        'most_events': str(selection.most_events),
     }
 
 
-def selection_of(
+def parse_selection(
     parameters: Mapping[bytes, list[bytes]],
 ) -> timeline.Selection:
     """Return the selection in the parameters of a query."""
-    given = parameters_of(timeline.Selection())
+    values_by_name = to_parameters(timeline.Selection())
     for name, values in parameters.items():
-        key = name.decode('utf-8', 'replace')
-        if key not in given:
-            raise errors.BadValue(f'unknown parameter {key}')
-        given[key] = values[-1].decode('utf-8', 'replace')
-    most = given['most_events']
-    if not most.isdecimal() or not 0 < int(most) <= MOST_EVENTS:
+        parameter = name.decode('utf-8', 'replace')
+        if parameter not in values_by_name:
+            raise errors.BadValue(f'unknown parameter {parameter}')
+        values_by_name[parameter] = values[-1].decode('utf-8', 'replace')
+    max_events = values_by_name['most_events']
+    if not max_events.isdecimal() or not 0 < int(max_events) <= MAX_EVENTS:
         raise errors.BadValue(
-            f'most_events: write a number from 1 to {MOST_EVENTS}'
+            f'most_events: write a number from 1 to {MAX_EVENTS}'
         )
     return timeline.Selection(
-        given['account'], given['request'], given['kind'], int(most)
+        values_by_name['account'],
+        values_by_name['request'],
+        values_by_name['kind'],
+        int(max_events),
     )
--- a/src/greengagelb/standins/engine.py
+++ b/src/greengagelb/standins/engine.py
@@ -261,15 +261,15 @@
             )
             listener.position += len(fresh)
             listener.request.write(
-                sse.write_event(codec.encode(batch), 'tokens')
+                sse.encode_event(codec.encode(batch), 'tokens')
             )
         if run.ended:
-            ended = engine_api.Ended(
+            ended = engine_api.AttemptEnded(
                 order.generation, order.attempt, len(run.tokens), run.ended
             )
             listener.gone = True
             listener.done.callback(
-                sse.write_event(codec.encode(ended), 'ended')
+                sse.encode_event(codec.encode(ended), 'ended')
             )
 
     def forget_ended(self) -> None:
--- a/src/greengagelb/state/crashes.py
+++ b/src/greengagelb/state/crashes.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspect:
+class SuspectRequest:
     """A request and its history at one moment."""
 
     fingerprint: str
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldCrash:
+class ReportedCrash:
     """A crash as another instance tells of it, in seconds."""
 
     life: str
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class CrashReportsRequest:
     """The sender asks for all that the receiver knows."""
 
 
@@ -70,24 +70,24 @@
     """
 
     fingerprint: str
-    crashes: tuple[ToldCrash, ...]
+    crashes: tuple[ReportedCrash, ...]
     survived_age: float | None = None
 
 
-def report_on(suspect: Suspect, now: float) -> CrashReport:
+def build_crash_report(suspect: SuspectRequest, now: float) -> CrashReport:
     """Return what is known of a suspect, as others are told."""
     survived_age = None
     if suspect.survived_at > float('-inf'):
         survived_age = now - suspect.survived_at
-    told = tuple(
-        ToldCrash(crash.life, crash.seconds, now - crash.ended_at)
+    reported = tuple(
+        ReportedCrash(crash.life, crash.seconds, now - crash.ended_at)
         for crash in suspect.crashes
     )
-    return CrashReport(suspect.fingerprint, told, survived_age)
+    return CrashReport(suspect.fingerprint, reported, survived_age)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptCrash:
+class StoredCrash:
     """A crash as the store keeps it; ``ended_at_ms`` is its Unix time."""
 
     life: str
@@ -96,19 +96,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptCrashes:
+class StoredCrashes:
     """The crashes under one request as the store keeps them."""
 
     fingerprint: str
-    crashes: tuple[KeptCrash, ...]
+    crashes: tuple[StoredCrash, ...]
 
 
-def to_keep(report: CrashReport, wall_milliseconds: int) -> KeptCrashes:
+def to_stored_crashes(
+    report: CrashReport, wall_milliseconds: int
+) -> StoredCrashes:
     """Return a report as it is kept."""
-    return KeptCrashes(
+    return StoredCrashes(
         report.fingerprint,
         tuple(
-            KeptCrash(
+            StoredCrash(
                 crash.life,
                 crash.seconds,
                 wall_milliseconds - round(crash.age * 1000),
@@ -118,19 +120,21 @@
     )
 
 
-def from_kept(kept: KeptCrashes, wall_milliseconds: int) -> CrashReport:
+def to_crash_report(
+    stored: StoredCrashes, wall_milliseconds: int
+) -> CrashReport:
     """Return what is kept as a report.
 
     The clock of who wrote it may have been ahead.
     """
     return CrashReport(
-        kept.fingerprint,
+        stored.fingerprint,
         tuple(
-            ToldCrash(
+            ReportedCrash(
                 crash.life,
                 crash.seconds,
                 max(0, wall_milliseconds - crash.ended_at_ms) / 1000,
             )
-            for crash in kept.crashes
+            for crash in stored.crashes
         ),
     )
--- a/src/greengagelb/state/fleet.py
+++ b/src/greengagelb/state/fleet.py
@@ -105,7 +105,7 @@
     leaving: bool = False
     leaving_upstreams: frozenset[identity.EngineId] = frozenset()
     held: frozenset[str] = frozenset()
-    suspects: tuple[crashes.Suspect, ...] = ()
+    suspects: tuple[crashes.SuspectRequest, ...] = ()
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/greengagelb/state/in_force.py
+++ b/src/greengagelb/state/in_force.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class InstanceReport:
     """What one instance says of itself.
 
     Ages are in seconds; ``store_seconds`` is None where it is not told.
@@ -30,60 +30,70 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NoPage:
+class ReportUnavailable:
     """Why nothing is known of an instance."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class ComparedReport:
     """One address, what was found there, and how it differs from most.
 
     ``differences`` is empty where it agrees with them.
     """
 
     address: str
-    found: InForce | NoPage
+    found: InstanceReport | ReportUnavailable
     differences: tuple[str, ...] = ()
 
 
-def compare(found: Sequence[tuple[str, InForce | NoPage]]) -> list[Seen]:
+def compare_reports(
+    found: Sequence[tuple[str, InstanceReport | ReportUnavailable]],
+) -> list[ComparedReport]:
     """Return all addresses, those that differ or don't answer first.
 
     What most of them have counts as right; of two with as many the newer
     configuration and the digest that sorts last.
     """
-    answers = [page for _, page in found if isinstance(page, InForce)]
-    digest = most_common([page.digest for page in answers])
-    version = most_common([page.configuration_version for page in answers])
-    release = most_common([page.release for page in answers])
-    seen: list[Seen] = []
-    for address, page in found:
-        match page:
-            case NoPage():
-                seen.append(Seen(address, page, (page.reason,)))
-            case InForce():
-                differs: list[str] = []
-                if page.digest != digest:
-                    differs.append(f'settings, most have {digest}')
-                if page.configuration_version != version:
-                    differs.append(f'configuration, most have {version}')
-                if page.release != release:
-                    differs.append(f'release, most have {release}')
-                seen.append(Seen(address, page, tuple(differs)))
-    seen.sort(key=order_of)
-    return seen
-
-
-def order_of(seen: Seen) -> tuple[bool, bool, str]:
+    reports = [
+        report for _, report in found if isinstance(report, InstanceReport)
+    ]
+    digest = find_most_common([report.digest for report in reports])
+    version = find_most_common(
+        [report.configuration_version for report in reports]
+    )
+    release = find_most_common([report.release for report in reports])
+    compared: list[ComparedReport] = []
+    for address, report in found:
+        match report:
+            case ReportUnavailable():
+                compared.append(
+                    ComparedReport(address, report, (report.reason,))
+                )
+            case InstanceReport():
+                differences: list[str] = []
+                if report.digest != digest:
+                    differences.append(f'settings, most have {digest}')
+                if report.configuration_version != version:
+                    differences.append(f'configuration, most have {version}')
+                if report.release != release:
+                    differences.append(f'release, most have {release}')
+                compared.append(
+                    ComparedReport(address, report, tuple(differences))
+                )
+    compared.sort(key=sort_key)
+    return compared
+
+
+def sort_key(compared: ComparedReport) -> tuple[bool, bool, str]:
     """Return the order in which operators want to see instances."""
-    agrees = not seen.differences
-    answered = isinstance(seen.found, InForce)
-    return (agrees, answered, seen.address)
+    agrees = not compared.differences
+    answered = isinstance(compared.found, InstanceReport)
+    return (agrees, answered, compared.address)
 
 
-def most_common(values: list) -> object:
+def find_most_common(values: list) -> object:
     """Return the value that most have, the highest of those; None of none."""
     counts = collections.Counter(values)
     return max(counts, key=lambda value: (counts[value], value), default=None)
--- a/src/greengagelb/state/limits.py
+++ b/src/greengagelb/state/limits.py
@@ -8,7 +8,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Unusable:
+class UnusableLimit:
     """What an answer has in place of a limit that can be read."""
 
     text: str
@@ -16,25 +16,25 @@
 
 # What an answer says of its engine's limit: requests a second, that it has
 # none, or something else.
-Named = float | Unusable | None
+AdvertisedLimit = float | UnusableLimit | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Said:
+class UpstreamAdvertisement:
     """What an answer says of its upstream, by the product's own interface.
 
     ``incarnation`` is empty where it does not say it.
     """
 
-    limit: Named = None
+    limit: AdvertisedLimit = None
     incarnation: str = ''
 
 
-NOTHING_SAID = Said()
+NO_ADVERTISEMENT = UpstreamAdvertisement()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LimitNews:
+class LimitUpdate:
     """The limit of a life of an engine; ``rate`` is None once it is lifted.
 
     ``version`` counts the values that it has had. It orders what instances
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Figures:
+class LimitStatistics:
     """What one instance knows and does of limits.
 
     ``in_force`` counts the limits, and ``rate`` is their sum in requests a
@@ -85,12 +85,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsWanted:
+class LimitUpdatesRequest:
     """The sender knows other limits than the receiver, and asks for them."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeaseWanted:
+class LeaseRequest:
     """The sender issues permits for a life, and asks for the parts of others.
 
     ``stamp`` is its own monotonic time, which the answer repeats.
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leased:
+class LeaseGrant:
     """The sender's part of a limit is the receiver's for a time.
 
     The lease began at ``stamp``, by the receiver's clock. ``share`` is the
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PermitWanted:
+class PermitRequestMessage:
     """The sender wants to send one request to a life with a limit.
 
     ``number`` names the request at the sender, ``wait`` is for how many
@@ -163,7 +163,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spent:
+class UnpermittedSends:
     """The sender has sent something to a life without a permit."""
 
     life: str
@@ -171,12 +171,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PresenceWanted:
+class LivenessQuery:
     """The sender asks the receiver for a sign of life."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Present:
+class LivenessReply:
     """The sender's sign of life."""
 
 
@@ -188,16 +188,16 @@
 
 
 Message = (
-    LimitNews
-    | NewsWanted
-    | LeaseWanted
-    | Leased
+    LimitUpdate
+    | LimitUpdatesRequest
+    | LeaseRequest
+    | LeaseGrant
     | LeaseReturned
-    | PermitWanted
+    | PermitRequestMessage
     | PermitAnswer
     | PermitReturned
-    | Spent
-    | PresenceWanted
-    | Present
+    | UnpermittedSends
+    | LivenessQuery
+    | LivenessReply
     | IssuerSilent
 )
--- a/src/greengagelb/state/orders.py
+++ b/src/greengagelb/state/orders.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
+class RequiredTarget:
     """The target that the configuration sets for an upstream."""
 
     upstream: configuration.Upstream
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class EngineSeen:
+class EngineObservation:
     """An engine's own report; ``reported_at`` is a monotonic time."""
 
     incarnation: str
--- a/src/greengagelb/state/pace.py
+++ b/src/greengagelb/state/pace.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-SMOOTHING = 0.125
+SMOOTHING_FACTOR = 0.125
 
 
 @dataclasses.dataclass(slots=True)
@@ -16,9 +16,9 @@
     gap: float = 0.0
     latest: float = float('-inf')
 
-    def observe(self, gap: float) -> None:
+    def observe_gap(self, gap: float) -> None:
         """Take in the gap between two batches."""
         if not self.gap:
             self.gap = gap
             return
-        self.gap += SMOOTHING * (gap - self.gap)
+        self.gap += SMOOTHING_FACTOR * (gap - self.gap)
--- a/src/greengagelb/state/relay/engine_states.py
+++ b/src/greengagelb/state/relay/engine_states.py
@@ -40,19 +40,19 @@
     heard_at: float = float('-inf')
     former_until: float = float('-inf')
 
-    def usable(self, now: float) -> bool:
+    def is_usable(self, now: float) -> bool:
         """Return whether the engine may get new work."""
-        gone = self.gone_at is not None and now >= self.gone_at
-        return not (self.leaving or self.replaced or gone)
+        is_gone = self.gone_at is not None and now >= self.gone_at
+        return not (self.leaving or self.replaced or is_gone)
 
-    def trusted(self, now: float) -> bool:
+    def is_trusted(self, now: float) -> bool:
         """Return whether nothing speaks against giving it work."""
-        if not self.usable(now) or now < self.suspected_until:
+        if not self.is_usable(now) or now < self.suspected_until:
             return False
-        alive = self.entry.heartbeat >= self.alive_from
-        return alive or now >= self.retry_dead_at
+        is_alive = self.entry.heartbeat >= self.alive_from
+        return is_alive or now >= self.retry_dead_at
 
-    def reachable(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Return whether it can have what it held before a failure."""
-        alive = self.entry.heartbeat >= self.alive_from
-        return self.usable(now) and (alive or now >= self.retry_dead_at)
+        is_alive = self.entry.heartbeat >= self.alive_from
+        return self.is_usable(now) and (is_alive or now >= self.retry_dead_at)
--- a/src/greengagelb/state/relay/engines.py
+++ b/src/greengagelb/state/relay/engines.py
@@ -44,7 +44,7 @@
     heartbeat: int
     started_at_ms: int = UNKNOWN_START
 
-    def ended_before(self, started_at_ms: int) -> bool:
+    def is_earlier_than(self, started_at_ms: int) -> bool:
         """Return whether this is an earlier life than one that began then.
 
         Of a life whose start is not known nobody can tell.
--- a/src/greengagelb/state/relay/exchanges.py
+++ b/src/greengagelb/state/relay/exchanges.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Sent:
+class InFlightSend:
     """One send of a request to an engine that is still under way.
 
     ``moved_at`` is the monotonic time of the last sign of this send: its
@@ -55,7 +55,7 @@
     request: requests.CallerRequest
     ruling: requests.Ruling
     fingerprint: str = ''
-    sends: dict[int, Sent] = dataclasses.field(default_factory=dict)
+    sends: dict[int, InFlightSend] = dataclasses.field(default_factory=dict)
     tried: set[str] = dataclasses.field(default_factory=set)
     refused_by: set[str] = dataclasses.field(default_factory=set)
     attempts: int = 0
--- a/src/greengagelb/state/relay/hints.py
+++ b/src/greengagelb/state/relay/hints.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
+class RunPlaced:
     """A run was given to an engine; ``number`` names it at its instance.
 
     ``part`` names the part of its prompt that no other conversation shares.
@@ -34,14 +34,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class RunEnded:
     """A run is over."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Failed:
+class EngineFailed:
     """An engine seems to have died, as seen from the sender."""
 
     engine: str
@@ -49,7 +49,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Erred:
+class EngineErrored:
     """An engine has answered a call with an error of its own."""
 
     engine: str
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Silent:
+class StreamSilent:
     """A stream has fallen silent on an engine; it may be the connection."""
 
     engine: str
@@ -65,7 +65,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Replaced:
+class EngineReplaced:
     """Another engine answers at the address of this one.
 
     ``successor`` names it where it is sure to be of the same service.
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Restarted:
+class EngineRestarted:
     """An engine has started again under its identity, at a Unix time."""
 
     engine: str
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EnginesTold:
+class EngineListChanged:
     """What was new in the list of engines; heartbeats are not.
 
     ``unusable`` names the engines whose entries can't be used any more.
@@ -116,12 +116,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreTried:
+class StoreProbed:
     """The sender tries again whether the store is back."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NotListed:
+class InstancesNotListed:
     """Instances that the list of instances lacks, by their incarnations."""
 
     incarnations: tuple[str, ...]
@@ -138,21 +138,21 @@
 
 
 Hint = (
-    Placed
-    | Ended
-    | Failed
-    | Erred
-    | Silent
-    | Replaced
-    | Restarted
-    | EnginesTold
+    RunPlaced
+    | RunEnded
+    | EngineFailed
+    | EngineErrored
+    | StreamSilent
+    | EngineReplaced
+    | EngineRestarted
+    | EngineListChanged
     | StoreRead
-    | StoreTried
+    | StoreProbed
     | StoreRestored
-    | NotListed
+    | InstancesNotListed
     | ConfigurationApplied
     | crashes.CrashReport
-    | crashes.Wanted
+    | crashes.CrashReportsRequest
     | limits.Message
 )
 
@@ -168,7 +168,7 @@
     limits: int = 0
 
 
-NOTHING_KNOWN = Digests()
+EMPTY_DIGESTS = Digests()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/greengagelb/state/relay/positions.py
+++ b/src/greengagelb/state/relay/positions.py
@@ -12,7 +12,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Position:
+class StorePosition:
     """A version of the store, in an era."""
 
     era: int
--- a/src/greengagelb/state/relay/requests.py
+++ b/src/greengagelb/state/relay/requests.py
@@ -23,7 +23,7 @@
     own_part: str = ''
 
     @property
-    def most_memory(self) -> int:
+    def max_memory_tokens(self) -> int:
         """Return the tokens that a run keeps in memory at its end."""
         return self.tokens + self.most_new_tokens
 
@@ -87,10 +87,10 @@
     not_run: bool
     load: engines.EngineLoad | None = None
     engine: str = ''
-    limit: limits.Named = None
+    limit: limits.AdvertisedLimit = None
 
     @property
-    def succeeded(self) -> bool:
+    def is_success(self) -> bool:
         """Return whether the status tells of success."""
         return 200 <= self.status < 300
 
--- a/src/greengagelb/state/relay/routes.py
+++ b/src/greengagelb/state/relay/routes.py
@@ -9,7 +9,7 @@
 import hashlib
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """What may be done again with requests of a route."""
 
     IDEMPOTENT = 'idempotent'
@@ -38,7 +38,7 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    repeat: RepeatPolicy
     shares: tuple[ServiceShare, ...]
     time_limit: float
     goal: float
@@ -49,11 +49,11 @@
     gap_goal: float = 0.0
 
     @property
-    def repeatable(self) -> bool:
+    def is_repeatable(self) -> bool:
         """Return whether a request may run again on another engine."""
-        if self.repeat is Repeat.STREAM:
+        if self.repeat is RepeatPolicy.STREAM:
             return self.resumable
-        return self.repeat is Repeat.IDEMPOTENT
+        return self.repeat is RepeatPolicy.IDEMPOTENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limits:
+class CallerLimits:
     """What callers may send, and how long they may take, in seconds."""
 
     header_bytes: int = 16_384
@@ -104,7 +104,7 @@
     priority: int | None = None
 
 
-def digest_of_key(key: str) -> bytes:
+def hash_api_key(key: str) -> bytes:
     """Return what is kept of an API key."""
     return hashlib.sha256(key.encode('utf-8', 'surrogateescape')).digest()
 
@@ -121,7 +121,7 @@
         version: int,
         routes: tuple[Route, ...],
         services: tuple[Service, ...],
-        limits: Limits,
+        limits: CallerLimits,
         accounts: dict[bytes, Account] | None,
     ) -> None:
         self.version = version
@@ -129,20 +129,20 @@
         self.services = {service.name: service for service in services}
         self.limits = limits
         self.accounts = accounts
-        self.by_host: dict[str, list[Route]] = {}
+        self.routes_by_host: dict[str, list[Route]] = {}
         longest_first = sorted(routes, key=lambda r: -len(r.prefix))
         for route in longest_first:
-            self.by_host.setdefault(route.host, []).append(route)
+            self.routes_by_host.setdefault(route.host, []).append(route)
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest prefix that begins a path."""
-        for route in self.by_host.get(host.lower(), ()):
+        for route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
-    def account_of(self, key: str) -> Account | None:
+    def find_account(self, key: str) -> Account | None:
         """Return the account that holds a key."""
         if self.accounts is None:
             return None
-        return self.accounts.get(digest_of_key(key))
+        return self.accounts.get(hash_api_key(key))
--- a/src/greengagelb/state/relay/store_calls.py
+++ b/src/greengagelb/state/relay/store_calls.py
@@ -5,7 +5,7 @@
 import enum
 
 
-class Call(enum.Enum):
+class CallKind(enum.Enum):
     """What a call is about."""
 
     REGISTER = 'register'
@@ -16,7 +16,7 @@
     CRASHES = 'crashes'
 
 
-class Cause(enum.Enum):
+class CallCause(enum.Enum):
     """Why a call is made."""
 
     START = 'start'
@@ -35,8 +35,8 @@
 class CountedCall:
     """A kind of call for one cause."""
 
-    call: Call
-    cause: Cause
+    call: CallKind
+    cause: CallCause
 
 
 class StoreCalls:
@@ -45,11 +45,11 @@
     def __init__(self) -> None:
         self.counts: collections.Counter[CountedCall] = collections.Counter()
 
-    def count(self, call: Call, cause: Cause) -> None:
+    def count_call(self, call: CallKind, cause: CallCause) -> None:
         """Count a call that is about to be made."""
         self.counts[CountedCall(call, cause)] += 1
 
-    def summary(self) -> str:
+    def format_summary(self) -> str:
         """Return all counts in a line, the largest first."""
         return ', '.join(
             f'{counted.call.value} {counted.cause.value} {number}'
--- a/src/greengagelb/state/streams.py
+++ b/src/greengagelb/state/streams.py
@@ -20,22 +20,22 @@
     sequences share a digest by running together.
     """
     for token in tokens:
-        raw = token.encode()
+        token_bytes = token.encode()
         digest = hashlib.blake2b(chain, digest_size=DIGEST_BYTES)
-        digest.update(len(raw).to_bytes(4, 'big'))
-        digest.update(raw)
+        digest.update(len(token_bytes).to_bytes(4, 'big'))
+        digest.update(token_bytes)
         chain = digest.digest()
     return chain
 
 
-def digest_of_request(request: requests.GenerationRequest) -> bytes:
+def hash_request(request: requests.GenerationRequest) -> bytes:
     """Return a digest of what a generation was asked for; 16 bytes.
 
     A caller that comes back with its cursor but another prompt would get the
     start of one answer and the end of another.
     """
-    what = (request.service, request.prompt, str(request.most_tokens))
-    return extend_chain(EMPTY_CHAIN, what)
+    hashed_fields = (request.service, request.prompt, str(request.most_tokens))
+    return extend_chain(EMPTY_CHAIN, hashed_fields)
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,7 +77,7 @@
         return self.attempt.upstream if self.attempt else None
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Return whether no further token was asked for."""
         return self.position >= self.request.most_tokens
 
@@ -88,19 +88,19 @@
         A continuation after the first token is the same generation. Before
         it nothing tells a continuation from a second run.
         """
-        first = not self.position and self.may_have_run
-        return first and not self.service.idempotent
+        before_first_token = not self.position and self.may_have_run
+        return before_first_token and not self.service.idempotent
 
     @property
-    def what_ran(self) -> requests.Ran:
+    def execution_status(self) -> requests.Ran:
         """Return what is known of this stream, should it end now."""
         if self.position:
             return requests.Ran.YES
-        if self.may_have_run or self.own_attempts():
+        if self.may_have_run or self.active_attempts():
             return requests.Ran.UNKNOWN
         return requests.Ran.NO
 
-    def accept(self, position: int, tokens: tuple[str, ...]) -> None:
+    def append_tokens(self, position: int, tokens: tuple[str, ...]) -> None:
         """Append tokens that must follow on exactly from what is there."""
         if position != self.position:
             raise errors.InvariantViolated(
@@ -109,7 +109,7 @@
         self.tokens.extend(tokens)
         self.chain = extend_chain(self.chain, tokens)
 
-    def start_afresh(self, pool: configuration.Pool) -> None:
+    def restart_generation(self, pool: configuration.Pool) -> None:
         """Begin a new generation; nothing of the old one is kept."""
         if not self.service.idempotent:
             raise errors.InvariantViolated('restart of what may not repeat')
@@ -118,10 +118,10 @@
         self.tokens.clear()
         self.chain = EMPTY_CHAIN
 
-    def own_attempts(self) -> list[attempts.Attempt]:
+    def active_attempts(self) -> list[attempts.Attempt]:
         """Return the current attempt and the spare, where there are any."""
-        both = (self.attempt, self.spare)
-        return [attempt for attempt in both if attempt is not None]
+        candidates = (self.attempt, self.spare)
+        return [attempt for attempt in candidates if attempt is not None]
 
     def find_attempt(
         self, attempt_id: identity.AttemptId
@@ -133,7 +133,7 @@
             return self.spare
         return None
 
-    def resume_point(self) -> requests.ResumePoint:
+    def build_resume_point(self) -> requests.ResumePoint:
         """Return what a caller needs to come back through any instance."""
         attempt = self.attempt
         if attempt is None:
--- a/src/greengagelb/state/timeline.py
+++ b/src/greengagelb/state/timeline.py
@@ -42,7 +42,7 @@
     kind: str = ''
     most_events: int = 2_000
 
-    def holds(self, event: TimelineEvent) -> bool:
+    def matches(self, event: TimelineEvent) -> bool:
         """Return whether an event is wanted."""
         return (
             self.account in ('', event.account)
@@ -51,7 +51,7 @@
         )
 
 
-def order_key(event: TimelineEvent) -> tuple[int, int, str]:
+def sort_key(event: TimelineEvent) -> tuple[int, int, str]:
     """Return what events of several processes are sorted by."""
     stamp = event.stamp
     return stamp.milliseconds, stamp.count, event.process
@@ -69,11 +69,13 @@
 
     def observe(self, remote: Stamp, wall_milliseconds: int) -> Stamp:
         """Stamp the arrival of a message that carries ``remote``."""
-        ahead = max(self.latest, remote)
-        if wall_milliseconds > ahead.milliseconds:
+        latest_known = max(self.latest, remote)
+        if wall_milliseconds > latest_known.milliseconds:
             self.latest = Stamp(wall_milliseconds, 0)
         else:
-            self.latest = Stamp(ahead.milliseconds, ahead.count + 1)
+            self.latest = Stamp(
+                latest_known.milliseconds, latest_known.count + 1
+            )
         return self.latest
 
 
@@ -89,13 +91,13 @@
         )
         self.dropped = 0
 
-    def append(self, event: TimelineEvent) -> None:
+    def append_event(self, event: TimelineEvent) -> None:
         """Keep an event, at the cost of the oldest one."""
         if len(self.events) == self.events.maxlen:
             self.dropped += 1
         self.events.append(event)
 
-    def select(self, wanted: Selection) -> list[TimelineEvent]:
+    def select_events(self, selection: Selection) -> list[TimelineEvent]:
         """Return the last events that are wanted, oldest first.
 
         The choice is made here and not by the reader: the events of a large
@@ -103,9 +105,9 @@
         """
         found: list[TimelineEvent] = []
         for event in reversed(self.events):
-            if len(found) == wanted.most_events:
+            if len(found) == selection.most_events:
                 break
-            if wanted.holds(event):
+            if selection.matches(event):
                 found.append(event)
         found.reverse()
         return found
--- a/src/greengagelb/transport/answer_limits.py
+++ b/src/greengagelb/transport/answer_limits.py
@@ -7,12 +7,14 @@
 from greengagelb.state import limits
 
 
-def read_answer(headers: http_headers.Headers) -> limits.Said:
+def read_answer(headers: http_headers.Headers) -> limits.UpstreamAdvertisement:
     """Return what an answer says of its upstream."""
     named = headers.getRawHeaders(limit_header.LIMIT_HEADER.encode(), [])
     header = limit_header.INCARNATION_HEADER
     [incarnation, *_] = headers.getRawHeaders(header, [''])
-    return limits.Said(limit_header.read_limit(named), incarnation)
+    return limits.UpstreamAdvertisement(
+        limit_header.parse_limit(named), incarnation
+    )
 
 
 def write_answer(
--- a/src/greengagelb/transport/caller_app.py
+++ b/src/greengagelb/transport/caller_app.py
@@ -114,7 +114,7 @@
             if received:
                 raise errors.BadCursor('received: write Last-Event-ID with it')
             return events.GenerationSubmitted(generation)
-        sealed = self.seal.open_whole(cursor)
+        sealed = self.seal.open_cursor(cursor)
         point = sealed.point
         if point.request.account != generation.request.account:
             raise errors.BadCursor('cursor was not sealed here')
@@ -210,8 +210,8 @@
             position=action.position,
             tokens=list(action.tokens),
         )
-        cursor = self.seal.seal(action.point, self.recorder.clock.latest)
-        stream.write(sse.write_event(codec.encode(chunk), event_id=cursor))
+        cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
+        stream.write(sse.encode_event(codec.encode(chunk), event_id=cursor))
 
     def begin_stream(self, exchange: Exchange) -> caller_stream.CallerStream:
         """Return the stream, after its headers were set."""
@@ -237,10 +237,12 @@
         exchange = self.exchanges.get(action.exchange)
         if exchange is None:
             return
-        message = caller_api.Restarted(action.generation, action.reason)
-        cursor = self.seal.seal(action.point, self.recorder.clock.latest)
+        message = caller_api.GenerationRestarted(
+            action.generation, action.reason
+        )
+        cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
         self.begin_stream(exchange).write(
-            sse.write_event(codec.encode(message), 'restart', cursor)
+            sse.encode_event(codec.encode(message), 'restart', cursor)
         )
 
     def send_end(self, action: actions.SendEnd) -> None:
@@ -259,8 +261,8 @@
             position=action.position,
             tokens=[],
         )
-        last = sse.write_event(codec.encode(chunk))
-        last += sse.write_event(b'[DONE]')
+        last = sse.encode_event(codec.encode(chunk))
+        last += sse.encode_event(b'[DONE]')
         exchange.done.callback(stream.finish() + last)
 
     def send_failure(self, action: actions.SendFailure) -> None:
@@ -268,9 +270,9 @@
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
-        problem = problems.problem_of(action.failure)
+        problem = problems.to_problem(action.failure)
         if exchange.stream is not None:
-            event = sse.write_event(codec.encode(problem), 'error')
+            event = sse.encode_event(codec.encode(problem), 'error')
             exchange.done.callback(exchange.stream.finish() + event)
             return
         exchange.done.callback(http.problem_answer(exchange.request, problem))
--- a/src/greengagelb/transport/engine_client.py
+++ b/src/greengagelb/transport/engine_client.py
@@ -107,7 +107,7 @@
                 self.check(batch.generation, batch.attempt)
                 self.receive_tokens(batch)
             case 'ended':
-                ended = codec.decode(event.data, engine_api.Ended)
+                ended = codec.decode(event.data, engine_api.AttemptEnded)
                 self.check(ended.generation, ended.attempt)
                 self.report(
                     events.AttemptEnded(
--- a/src/greengagelb/transport/http.py
+++ b/src/greengagelb/transport/http.py
@@ -180,7 +180,7 @@
 def refuse(request: server.Request, code: str, detail: str) -> bytes:
     """Return the answer to a request that was refused and did not run."""
     failure_state = requests.Failure(code, requests.Ran.NO, detail)
-    return problem_answer(request, problems.problem_of(failure_state))
+    return problem_answer(request, problems.to_problem(failure_state))
 
 
 class BoundedBody:
--- a/src/greengagelb/transport/metrics.py
+++ b/src/greengagelb/transport/metrics.py
@@ -54,7 +54,7 @@
     timeline_dropped: int = 0
     suspects: int = 0
     blocked: int = 0
-    limits: limit_state.Figures = limit_state.Figures()
+    limits: limit_state.LimitStatistics = limit_state.LimitStatistics()
 
 
 class Metrics:
--- a/src/greengagelb/transport/operator_app.py
+++ b/src/greengagelb/transport/operator_app.py
@@ -73,7 +73,7 @@
             str(why.value),
             RETRY_AFTER_SECONDS if away else None,
         )
-        return http.problem_answer(request, problems.problem_of(refused))
+        return http.problem_answer(request, problems.to_problem(refused))
 
     def authenticate(self, request: server.Request) -> None:
         """Raise unless the request carries the operators' key."""
@@ -87,7 +87,7 @@
     def propose(self, request: server.Request) -> Any:
         """Answer an intent with a plan."""
         self.authenticate(request)
-        intent = operator_api.read_intent(request.content.read())
+        intent = operator_api.decode_intent(request.content.read())
         current = yield self.store.read_configuration()
         applied = self.status().configuration_version
         if current.version < applied:
@@ -171,7 +171,7 @@
             f'ask for /v1/plans/{plan.plan_id}, or confirm it again',
             RETRY_AFTER_SECONDS,
         )
-        return http.problem_answer(request, problems.problem_of(failure_state))
+        return http.problem_answer(request, problems.to_problem(failure_state))
 
     def record(self, kind: str, plan: plan_state.Plan) -> None:
         """Put what became of a plan on the time line."""
@@ -194,10 +194,10 @@
     def show_timeline(self, request: server.Request) -> bytes:
         """Show the events that this process still has."""
         self.authenticate(request)
-        wanted = timeline_api.selection_of(request.args)
+        wanted = timeline_api.parse_selection(request.args)
         part = timeline_api.TimelinePart(
             self.status().process,
             self.recorder.timeline.dropped,
-            self.recorder.timeline.select(wanted),
+            self.recorder.timeline.select_events(wanted),
         )
         return http.json_answer(request, part)
--- a/src/greengagelb/transport/operator_client.py
+++ b/src/greengagelb/transport/operator_client.py
@@ -60,7 +60,7 @@
         """Return the plan that answers an intent."""
         answer = self.treq.post(
             self.url('/v1/plans'),
-            data=operator_api.write_intent(intent),
+            data=operator_api.encode_intent(intent),
             headers=self.headers,
         )
         return await self.receive(answer, plan_state.Plan)
@@ -88,7 +88,7 @@
         """Return the selected events that the instance still has."""
         answer = self.treq.get(
             self.url('/v1/timeline'),
-            params=timeline_api.parameters_of(wanted),
+            params=timeline_api.to_parameters(wanted),
             headers=self.headers,
         )
         return await self.receive(answer, timeline_api.TimelinePart)
--- a/src/greengagelb/transport/order_keeper.py
+++ b/src/greengagelb/transport/order_keeper.py
@@ -85,10 +85,10 @@
 
     def wanted(
         self, pool: configuration_state.Pool
-    ) -> list[order_state.Wanted]:
+    ) -> list[order_state.RequiredTarget]:
         """Return the targets of a pool's engines in this data centre."""
         return [
-            order_state.Wanted(
+            order_state.RequiredTarget(
                 upstream,
                 order_state.Target(
                     pool.model, pool.version, pool.adapter, upstream.role
@@ -228,9 +228,11 @@
             self.carry_out(name, pool.handle_fenced_order(upstream))
 
 
-def seen_of(view: upstream_state.UpstreamView) -> order_state.EngineSeen:
+def seen_of(
+    view: upstream_state.UpstreamView,
+) -> order_state.EngineObservation:
     """Return what an engine has said of itself last."""
-    return order_state.EngineSeen(
+    return order_state.EngineObservation(
         view.incarnation,
         order_state.Target(view.model, view.version, view.adapter, view.role),
         max(view.reported_running + view.reported_queued, view.in_flight),
--- a/src/greengagelb/transport/page_reader.py
+++ b/src/greengagelb/transport/page_reader.py
@@ -31,7 +31,9 @@
 
     async def read_all(
         self, addresses: Sequence[operator_client.Address]
-    ) -> list[tuple[str, in_force.InForce | in_force.NoPage]]:
+    ) -> list[
+        tuple[str, in_force.InstanceReport | in_force.ReportUnavailable]
+    ]:
         """Return what is in force at each address, in their order."""
         asked = [
             self.turns.run(
@@ -45,18 +47,20 @@
 
     async def read(
         self, address: operator_client.Address
-    ) -> in_force.InForce | in_force.NoPage:
+    ) -> in_force.InstanceReport | in_force.ReportUnavailable:
         """Return what is in force at an address."""
         page = defer.Deferred.fromCoroutine(self.fetch(address))
         page.addTimeout(PAGE_SECONDS, self.reactor)
         try:
-            return metrics_page.read(await page)
+            return metrics_page.parse_page(await page)
         except errors.ProtocolError as exc:
-            return in_force.NoPage(f'no page of an instance: {exc}')
+            return in_force.ReportUnavailable(f'no page of an instance: {exc}')
         except errors.TransportError as exc:
-            return in_force.NoPage(str(exc))
+            return in_force.ReportUnavailable(str(exc))
         except Exception as exc:  # noqa: BLE001 - any failure is an answer
-            return in_force.NoPage(f'no answer: {type(exc).__name__}')
+            return in_force.ReportUnavailable(
+                f'no answer: {type(exc).__name__}'
+            )
 
     async def fetch(self, address: operator_client.Address) -> bytes:
         """Return the bytes of a page."""
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -63,7 +63,7 @@
         options = {
             zmq.LINGER: LAST_WORDS_MILLISECONDS,
             zmq.SNDHWM: MOST_WAITING_MESSAGES,
-            zmq.MAXMSGSIZE: peer_api.MOST_MESSAGE_BYTES,
+            zmq.MAXMSGSIZE: peer_api.MAX_MESSAGE_BYTES,
             zmq.TCP_MAXRT: UNACKNOWLEDGED_MILLISECONDS,
             zmq.HEARTBEAT_IVL: PING_MILLISECONDS,
             zmq.HEARTBEAT_TIMEOUT: PING_MILLISECONDS,
@@ -230,7 +230,7 @@
             if instance.peer_port:
                 found.append(listed_instance(instance))
             elif instance.state == platform_api.LEAVING:
-                engine = platform_api.engine_of(instance)
+                engine = platform_api.to_engine_id(instance)
                 source = 'platform list'
                 self.dispatch(events.UpstreamLeaving(engine, source))
         now = self.reactor.seconds()
@@ -239,7 +239,7 @@
     def receive(self, frame: bytes) -> None:
         """Take in a message; one that can't be understood is dropped."""
         try:
-            message = self.codec.open(frame)
+            message = self.codec.open_frame(frame)
             self.take(message)
         except errors.ProtocolError as exc:
             self.record('peer-message-dropped', str(exc))
@@ -249,7 +249,7 @@
         now = self.reactor.seconds()
         match message:
             case peer_api.HeartbeatMessage():
-                heartbeat = peer_api.heartbeat_of(message)
+                heartbeat = peer_api.to_heartbeat(message)
                 self.observe_clock(heartbeat)
                 self.carry_out(
                     self.membership.handle_heartbeat(heartbeat, now)
@@ -264,7 +264,7 @@
                     events.ConfigurationOffered(offered, f'peer {name}')
                 )
             case peer_api.LimitMessage(incarnation, wire):
-                told = limit_messages.read(wire)
+                told = limit_messages.from_wire(wire)
                 self.dispatch(events.PeerMessageReceived(incarnation, told))
             case peer_api.Introduction(pairs):
                 addresses = [fleet.PeerAddress(*pair) for pair in pairs]
@@ -299,7 +299,7 @@
         for action in wanted:
             match action:
                 case membership.SendHeartbeat(address, heartbeat):
-                    self.send(address, peer_api.message_of(heartbeat))
+                    self.send(address, peer_api.to_message(heartbeat))
                 case membership.AskForConfiguration(address):
                     own = self.me.address
                     query = peer_api.ConfigurationQuery(own.host, own.port)
@@ -320,7 +320,7 @@
         addresses = {members.address_of(action.incarnation)}
         if not action.incarnation:
             addresses = members.local_addresses()
-        wire = limit_messages.write(action.message)
+        wire = limit_messages.to_wire(action.message)
         for address in addresses - {None}:
             message = peer_api.LimitMessage(self.me.incarnation, wire)
             self.send(address, message)
@@ -329,7 +329,7 @@
         self, address: fleet.PeerAddress, message: peer_api.Message
     ) -> None:
         """Send a message to the instance at an address."""
-        frame = self.codec.seal(message)
+        frame = self.codec.seal_message(message)
         self.sent_bytes += len(frame)
         self.sent_messages += 1
         self.socket.send(address, frame)
--- a/src/greengagelb/transport/problem_handlers.py
+++ b/src/greengagelb/transport/problem_handlers.py
@@ -62,4 +62,4 @@
         requests.Ran.UNKNOWN,
         'an error of this program; its log has the details',
     )
-    return http.problem_answer(request, problems.problem_of(problem))
+    return http.problem_answer(request, problems.to_problem(problem))
--- a/src/greengagelb/transport/recorder.py
+++ b/src/greengagelb/transport/recorder.py
@@ -72,7 +72,7 @@
             attempt=action.attempt,
             upstream=action.upstream,
         )
-        self.timeline.append(event)
+        self.timeline.append_event(event)
         self.metrics.events[action.kind] += 1
         log_event(event)
 
--- a/src/greengagelb/transport/relay/caller_side.py
+++ b/src/greengagelb/transport/relay/caller_side.py
@@ -474,7 +474,7 @@
         reactor: interfaces.IReactorTime,
         wire_dialect: dialect.Dialect,
         dispatch: engine_side.Dispatch,
-        limits: Callable[[], routes.Limits],
+        limits: Callable[[], routes.CallerLimits],
         record_refusal: Callable[[int, str], None],
     ) -> None:
         self.reactor = reactor
@@ -491,7 +491,7 @@
         self.drained: defer.Deferred | None = None
 
     @property
-    def limits(self) -> routes.Limits:
+    def limits(self) -> routes.CallerLimits:
         """Return the current limits on callers."""
         return self.get_limits()
 
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -50,7 +50,7 @@
             self.reject_answer('answer to another request')
             return
         self.head = dialect.read_answer_head(response)
-        if self.send.stream and self.head.succeeded:
+        if self.send.stream and self.head.is_success:
             self.splitter = event_stream.EventSplitter(
                 dialect.read_event_number
             )
@@ -206,7 +206,7 @@
 
         def done(answer: timed_requests.Answer) -> None:
             fate = relay_events.EngineFate.ALIVE
-            if answer.connection_refused or entry.ended_before(
+            if answer.connection_refused or entry.is_earlier_than(
                 self.read_probed_start_ms(answer)
             ):
                 fate = relay_events.EngineFate.ENDED
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -235,10 +235,10 @@
         body = self.metrics.render_relay(self.pool.connections_opened)
         return pages.Page(pages.STATUS_OK, body)
 
-    def current_limits(self) -> routes.Limits:
+    def current_limits(self) -> routes.CallerLimits:
         """Return the limits on callers of the current configuration."""
         table = self.relay.route_table
-        return table.limits if table is not None else routes.Limits()
+        return table.limits if table is not None else routes.CallerLimits()
 
     def record_refusal(self, status: int, code: str) -> None:
         """Record a refusal that preceded any decision."""
@@ -321,7 +321,7 @@
 
     def end_process(self) -> None:
         """Record the summary of store calls and let the process end."""
-        summary = self.watch.calls.summary()
+        summary = self.watch.calls.format_summary()
         self.recorder.record(actions.Record('store-calls', summary))
         self.loop.dispatch(relay_events.ConnectionsClosed())
         self.stopped.callback(None)
--- a/src/greengagelb/transport/relay/peer_link.py
+++ b/src/greengagelb/transport/relay/peer_link.py
@@ -112,14 +112,14 @@
         self,
         *,
         leaving: bool = False,
-        known: hints.Digests = hints.NOTHING_KNOWN,
+        known: hints.Digests = hints.EMPTY_DIGESTS,
     ) -> None:
         """Send a heartbeat to all others; ``leaving`` if this one stops.
 
         ``known`` are the digests of what this instance knows.
         """
         raw = relay_hints.encode_heartbeat(
-            self.own, leaving=leaving, known=known
+            self.own, leaving=leaving, digests=known
         )
         self.send_to_all(raw)
 
@@ -153,10 +153,10 @@
     ) -> None:
         """Decode a datagram, forward it if asked to, and dispatch it."""
         try:
-            sender, message = relay_hints.decode(datagram)
+            sender, message = relay_hints.decode_datagram(datagram)
             if isinstance(message, relay_hints.Forwarded):
                 inner = message.datagram
-                sender, message = relay_hints.decode(inner)
+                sender, message = relay_hints.decode_datagram(inner)
                 self.forward_datagram(inner, message)
         except errors.ProtocolError as exc:
             self.report_bad_datagram(f'from {addr[0]}: {exc}')
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -60,7 +60,7 @@
 class ConfigurationRead:
     """The configuration, if it has changed, and the position of the read."""
 
-    position: positions.Position
+    position: positions.StorePosition
     table: routes.RouteTable | None
     mistake: str = ''
 
@@ -72,7 +72,7 @@
     ``mistakes`` are the entries that can't be used.
     """
 
-    position: positions.Position
+    position: positions.StorePosition
     entries: tuple[engines.EngineEntry, ...]
     removed: tuple[str, ...]
     mistakes: tuple[unusable_entries.UnusableEntry, ...] = ()
@@ -87,7 +87,7 @@
 
     members: tuple[hints.Member, ...]
     mistakes: tuple[unusable_entries.UnusableEntry, ...] = ()
-    kept_crashes: tuple[crashes.KeptCrashes, ...] = ()
+    kept_crashes: tuple[crashes.StoredCrashes, ...] = ()
 
 
 class StoreClient(Protocol):
@@ -103,7 +103,7 @@
         """Use another address for all further calls."""
 
     def read_configuration(
-        self, position: positions.Position | None, wait_seconds: float
+        self, position: positions.StorePosition | None, wait_seconds: float
     ) -> defer.Deferred:
         """Return a :class:`ConfigurationRead` of the changes since a position.
 
@@ -112,7 +112,7 @@
         """
 
     def read_engines(
-        self, position: positions.Position | None
+        self, position: positions.StorePosition | None
     ) -> defer.Deferred:
         """Return an :class:`EnginesRead` of the changes since a position.
 
@@ -128,7 +128,7 @@
     def read_members(self) -> defer.Deferred:
         """Return a :class:`MembersRead` of all instances."""
 
-    def write_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
+    def write_crashes(self, kept: crashes.StoredCrashes) -> defer.Deferred:
         """Write the crashes that a request has caused."""
 
     def delete_crashes(self, fingerprint: str) -> defer.Deferred:
@@ -163,8 +163,8 @@
         self.may_be_registered = False
         self.has_read_members = False
         self.is_listed = False
-        self.configuration_position: positions.Position | None = None
-        self.engines_position: positions.Position | None = None
+        self.configuration_position: positions.StorePosition | None = None
+        self.engines_position: positions.StorePosition | None = None
         self.engines_read_at = float('-inf')
         self.unusable_engines = unusable_entries.UnusableEntries()
         self.unusable_members = unusable_entries.UnusableEntries()
@@ -191,7 +191,9 @@
         self.stopped = True
         if not self.may_be_registered:
             return defer.succeed(None)
-        self.calls.count(store_calls.Call.UNREGISTER, store_calls.Cause.STOP)
+        self.calls.count_call(
+            store_calls.CallKind.UNREGISTER, store_calls.CallCause.STOP
+        )
         return self.store_client.unregister(self.own).addErrback(
             self.record_entry_left_behind
         )
@@ -224,11 +226,15 @@
         self.sharing.note_members_read(self.reactor.seconds())
         if not self.is_registered:
             self.may_be_registered = True
-            yield self.register(store_calls.Cause.START)
+            yield self.register(store_calls.CallCause.START)
             self.is_registered = True
         known = self.has_read_members
-        cause = store_calls.Cause.CHECK if known else store_calls.Cause.START
-        self.calls.count(store_calls.Call.MEMBERS, cause)
+        cause = (
+            store_calls.CallCause.CHECK
+            if known
+            else store_calls.CallCause.START
+        )
+        self.calls.count_call(store_calls.CallKind.MEMBERS, cause)
         read = yield self.store_client.read_members()
         for entry in self.unusable_members.replace_all(read.mistakes):
             self.record(
@@ -239,7 +245,7 @@
         self.restore_summary.add_rows('instances read', len(read.members))
         was_listed, self.is_listed = self.is_listed, self.own in read.members
         if not self.is_listed and not self.stopped:
-            yield self.register(store_calls.Cause.CHECK)
+            yield self.register(store_calls.CallCause.CHECK)
             self.restore_summary.add_rows('own entry written')
             if was_listed:
                 why = 'not in the list of instances any more'
@@ -249,22 +255,26 @@
         self.update_peers(others)
         self.dispatch(relay_events.MembersListed(others))
         wall = recorder.wall_milliseconds()
-        reports = tuple(crashes.from_kept(k, wall) for k in read.kept_crashes)
+        reports = tuple(
+            crashes.to_crash_report(k, wall) for k in read.kept_crashes
+        )
         self.dispatch(relay_events.CrashesListed(reports))
 
     def write_crashes(self, report: crashes.CrashReport) -> None:
         """Write the crashes that a request has caused."""
-        call, cause = store_calls.Call.CRASHES, store_calls.Cause.FOUND
-        self.calls.count(call, cause)
+        call, cause = store_calls.CallKind.CRASHES, store_calls.CallCause.FOUND
+        self.calls.count_call(call, cause)
         self.restore_summary.add_rows('crashes written')
-        kept = crashes.to_keep(report, recorder.wall_milliseconds())
+        kept = crashes.to_stored_crashes(report, recorder.wall_milliseconds())
         self.store_client.write_crashes(kept).addErrback(
             self.record_crashes_not_written
         )
 
     def delete_crashes(self, fingerprint: str) -> None:
         """Remove the crashes that a request has caused."""
-        self.calls.count(store_calls.Call.CRASHES, store_calls.Cause.OVER)
+        self.calls.count_call(
+            store_calls.CallKind.CRASHES, store_calls.CallCause.OVER
+        )
         done = self.store_client.delete_crashes(fingerprint)
         done.addErrback(self.record_crashes_not_written)
 
@@ -273,9 +283,9 @@
         why.trap(errors.GreengagelbError)
         self.record(actions.Record('crashes-not-written', str(why.value)))
 
-    def register(self, cause: store_calls.Cause) -> defer.Deferred:
+    def register(self, cause: store_calls.CallCause) -> defer.Deferred:
         """Write the own entry."""
-        self.calls.count(store_calls.Call.REGISTER, cause)
+        self.calls.count_call(store_calls.CallKind.REGISTER, cause)
         return self.store_client.register(self.own)
 
     @defer.inlineCallbacks
@@ -348,9 +358,9 @@
         yield self.sleep_until_due(self.sharing.configuration_due_at)
         now = self.reactor.seconds()
         reads_for_all = self.sharing.reads_for_all
-        call = store_calls.Call.CONFIGURATION
+        call = store_calls.CallKind.CONFIGURATION
         cause = self.sharing.read_cause(self.sharing.configuration)
-        self.calls.count(call, cause)
+        self.calls.count_call(call, cause)
         self.sharing.configuration.note_read_asked(now)
         wait = CONFIGURATION_WAIT_SECONDS if reads_for_all else 0.0
         position = self.position_to_read_from()
@@ -358,7 +368,7 @@
             read = yield self.store_client.read_configuration(position, wait)
             self.check_era(read.position, position)
         except (errors.HistoryGone, errors.AnswerTooLong):
-            self.calls.count(call, store_calls.Cause.HISTORY_GONE)
+            self.calls.count_call(call, store_calls.CallCause.HISTORY_GONE)
             read = yield self.store_client.read_configuration(None, wait)
             self.check_era(read.position)
         self.configuration_position = read.position
@@ -371,8 +381,8 @@
 
     def check_era(
         self,
-        found: positions.Position,
-        requested_since: positions.Position | None = None,
+        found: positions.StorePosition,
+        requested_since: positions.StorePosition | None = None,
     ) -> None:
         """Check the era of an answer; record a restore of the store.
 
@@ -395,7 +405,7 @@
             raise errors.HistoryGone('store was restored from a copy')
 
     def record_restore(
-        self, previous_era: int, found: positions.Position
+        self, previous_era: int, found: positions.StorePosition
     ) -> None:
         """Record that the store was restored from a copy."""
         known = max(
@@ -424,7 +434,7 @@
         if why is not None and not self.stopped:
             self.record(actions.Record('store-read-again', why))
 
-    def position_to_read_from(self) -> positions.Position | None:
+    def position_to_read_from(self) -> positions.StorePosition | None:
         """Return the position since which to read changes; None for all.
 
         The changes contain every version since, of which only the last one
@@ -451,8 +461,10 @@
         """Read the list of engines, or its changes, when it is due."""
         yield self.sleep_until_due(self.sharing.engines_due_at)
         now = self.reactor.seconds()
-        call = store_calls.Call.ENGINES
-        self.calls.count(call, self.sharing.read_cause(self.sharing.engines))
+        call = store_calls.CallKind.ENGINES
+        self.calls.count_call(
+            call, self.sharing.read_cause(self.sharing.engines)
+        )
         self.sharing.engines.note_read_asked(now)
         self.dispatch(relay_events.EngineListRequested())
         whole = now > self.engines_read_at + MAX_CHANGES_AGE_SECONDS
@@ -464,7 +476,7 @@
             # Waiting for the next read would take a second, in which engines
             # that have left would get requests.
             whole = True
-            self.calls.count(call, store_calls.Cause.HISTORY_GONE)
+            self.calls.count_call(call, store_calls.CallCause.HISTORY_GONE)
             read = yield self.store_client.read_engines(None)
             self.check_era(read.position)
         was_failing = bool(self.sharing.engines.failures)
--- a/src/greengagelb/transport/serving.py
+++ b/src/greengagelb/transport/serving.py
@@ -218,7 +218,7 @@
         self.refused = True
         self.stop_waiting()
         self.give_back()
-        problem = problems.problem_of(failure)
+        problem = problems.to_problem(failure)
         body = codec.encode(problem)
         phrase = web_http.RESPONSES.get(problem.status, b'')
         lines = [
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -27,7 +27,7 @@
 def sealed(account='teratak', seal=None):
     seal = seal or caller_sites.CallerSite().seal
     point = caller_sites.sample_point(account)
-    return seal.seal(point).encode()
+    return seal.seal_point(point).encode()
 
 
 def header(name, value):
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -20,12 +20,14 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 Code = exit_codes.ExitCode
-GOOD = in_force.InForce('a', 'north', '0.1.0', False, 255, 3.0, 7, 2, 1, 0.5)
+GOOD = in_force.InstanceReport(
+    'a', 'north', '0.1.0', False, 255, 3.0, 7, 2, 1, 0.5
+)
 
 
 def other(**changed):
     fields = {name: getattr(GOOD, name) for name in GOOD.__slots__}
-    return in_force.InForce(**{**fields, **changed})
+    return in_force.InstanceReport(**{**fields, **changed})
 
 
 def page_of(**changed):
@@ -47,7 +49,7 @@
 
 def test_a_page_of_metrics_is_read():
     """Guards against a command that no page of this release satisfies."""
-    found = metrics_page.read(page_of())
+    found = metrics_page.parse_page(page_of())
     assert (found.name, found.data_centre) == ('a', 'north')
     assert found.stopping
     assert found.settings_digest == 4_000_000_000
@@ -58,7 +60,10 @@
 
 def test_a_page_without_an_age_of_the_store_is_read():
     """Guards against instances that are left out as they follow no store."""
-    assert metrics_page.read(page_of(store_seconds=None)).store_seconds is None
+    assert (
+        metrics_page.parse_page(page_of(store_seconds=None)).store_seconds
+        is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -77,7 +82,7 @@
 def test_what_is_no_page_of_an_instance_is_told(raw):
     """Guards against strangers that are taken for instances."""
     with pytest.raises(errors.ProtocolError):
-        metrics_page.read(raw)
+        metrics_page.parse_page(raw)
 
 
 @settings(derandomize=True, deadline=None)
@@ -85,7 +90,7 @@
 def test_nothing_that_is_sent_ends_the_command(raw):
     """Guards against one address that hides all others."""
     try:
-        metrics_page.read(page_of() + raw)
+        metrics_page.parse_page(page_of() + raw)
     except errors.ProtocolError:
         return
 
@@ -96,10 +101,10 @@
         ('1.0.0.1:1', GOOD),
         ('1.0.0.2:1', other(settings_digest=1)),
         ('1.0.0.3:1', GOOD),
-        ('1.0.0.4:1', in_force.NoPage('no answer')),
+        ('1.0.0.4:1', in_force.ReportUnavailable('no answer')),
         ('1.0.0.5:1', other(configuration_version=6, release='0.0.9')),
     ]
-    seen = in_force.compare(found)
+    seen = in_force.compare_reports(found)
     assert [one.address for one in seen] == [
         '1.0.0.4:1',
         '1.0.0.2:1',
@@ -120,7 +125,7 @@
 @given(
     st.lists(
         st.one_of(
-            st.builds(in_force.NoPage, st.just('gone')),
+            st.builds(in_force.ReportUnavailable, st.just('gone')),
             st.builds(
                 other,
                 settings_digest=st.integers(0, 2),
@@ -133,9 +138,9 @@
 def test_each_address_has_one_line_and_most_agree_with_most(pages):
     """Guards against addresses that are lost, and a wrong majority."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
-    seen = in_force.compare(found)
+    seen = in_force.compare_reports(found)
     assert sorted(one.address for one in seen) == sorted(a for a, _ in found)
-    answers = [p for p in pages if isinstance(p, in_force.InForce)]
+    answers = [p for p in pages if isinstance(p, in_force.InstanceReport)]
     for value in {page.digest for page in answers}:
         same = sum(page.digest == value for page in answers)
         told = sum(
@@ -150,19 +155,19 @@
     [
         ([GOOD, GOOD], Code.SUCCESS),
         ([GOOD, other(settings_digest=1)], Code.DIFFERENT),
-        ([GOOD, in_force.NoPage('gone')], Code.UNREACHABLE),
-        ([in_force.NoPage('gone')], Code.NOTHING_FOUND),
+        ([GOOD, in_force.ReportUnavailable('gone')], Code.UNREACHABLE),
+        ([in_force.ReportUnavailable('gone')], Code.NOTHING_FOUND),
     ],
 )
 def test_scripts_can_tell_what_was_found(pages, code):
     """Guards against a roll-out that goes on while instances differ."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
-    assert command.exit_code_of(in_force.compare(found), None) is code
+    assert command.exit_code_of(in_force.compare_reports(found), None) is code
 
 
 def test_what_is_waited_for_decides_and_not_the_majority():
     """Guards against a wait that ends as all agree on the old version."""
-    seen = in_force.compare([('1.0.0.1:1', GOOD), ('1.0.0.2:1', GOOD)])
+    seen = in_force.compare_reports([('1.0.0.1:1', GOOD), ('1.0.0.2:1', GOOD)])
 
     def has(page):
         return page.configuration_version >= 8
@@ -173,8 +178,11 @@
 
 def test_lines_of_json_hold_what_the_table_does():
     """Guards against scripts that have to read a table."""
-    seen = in_force.compare(
-        [('1.0.0.1:1', GOOD), ('1.0.0.2:1', in_force.NoPage('gone'))]
+    seen = in_force.compare_reports(
+        [
+            ('1.0.0.1:1', GOOD),
+            ('1.0.0.2:1', in_force.ReportUnavailable('gone')),
+        ]
     )
     lines = [json.loads(line) for line in command.as_json(seen).splitlines()]
     assert lines[0] == {'address': '1.0.0.2:1', 'differences': ['gone']}
@@ -203,7 +211,7 @@
         address, name, *_, state, digest, since = line.split()[:7]
         if name == '?':
             why = line.partition('no answer')[1:]
-            found.append((address, in_force.NoPage(''.join(why))))
+            found.append((address, in_force.ReportUnavailable(''.join(why))))
             continue
         page_there = other(
             name=name,
@@ -216,4 +224,4 @@
             store_seconds=None,
         )
         found.append((address, page_there))
-    assert command.as_table(in_force.compare(found)) == shown
+    assert command.as_table(in_force.compare_reports(found)) == shown
--- a/tests/common/limited_nodes.py
+++ b/tests/common/limited_nodes.py
@@ -138,7 +138,9 @@
             self.named_at[name] = self.now
 
     def said(self, name):
-        return limits.Said(self.limits.get(name), str(self.lives[name]))
+        return limits.UpstreamAdvertisement(
+            self.limits.get(name), str(self.lives[name])
+        )
 
     def report(self):
         for service in (DRAFT, LOOKUP):
--- a/tests/common/order_world.py
+++ b/tests/common/order_world.py
@@ -62,7 +62,7 @@
         target = order_state.Target('m', version, '', 'generate')
         for member in self.members:
             member.set_targets(
-                order_state.Wanted(
+                order_state.RequiredTarget(
                     configuration.Upstream(
                         name, '127.0.0.1', 1, 'kl-1', engine.checks_fencing
                     ),
@@ -96,7 +96,7 @@
         for name, engine in self.engines.items():
             self.members[who].update_report(
                 name,
-                order_state.EngineSeen(
+                order_state.EngineObservation(
                     'x', engine.target, engine.busy, self.now
                 ),
             )
--- a/tests/common/relay_world.py
+++ b/tests/common/relay_world.py
@@ -29,7 +29,7 @@
     'drafts',
     HOST,
     '/drafts/',
-    routes.Repeat.STREAM,
+    routes.RepeatPolicy.STREAM,
     (routes.ServiceShare(STREAMS, 1.0),),
     time_limit=25.0,
     goal=4.5,
@@ -42,7 +42,7 @@
     'booking',
     HOST,
     '/booking/',
-    routes.Repeat.AT_MOST_ONCE,
+    routes.RepeatPolicy.AT_MOST_ONCE,
     (routes.ServiceShare(CALLS, 1.0),),
     time_limit=0.8,
     goal=0.2,
@@ -53,7 +53,7 @@
     'queries',
     HOST,
     '/queries/',
-    routes.Repeat.IDEMPOTENT,
+    routes.RepeatPolicy.IDEMPOTENT,
     (routes.ServiceShare(CALLS, 1.0),),
     time_limit=0.8,
     goal=0.2,
@@ -64,7 +64,7 @@
     routes.Service(STREAMS, 240, MODEL),
     routes.Service(CALLS, 110),
 )
-ACCOUNTS = {routes.digest_of_key(KEY): routes.Account('cottages')}
+ACCOUNTS = {routes.hash_api_key(KEY): routes.Account('cottages')}
 RETRIES = bounds.RetryBounds(ratio=0.8, window_seconds=10.0, slack=150.0)
 # For so many seconds an engine's address goes to none of another service.
 ADDRESS_REUSE = 2.0
@@ -76,7 +76,7 @@
 def route_table(version=1, found=(STREAM_ROUTE, CALL_ROUTE, QUERY_ROUTE)):
     """Return a configuration with one route of each kind."""
     return routes.RouteTable(
-        version, tuple(found), SERVICES, routes.Limits(), dict(ACCOUNTS)
+        version, tuple(found), SERVICES, routes.CallerLimits(), dict(ACCOUNTS)
     )
 
 
--- a/tests/common/store_fleet.py
+++ b/tests/common/store_fleet.py
@@ -48,7 +48,7 @@
 
     @property
     def here(self):
-        return positions.Position(self.era, self.position)
+        return positions.StorePosition(self.era, self.position)
 
     def count(self, kind):
         return sum(call[0] == kind for call in self.calls)
@@ -196,7 +196,9 @@
     def knows(self, engine):
         """Return whether an engine may get work here."""
         state = self.relay.engines.states.get(engine)
-        return state is not None and state.usable(self.fleet.clock.seconds())
+        return state is not None and state.is_usable(
+            self.fleet.clock.seconds()
+        )
 
     def dispatch(self, event):
         if not self.alive:
--- a/tests/common/wire_store.py
+++ b/tests/common/wire_store.py
@@ -279,7 +279,7 @@
     def knows(self, engine):
         """Return whether an engine may get work."""
         state = self.relay.engines.states.get(engine)
-        return state is not None and state.usable(self.reactor.seconds())
+        return state is not None and state.is_usable(self.reactor.seconds())
 
     def play(self, seconds):
         """Let time pass."""
--- a/tests/fleet/test_watching.py
+++ b/tests/fleet/test_watching.py
@@ -206,7 +206,7 @@
         ),
     )
     codec = peer_api.PeerCodec('secret')
-    frame = codec.seal(peer_api.message_of(heartbeat))
+    frame = codec.seal_message(peer_api.to_message(heartbeat))
     sent = len(frame) * (len(INSTANCES) - 1) / HEARTBEAT_SECONDS
     assert sent < CONTROL_BYTES_A_SECOND
-    assert peer_api.heartbeat_of(codec.open(frame)) == heartbeat
+    assert peer_api.to_heartbeat(codec.open_frame(frame)) == heartbeat
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -262,7 +262,7 @@
         assert isinstance(caller.finals[-1], actions.SendEnd)
 
 
-SUSPECT = crash_state.Suspect(
+SUSPECT = crash_state.SuspectRequest(
     'f',
     tuple(crash_state.Crash(f'e{n} x', 90.0 + n, 90.1 + n) for n in range(3)),
     float('-inf'),
@@ -348,12 +348,12 @@
 
 
 def test_reports_cross_the_wire_between_instances():
-    report = crash_state.report_on(SUSPECT, 101.0)
+    report = crash_state.build_crash_report(SUSPECT, 101.0)
     sender = members.peer(0)
     sent = fleet.Heartbeat(
         sender, 1, False, timeline.Stamp(1, 0), crash_reports=(report,)
     )
     codec = peer_api.PeerCodec('secret')
-    frame = codec.seal(peer_api.message_of(sent))
-    read = peer_api.heartbeat_of(codec.open(frame))
+    frame = codec.seal_message(peer_api.to_message(sent))
+    read = peer_api.to_heartbeat(codec.open_frame(frame))
     assert read.crash_reports == (report,)
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -37,7 +37,7 @@
 
     @stateful.rule(borrower=names, lender=names)
     def ask(self, borrower, lender):
-        wanted = limits.LeaseWanted(LIFE, self.now)
+        wanted = limits.LeaseRequest(LIFE, self.now)
         self.questions.append((borrower, lender, wanted))
 
     @stateful.precondition(lambda self: self.questions)
@@ -50,7 +50,7 @@
             return
         unused = own.lend(LIFE, borrower, NEVER, self.now)
         if unused is not None:
-            lease = limits.Leased(LIFE, share, unused, wanted.stamp)
+            lease = limits.LeaseGrant(LIFE, share, unused, wanted.stamp)
             self.answers.append((borrower, lender, lease))
 
     @stateful.precondition(lambda self: self.answers)
--- a/tests/load/test_limit_table.py
+++ b/tests/load/test_limit_table.py
@@ -11,7 +11,7 @@
 LIFE = 'engine 1'
 
 news = strategies.builds(
-    limits.LimitNews,
+    limits.LimitUpdate,
     strategies.sampled_from([LIFE, 'engine 2']),
     strategies.sampled_from([None, 0.0, 0.5, 2.1, 200.0]),
     strategies.integers(1, 4),
@@ -72,7 +72,7 @@
     table = limit_table.LimitTable()
     table.update_from_answer(LIFE, 2.0, 99.0, 100.0)
     table.update_from_answer(LIFE, None, 100.5, 101.0)
-    assert table.list_news() == [limits.LimitNews(LIFE, None, 2)]
+    assert table.list_news() == [limits.LimitUpdate(LIFE, None, 2)]
     table.update_from_answer('engine 2', 2.0, 200.0, 201.0)
     assert LIFE not in table.known_limits
 
--- a/tests/load/test_limits.py
+++ b/tests/load/test_limits.py
@@ -109,7 +109,7 @@
             'm',
             '1',
             '',
-            stream_state.digest_of_request(submitted),
+            stream_state.hash_request(submitted),
         )
         event = events.GenerationResumed(submitted, point, ())
         done = node.handle(event, 1.0)
--- a/tests/load/test_permits.py
+++ b/tests/load/test_permits.py
@@ -13,13 +13,13 @@
 def issuer(rate=2.0, share=1.0, seconds=1e6):
     """Return an issuer with a long lease of a part."""
     permit_issuer = permits.PermitIssuer(rate, 100.0)
-    lease = limits.Leased(LIFE, share, 0.0, 100.0)
+    lease = limits.LeaseGrant(LIFE, share, 0.0, 100.0)
     permit_issuer.add_lease('i0', lease, 100.0 + seconds, 100.0)
     return permit_issuer
 
 
 def ask(permit_issuer, number, now, account='one', *, wait=5.0, urgent=False):
-    wanted = limits.PermitWanted(
+    wanted = limits.PermitRequestMessage(
         LIFE, number, account, urgent, wait, permit_issuer.rate, 1
     )
     return permit_issuer.request_permit(wanted, ('i1', number), now)
@@ -59,7 +59,7 @@
     at_once = 0
     for number in range(200):
         permit_issuer = permits.PermitIssuer(2.0, 100.0, number / 200)
-        lease = limits.Leased(LIFE, 1 / 200, 0.0, 100.0)
+        lease = limits.LeaseGrant(LIFE, 1 / 200, 0.0, 100.0)
         permit_issuer.add_lease('i0', lease, 1e9, 100.0)
         permit_issuer.take_answers(100.0)
         for wait in (1000.0, 1001.0, 1002.0, 1003.0):
--- a/tests/load/test_permits_in_time.py
+++ b/tests/load/test_permits_in_time.py
@@ -13,7 +13,7 @@
     keeper = limit_keeper.LimitKeeper('own')
     keeper.ranking.members = lambda life: (OTHER,)
     keeper.ranking.has_part = lambda life: False
-    keeper.merge_news(limits.LimitNews(LIFE, 2.0, 1), 100.0)
+    keeper.merge_news(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
     number = keeper.request_permit(LIFE, 'one', 100.5, 100.0)
     [question] = keeper.outgoing
     assert question.receiver == OTHER
@@ -55,7 +55,7 @@
             keeper.request_permit(LIFE, 'one', now + 0.1, now)
         keeper.run_due(now)
     assert keeper.ranking.issuer_of(LIFE, now) == 'own'
-    keeper.handle_message(OTHER, limits.LeaseWanted(LIFE, 1.0), now)
+    keeper.handle_message(OTHER, limits.LeaseRequest(LIFE, 1.0), now)
     keeper.ranking.rankings.clear()
     assert not keeper.ranking.is_skipped(OTHER, now)
     assert keeper.ranking.issuer_of(LIFE, now) == OTHER
@@ -79,10 +79,10 @@
     keeper.ranking.has_part = lambda life: True
     now = skip_other(keeper)
     keeper.run_due(now)
-    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.LivenessQuery())
     assert asked in keeper.outgoing
     assert keeper.ranking.issuer_of(LIFE, now) == 'own'
-    keeper.handle_message(OTHER, limits.Present(), now + 0.002)
+    keeper.handle_message(OTHER, limits.LivenessReply(), now + 0.002)
     assert keeper.ranking.issuer_of(LIFE, now + 0.002) == OTHER
 
 
@@ -100,7 +100,7 @@
         keeper.run_due(now)
     told = [o for o in keeper.outgoing if not o.receiver]
     assert [o.message for o in told] == [limits.IssuerSilent(OTHER)]
-    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.LivenessQuery())
     assert 5 <= keeper.outgoing.count(asked) <= 12
 
 
@@ -110,9 +110,9 @@
     keeper.ranking.has_part = lambda life: True
     keeper.handle_message('third', limits.IssuerSilent(OTHER), 100.01)
     keeper.run_due(100.01)
-    asked = issuer_ranking.OutgoingMessage(OTHER, limits.PresenceWanted())
+    asked = issuer_ranking.OutgoingMessage(OTHER, limits.LivenessQuery())
     assert asked in keeper.outgoing
-    keeper.handle_message(OTHER, limits.Present(), 100.012)
+    keeper.handle_message(OTHER, limits.LivenessReply(), 100.012)
     assert keeper.ranking.issuer_of(LIFE, 100.012) == OTHER
     for number in range(2 * issuer_ranking.MAX_SUSPECTED):
         told = limits.IssuerSilent(f'stranger {number}')
@@ -126,7 +126,9 @@
     keeper = limit_keeper.LimitKeeper('own')
     keeper.handle_message(OTHER, limits.IssuerSilent('own'), 100.0)
     [answered] = keeper.outgoing
-    assert answered == issuer_ranking.OutgoingMessage(OTHER, limits.Present())
+    assert answered == issuer_ranking.OutgoingMessage(
+        OTHER, limits.LivenessReply()
+    )
 
 
 def test_next_ranked_issuers_are_probed_as_well():
@@ -138,7 +140,7 @@
     keeper = limit_keeper.LimitKeeper('own')
     others = [f'other {number}' for number in range(6)]
     keeper.ranking.members = lambda life: others
-    keeper.merge_news(limits.LimitNews(LIFE, 2.0, 1), 100.0)
+    keeper.merge_news(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
     keeper.ranking.issuer_of(LIFE, 100.0)
     [ranking] = keeper.ranking.rankings.values()
     keeper.request_permit(LIFE, 'one', 100.2, 100.0)
@@ -164,14 +166,16 @@
 def test_a_lease_that_arrives_after_its_part_was_returned_is_ignored():
     """Guards against an issuer that starts again with returned parts."""
     keeper, _ = keeper_with_request()
-    wanted = limits.PermitWanted(LIFE, 1, 'one', False, 5.0, 2.0, 1)
+    wanted = limits.PermitRequestMessage(LIFE, 1, 'one', False, 5.0, 2.0, 1)
     keeper.handle_message(OTHER, wanted, 101.0)
     found = keeper.issuers.lives[LIFE]
     keeper.issuers.hand_over(LIFE, found, 101.5)
     keeper.handle_message(OTHER, wanted, 102.0)
-    late = limits.Leased(LIFE, 0.5, 0.0, 101.0)
+    late = limits.LeaseGrant(LIFE, 0.5, 0.0, 101.0)
     keeper.handle_message(OTHER, late, 102.1)
     issuer = keeper.issuers.lives[LIFE].issuer
     assert not issuer.borrowed.total_share(102.1)
-    keeper.handle_message(OTHER, limits.Leased(LIFE, 0.5, 0.0, 102.0), 102.2)
+    keeper.handle_message(
+        OTHER, limits.LeaseGrant(LIFE, 0.5, 0.0, 102.0), 102.2
+    )
     assert issuer.borrowed.total_share(102.2) == 0.5
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -81,7 +81,7 @@
     world.advance(4.0)
     world.call()
     world.advance(0.1)
-    world.answer(world.sends()[-1], limit=limits.Unusable('-1'))
+    world.answer(world.sends()[-1], limit=limits.UnusableLimit('-1'))
     assert reasons(world, 'engine-limit-refused') == ['limit-unusable: -1']
     life = first.engine.life
     assert world.relay.keeper.table.rate_of(life) == 2.5
@@ -90,7 +90,7 @@
 
 def test_the_own_interface_tells_of_limits_too():
     """Guards against limits of engines that only one interface tells of."""
-    said = limits.Said(2.5, 'life-1')
+    said = limits.UpstreamAdvertisement(2.5, 'life-1')
     node = loaded_node.new_node([loaded_node.account('one')], engines=1)
     done = node.handle(loaded_node.draft(1, 'one'), 0.0)
     [start] = loaded_node.only(common_actions.StartAttempt, done)
--- a/tests/operators/test_plans.py
+++ b/tests/operators/test_plans.py
@@ -151,4 +151,4 @@
         b' "version": "1", "adaptor": "a"}'
     )
     with pytest.raises(errors.ProtocolError, match='adaptor'):
-        operator_api.read_intent(raw)
+        operator_api.decode_intent(raw)
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -23,7 +23,7 @@
 MOST_DATAGRAM_BYTES = 1400
 
 TOLD = st.builds(
-    crashes.ToldCrash,
+    crashes.ReportedCrash,
     st.text(max_size=40),
     st.floats(0.0, 600.0),
     st.floats(0.0, 600.0),
@@ -39,12 +39,15 @@
 @given(REPORTS)
 def test_a_report_comes_out_as_it_went_in(report):
     raw = relay_hints.encode_hint('x', report)
-    assert relay_hints.decode(raw) == ('x', report)
+    assert relay_hints.decode_datagram(raw) == ('x', report)
 
 
 def test_a_question_for_reports_comes_out_as_it_went_in():
-    raw = relay_hints.encode_hint('x', crashes.Wanted())
-    assert relay_hints.decode(raw) == ('x', crashes.Wanted())
+    raw = relay_hints.encode_hint('x', crashes.CrashReportsRequest())
+    assert relay_hints.decode_datagram(raw) == (
+        'x',
+        crashes.CrashReportsRequest(),
+    )
 
 
 def test_the_longest_report_fits_a_datagram():
@@ -53,7 +56,9 @@
     Split into packets, each of them has to arrive.
     """
     life = f'i-{"f" * 10} {WALL}'
-    told = tuple(crashes.ToldCrash(f'{n}{life}', 0.1, 1.5) for n in range(8))
+    told = tuple(
+        crashes.ReportedCrash(f'{n}{life}', 0.1, 1.5) for n in range(8)
+    )
     report = crashes.CrashReport('f' * 32, told, 0.5)
     assert len(relay_hints.encode_hint('12345678', report)) < (
         MOST_DATAGRAM_BYTES
@@ -65,7 +70,7 @@
     old = msgspec.msgpack.encode(
         ['n-x', ['h', 'n', '1.2.3.4', 'north', False]]
     )
-    sender, beat = relay_hints.decode(old)
+    sender, beat = relay_hints.decode_datagram(old)
     assert (sender, beat.name, beat.crashes_digest) == ('n-x', 'n', 0)
 
 
@@ -73,13 +78,15 @@
     'report',
     [
         crashes.CrashReport('f' * 65, ()),
-        crashes.CrashReport('f', (crashes.ToldCrash('e' * 257, 0.0, 0.0),)),
+        crashes.CrashReport(
+            'f', (crashes.ReportedCrash('e' * 257, 0.0, 0.0),)
+        ),
     ],
 )
 def test_names_without_bound_are_refused(report):
     """Guards against memory that a stranger's datagrams fill."""
     with pytest.raises(errors.ProtocolError):
-        relay_hints.decode(relay_hints.encode_hint('x', report))
+        relay_hints.decode_datagram(relay_hints.encode_hint('x', report))
 
 
 # -- the store --------------------------------------------------------------
@@ -108,7 +115,9 @@
         return read[0]
 
 
-KEPT = crashes.KeptCrashes('ab12', (crashes.KeptCrash('e1 7', 0.05, WALL),))
+KEPT = crashes.StoredCrashes(
+    'ab12', (crashes.StoredCrash('e1 7', 0.05, WALL),)
+)
 
 
 def test_crashes_stand_beside_the_instances():
@@ -139,8 +148,8 @@
 @given(st.integers(-5_000, 600_000))
 def test_what_is_kept_ages_by_the_clock(waited):
     """Guards against blocks that never end, or end as a clock is set back."""
-    report = crashes.CrashReport('f', (crashes.ToldCrash('e', 0.25, 2.0),))
-    kept = crashes.to_keep(report, WALL)
-    [told] = crashes.from_kept(kept, WALL + waited).crashes
+    report = crashes.CrashReport('f', (crashes.ReportedCrash('e', 0.25, 2.0),))
+    kept = crashes.to_stored_crashes(report, WALL)
+    [told] = crashes.to_crash_report(kept, WALL + waited).crashes
     assert told.seconds == 0.25
     assert told.age == pytest.approx(max(0.0, 2.0 + waited / 1000))
