--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -161,8 +161,11 @@
     assert {'i-1', 'i-3'} <= set(names)
     assert (other.key in names) != (other.key in mistaken)
     assert all(is_usable(entry) for entry in found.entries)
-    told = hints.EnginesTold(found.entries, ())
-    assert relay_hints.decode(relay_hints.encode_hint('x', told))[1] == told
+    told = hints.EngineListChanged(found.entries, ())
+    assert (
+        relay_hints.decode_datagram(relay_hints.encode_hint('x', told))[1]
+        == told
+    )
 
 
 @pytest.mark.parametrize(
@@ -286,7 +289,7 @@
     found = store.engines_of(row_answers.read_rows(answer_with(other)))
     names = {entry.engine for entry in found.entries}
     assert {'i-1', 'i-3'} <= names
-    assert found.position == positions.Position(positions.NO_ERA, 9)
+    assert found.position == positions.StorePosition(positions.NO_ERA, 9)
 
 
 def test_answer_that_is_no_list_of_rows_is_refused():
@@ -398,7 +401,7 @@
     """
     read = read_configuration(raw)
     assert (read.table is None) == bool(read.mistake)
-    assert read.position == positions.Position(positions.NO_ERA, 9)
+    assert read.position == positions.StorePosition(positions.NO_ERA, 9)
     if read.table is None:
         return
     world = relay_world.RelayWorld(
@@ -479,7 +482,7 @@
     """Nothing goes by the names of routes, and of services the last counts."""
     twice = {**CONFIG, 'routes': [ROUTE, {**ROUTE, 'prefix': '/b/'}]}
     read = read_configuration(json.dumps(twice).encode())
-    assert read.table.find('api.example', '/b/x').name == 'r-1'
+    assert read.table.find_route('api.example', '/b/x').name == 'r-1'
 
 
 def test_configuration_row_of_another_type_is_told():
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -64,13 +64,13 @@
 def test_configuration_is_decoded():
     table = rows.read_table(row(CONFIG))
     assert table.version == 7
-    assert table.find('api.example', '/a/x').name == 'r-1'
-    assert table.find('API.EXAMPLE', '/a/b/x').name == 'r-2'
-    assert table.find('api.example', '/c/') is None
-    assert table.account_of('k2').name == 'cottages'
-    assert table.account_of('k3') is None
-    route = table.find('api.example', '/a/x')
-    assert route.repeat is routes.Repeat.STREAM
+    assert table.find_route('api.example', '/a/x').name == 'r-1'
+    assert table.find_route('API.EXAMPLE', '/a/b/x').name == 'r-2'
+    assert table.find_route('api.example', '/c/') is None
+    assert table.find_account('k2').name == 'cottages'
+    assert table.find_account('k3') is None
+    route = table.find_route('api.example', '/a/x')
+    assert route.repeat is routes.RepeatPolicy.STREAM
     assert route.gap_goal == 0.7
     assert table.services['s-1'].engines.memory_tokens == 88_000
 
@@ -100,7 +100,7 @@
     read = store.configuration_of(rows.Rows([row({**CONFIG, **change})], 9))
     assert read.table is None
     assert read.mistake
-    assert read.position == positions.Position(positions.NO_ERA, 9)
+    assert read.position == positions.StorePosition(positions.NO_ERA, 9)
 
 
 def test_row_that_is_no_json_is_told():
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -41,7 +41,7 @@
     server = relay_wires.Server()
     platform = store.PlatformStore(server.pool, relay_wires.ADDRESS)
     failures = []
-    position = positions.Position(positions.NO_ERA, 5)
+    position = positions.StorePosition(positions.NO_ERA, 5)
     asked = platform.read_configuration(
         position, store_watch.CONFIGURATION_WAIT_SECONDS
     )
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -217,6 +217,6 @@
     """Guards against bad limits that end an answer or are taken for one."""
     fields = [(b'Server-Limit', value) for value in values]
     found = answer(200, *fields)
-    assert isinstance(found.limit, limits.Unusable)
-    assert len(found.limit.text) <= limit_header.MOST_TEXT
+    assert isinstance(found.limit, limits.UnusableLimit)
+    assert len(found.limit.text) <= limit_header.MAX_TEXT_CHARACTERS
     assert found.status == 200
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -17,7 +17,7 @@
 HEAD = requests.AnswerHead(
     200, b'OK', ((b'Seal', b's'), (b'Content-Length', b'9')), True, False
 )
-LIMITS = routes.Limits(
+LIMITS = routes.CallerLimits(
     header_bytes=1_000, body_bytes=10_000, header_seconds=3.0, idle_seconds=15
 )
 
--- a/tests/relay/test_copies.py
+++ b/tests/relay/test_copies.py
@@ -28,7 +28,7 @@
     world = relay_world.RelayWorld()
     send = streaming(world)
     world.handle(
-        relay_events.PeerTold('other', hints.Failed(send.copy_to.engine))
+        relay_events.PeerTold('other', hints.EngineFailed(send.copy_to.engine))
     )
     [copy] = copies(world)
     assert copy.source == send.engine
@@ -55,7 +55,7 @@
     world = relay_world.RelayWorld()
     send = streaming(world)
     world.handle(
-        relay_events.PeerTold('other', hints.Failed(send.copy_to.engine))
+        relay_events.PeerTold('other', hints.EngineFailed(send.copy_to.engine))
     )
     [copy] = copies(world)
     world.handle(
@@ -75,7 +75,7 @@
     world = relay_world.RelayWorld()
     send = streaming(world)
     world.handle(
-        relay_events.PeerTold('other', hints.Failed(send.copy_to.engine))
+        relay_events.PeerTold('other', hints.EngineFailed(send.copy_to.engine))
     )
     [copy] = copies(world)
     world.handle(
@@ -95,7 +95,7 @@
     world = relay_world.RelayWorld()
     send = world.last_send(world.ask())
     world.handle(
-        relay_events.PeerTold('other', hints.Failed(send.copy_to.engine))
+        relay_events.PeerTold('other', hints.EngineFailed(send.copy_to.engine))
     )
     assert not copies(world)
 
@@ -110,7 +110,9 @@
     world = relay_world.RelayWorld()
     send = world.last_send(world.ask())
     lost = send.copy_to
-    world.handle(relay_events.PeerTold('other', hints.Failed(lost.engine)))
+    world.handle(
+        relay_events.PeerTold('other', hints.EngineFailed(lost.engine))
+    )
     assert not copies(world)
     world.begin(send)
     world.events(send, 1)
@@ -126,7 +128,7 @@
     world = relay_world.RelayWorld(relay_world.fleet(per_place=6))
     send = streaming(world)
     world.handle(
-        relay_events.PeerTold('other', hints.Failed(send.copy_to.engine))
+        relay_events.PeerTold('other', hints.EngineFailed(send.copy_to.engine))
     )
     for _ in range(5):
         last = copies(world)[-1]
@@ -176,9 +178,9 @@
     send = streaming(world)
     world.events(send, 2)
     held_at = send.copy_to.engine
-    world.handle(relay_events.PeerTold('other', hints.Silent(held_at)))
+    world.handle(relay_events.PeerTold('other', hints.StreamSilent(held_at)))
     assert not copies(world)
-    world.handle(relay_events.PeerTold('another', hints.Silent(held_at)))
+    world.handle(relay_events.PeerTold('another', hints.StreamSilent(held_at)))
     assert len(copies(world)) == 1
 
 
@@ -187,7 +189,9 @@
     send = streaming(world)
     held_at = send.copy_to.engine
     for _ in range(2):
-        world.handle(relay_events.PeerTold('other', hints.Silent(held_at)))
+        world.handle(
+            relay_events.PeerTold('other', hints.StreamSilent(held_at))
+        )
     assert len(copies(world)) == 1
 
 
@@ -196,7 +200,7 @@
     send = streaming(world)
     world.advance(0.5)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
-    assert hints.Silent(send.engine.engine) in told
+    assert hints.StreamSilent(send.engine.engine) in told
 
 
 def test_old_entry_read_late_does_not_replace_a_newer_engine():
@@ -208,7 +212,9 @@
     """
     world = relay_world.RelayWorld()
     new = relay_world.engine('new', relay_world.STREAMS, 'north')
-    world.handle(relay_events.PeerTold('other', hints.EnginesTold((new,), ())))
+    world.handle(
+        relay_events.PeerTold('other', hints.EngineListChanged((new,), ()))
+    )
     old = relay_world.engine(
         'old', relay_world.STREAMS, 'north', port=new.address.port
     )
--- a/tests/relay/test_directory_machine.py
+++ b/tests/relay/test_directory_machine.py
@@ -151,7 +151,7 @@
         usable = [
             state
             for state in self.known.states.values()
-            if state.usable(self.now)
+            if state.is_usable(self.now)
         ]
         assert bool(usable) == bool(self.candidates())
 
--- a/tests/relay/test_engine_lives.py
+++ b/tests/relay/test_engine_lives.py
@@ -163,10 +163,11 @@
     world = world_of_lives()
     entry, copied_to = fleet()[0], fleet()[2]
     peer_tells(
-        world, hints.Placed(1, entry.engine, 80_000, 80_000, copied_to.engine)
+        world,
+        hints.RunPlaced(1, entry.engine, 80_000, 80_000, copied_to.engine),
     )
     peer_tells(
-        world, hints.Placed(2, copied_to.engine, 70_000, 0, entry.engine)
+        world, hints.RunPlaced(2, copied_to.engine, 70_000, 0, entry.engine)
     )
     world.change_engines(next_life(entry))
     work = world.relay.loads.work_on(entry.engine)
@@ -250,8 +251,8 @@
     exchange = world.ask(b'/booking/1', 30.0, prompt=None)
     send = world.last_send(exchange)
     world.advance(5.0)
-    peer_tells(world, hints.EnginesTold((fleet(41)[0],), ()))
-    peer_tells(world, hints.EnginesTold((next_life(send.engine),), ()))
+    peer_tells(world, hints.EngineListChanged((fleet(41)[0],), ()))
+    peer_tells(world, hints.EngineListChanged((next_life(send.engine),), ()))
     assert not world.refusals(exchange)
     world.answer(send)
     assert world.of_kind(relay_actions.PassAnswer, exchange)
@@ -296,12 +297,12 @@
     send = streaming(world)
     world.lose(send)
     state = state_of(world, send.engine)
-    assert not state.trusted(world.now)
-    peer_tells(world, hints.Replaced(send.engine.engine))
+    assert not state.is_trusted(world.now)
+    peer_tells(world, hints.EngineReplaced(send.engine.engine))
     world.change_engines(next_life(send.engine))
     state = state_of(world, send.engine)
-    assert state.trusted(world.now)
-    assert state.reachable(world.now)
+    assert state.is_trusted(world.now)
+    assert state.is_reachable(world.now)
     assert state.load is None
 
 
@@ -313,11 +314,11 @@
     world = world_of_lives()
     entry = fleet()[0]
     world.change_engines(started(entry, leaving=True))
-    assert not state_of(world, entry).usable(world.now)
+    assert not state_of(world, entry).is_usable(world.now)
     world.change_engines(next_life(entry))
-    assert state_of(world, entry).usable(world.now)
+    assert state_of(world, entry).is_usable(world.now)
     world.change_engines(started(entry, heartbeat=41, leaving=True))
-    assert state_of(world, entry).usable(world.now)
+    assert state_of(world, entry).is_usable(world.now)
 
 
 def test_new_life_after_its_entry_had_lapsed_is_used():
@@ -325,9 +326,9 @@
     entry = fleet()[0]
     world.change_engines(removed=[entry.engine])
     world.advance(3.0)
-    assert not state_of(world, entry).usable(world.now)
+    assert not state_of(world, entry).is_usable(world.now)
     world.change_engines(next_life(entry))
-    assert state_of(world, entry).trusted(world.now)
+    assert state_of(world, entry).is_trusted(world.now)
 
 
 def test_new_life_may_serve_another_service_elsewhere():
@@ -373,7 +374,7 @@
     world.change_engines(started(entry, heartbeat=90, leaving=True))
     state = state_of(world, entry)
     assert state.entry == next_life(entry)
-    assert state.trusted(world.now)
+    assert state.is_trusted(world.now)
     assert world.relay.engines.digest() == digest
 
 
@@ -408,27 +409,29 @@
     [told] = [
         a.hints for a in done if isinstance(a, relay_actions.ForwardHints)
     ]
-    assert hints.EnginesTold((next_life(entry),), ()) in told
+    assert hints.EngineListChanged((next_life(entry),), ()) in told
     assert world.relay.engines.digest() != before
 
 
 @pytest.mark.parametrize(
     'hint',
     [
-        hints.EnginesTold((next_life(fleet()[0]),), ()),
-        hints.Failed('e', FIRST_START),
-        hints.Silent('e', FIRST_START),
-        hints.Replaced('e', 'f', FIRST_START),
-        hints.Restarted('e', SECOND_START),
+        hints.EngineListChanged((next_life(fleet()[0]),), ()),
+        hints.EngineFailed('e', FIRST_START),
+        hints.StreamSilent('e', FIRST_START),
+        hints.EngineReplaced('e', 'f', FIRST_START),
+        hints.EngineRestarted('e', SECOND_START),
     ],
 )
 def test_hints_carry_the_start_of_their_life(hint):
     raw = relay_hints.encode_hint('own', hint)
-    assert relay_hints.decode(raw) == ('own', hint)
+    assert relay_hints.decode_datagram(raw) == ('own', hint)
 
 
 @pytest.mark.parametrize(
-    'kind', [hints.Failed, hints.Silent, hints.Replaced], ids=repr
+    'kind',
+    [hints.EngineFailed, hints.StreamSilent, hints.EngineReplaced],
+    ids=repr,
 )
 def test_late_failure_hint_on_the_previous_life_is_ignored(kind):
     """Other instances notice the loss of their connections a little later.
@@ -440,12 +443,12 @@
     entry = fleet()[0]
     world.change_engines(next_life(entry))
     for _ in range(2):
-        if kind is hints.Replaced:
+        if kind is hints.EngineReplaced:
             peer_tells(world, kind(entry.engine, '', FIRST_START))
         else:
             peer_tells(world, kind(entry.engine, FIRST_START))
     state = state_of(world, entry)
-    assert state.trusted(world.now)
+    assert state.is_trusted(world.now)
     assert state.doubted_until < world.now
 
 
@@ -464,9 +467,9 @@
     assert send.engine in asked
     engine = send.engine.engine
     world.handle(relay_events.SuccessorSeen(engine, engine, SECOND_START))
-    assert state_of(world, send.engine).trusted(world.now)
+    assert state_of(world, send.engine).is_trusted(world.now)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
-    assert hints.Restarted(engine, SECOND_START) in told
+    assert hints.EngineRestarted(engine, SECOND_START) in told
 
 
 def test_engine_that_only_lost_a_connection_is_no_new_life():
@@ -475,9 +478,9 @@
     world.lose(send)
     engine = send.engine.engine
     world.handle(relay_events.SuccessorSeen(engine, engine, FIRST_START))
-    assert not state_of(world, send.engine).trusted(world.now)
+    assert not state_of(world, send.engine).is_trusted(world.now)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
-    assert hints.Restarted(engine, FIRST_START) not in told
+    assert hints.EngineRestarted(engine, FIRST_START) not in told
 
 
 def test_address_of_a_life_that_is_known_to_be_over_is_not_asked():
@@ -494,7 +497,7 @@
     """One instance finds the new life; all use it and trust no old copy."""
     world = world_of_lives()
     send = streaming(world)
-    peer_tells(world, hints.Restarted(send.copy_to.engine, SECOND_START))
+    peer_tells(world, hints.EngineRestarted(send.copy_to.engine, SECOND_START))
     state = state_of(world, send.copy_to)
     assert state.entry.started_at_ms == SECOND_START
     [copy] = world.of_kind(relay_actions.CopyRun)
--- a/tests/relay/test_engine_lives_machine.py
+++ b/tests/relay/test_engine_lives_machine.py
@@ -111,7 +111,7 @@
         for name in names:
             self.note_start(name, start, leaving=leaving)
         if from_peer:
-            hint = hints.EnginesTold(entries, ())
+            hint = hints.EngineListChanged(entries, ())
             self.world.handle(relay_events.PeerTold('other', hint))
         else:
             self.world.change_engines(*entries)
@@ -140,7 +140,7 @@
     @stateful.rule(name=NAMES, start=LIVES)
     def peer_reports_a_restart(self, name, start):
         self.note_reported_start(name, start)
-        hint = hints.Restarted(name, start)
+        hint = hints.EngineRestarted(name, start)
         self.world.handle(relay_events.PeerTold('other', hint))
         self.process_actions()
 
@@ -161,7 +161,7 @@
     @stateful.rule(
         name=NAMES,
         start=REPORTED_LIVES,
-        kind=st.sampled_from([hints.Failed, hints.Silent]),
+        kind=st.sampled_from([hints.EngineFailed, hints.StreamSilent]),
     )
     def peer_reports_a_failure(self, name, start, kind):
         is_past = 0 < start < self.latest[name]
@@ -214,9 +214,11 @@
         is_past=st.booleans(),
     )
     def peer_starts_or_ends_a_run(self, number, name, copy_to, is_past):
-        hint = hints.Placed(number, name, 400, 400, copy_to, f'part{number}')
+        hint = hints.RunPlaced(
+            number, name, 400, 400, copy_to, f'part{number}'
+        )
         if is_past:
-            hint = hints.Ended(number)
+            hint = hints.RunEnded(number)
         self.world.handle(relay_events.PeerTold('other', hint))
 
     @stateful.rule(seconds=st.sampled_from([0.1, 0.6, 2.0, 5.0]))
--- a/tests/relay/test_engine_selection.py
+++ b/tests/relay/test_engine_selection.py
@@ -62,7 +62,7 @@
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=2))
     for number in range(10):
-        hint = hints.Placed(number, 'elsewhere', 8_780, 0, 'model-north-0')
+        hint = hints.RunPlaced(number, 'elsewhere', 8_780, 0, 'model-north-0')
         world.handle(relay_events.PeerTold('other', hint))
     for _ in range(6):
         send = world.last_send(world.ask())
@@ -77,7 +77,9 @@
     """
     world = relay_world.RelayWorld(relay_world.fleet(per_place=4))
     for engine in ('model-north-0', 'model-north-1'):
-        world.handle(relay_events.PeerTold('other', hints.Failed(engine)))
+        world.handle(
+            relay_events.PeerTold('other', hints.EngineFailed(engine))
+        )
     for _ in range(8):
         send = world.last_send(world.ask())
         assert send.engine.data_centre != 'north'
@@ -92,7 +94,7 @@
     ]
     for world in worlds:
         for run, (engine, copy_to) in enumerate(hinted):
-            hint = hints.Placed(run, engine, 8_780, 0, copy_to)
+            hint = hints.RunPlaced(run, engine, 8_780, 0, copy_to)
             world.handle(relay_events.PeerTold('other', hint))
     return worlds
 
@@ -120,7 +122,7 @@
         exchange = world.ask()
         first = world.last_send(exchange)
         for number in range(15):
-            hint = hints.Failed(f'model-north-{number}')
+            hint = hints.EngineFailed(f'model-north-{number}')
             world.handle(relay_events.PeerTold('other', hint))
         world.lose(first)
         chosen.append(world.last_send(exchange).engine.engine)
--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -170,11 +170,13 @@
     actions = reader.of_kind(relay_actions.ForwardHints)
     told = [hint for action in actions for hint in action.hints]
     [news] = [
-        h for h in told if isinstance(h, hints.EnginesTold) and h.unusable
+        h
+        for h in told
+        if isinstance(h, hints.EngineListChanged) and h.unusable
     ]
     assert news.unusable == (AFFECTED_ENGINE,)
     raw = relay_hints.encode_hint(READER, news)
-    assert relay_hints.decode(raw) == (READER, news)
+    assert relay_hints.decode_datagram(raw) == (READER, news)
     follower.handle(relay_events.PeerTold(READER, news))
     assert AFFECTED_ENGINE not in engines_used(follower)
     assert follower.relay.engines.digest() == reader.relay.engines.digest()
@@ -196,7 +198,7 @@
         for a in later_actions
         if isinstance(a, relay_actions.ForwardHints)
         for hint in a.hints
-        if isinstance(hint, hints.EnginesTold)
+        if isinstance(hint, hints.EngineListChanged)
     ]
 
 
@@ -256,7 +258,7 @@
     return unusable_entries.UnusableEntry(name, why)
 
 
-POSITION = positions.Position(positions.NO_ERA, 7)
+POSITION = positions.StorePosition(positions.NO_ERA, 7)
 
 
 class StoreOfOthers:
@@ -396,7 +398,7 @@
     listed = (hints.Member('other', '6-other', '127.0.0.2', 'south'),)
     done = reader.handle(relay_events.MembersListed(listed))
     [told] = [a for a in done if isinstance(a, relay_actions.ForwardHints)]
-    assert told.hints == (hints.NotListed(('5-own',)),)
+    assert told.hints == (hints.InstancesNotListed(('5-own',)),)
     unlisted_instance.relay.sharing.note_members_read(unlisted_instance.now)
     assert (
         unlisted_instance.relay.sharing.members_due_at(unlisted_instance.now)
--- a/tests/relay/test_forwarded_hints.py
+++ b/tests/relay/test_forwarded_hints.py
@@ -115,7 +115,7 @@
     """
     network = Network()
     link = network.links['10.0.0.0']
-    link.broadcast_hints((hints.EnginesTold((), ('gone',)), HINT))
+    link.broadcast_hints((hints.EngineListChanged((), ('gone',)), HINT))
     cross_data_centre = [
         host for sender, host in network.sent if sender == '10.0.0.0'
     ]
--- a/tests/relay/test_leaving_engines.py
+++ b/tests/relay/test_leaving_engines.py
@@ -104,7 +104,7 @@
     assert follower.relay.sharing.is_configuration_read_due(follower.now)
 
 
-POSITION = positions.Position(positions.NO_ERA, 7)
+POSITION = positions.StorePosition(positions.NO_ERA, 7)
 
 
 class ForgetfulStore:
--- a/tests/relay/test_promises.py
+++ b/tests/relay/test_promises.py
@@ -207,8 +207,8 @@
     )
     def another_instance_tells(self, number, engine):
         for hint in (
-            hints.Placed(number, engine, 8_780, 8_000, '', 'part'),
-            hints.Failed(engine),
+            hints.RunPlaced(number, engine, 8_780, 8_000, '', 'part'),
+            hints.EngineFailed(engine),
         ):
             self.world.handle(relay_events.PeerTold('other', hint))
         self.take_actions()
--- a/tests/relay/test_resuming.py
+++ b/tests/relay/test_resuming.py
@@ -117,9 +117,9 @@
     prompt again, which takes a second without text for the caller.
     """
     world = relay_world.RelayWorld()
-    hint = hints.Placed(7, 'model-west-1', 8_780, 8_000, '', 'my-part')
+    hint = hints.RunPlaced(7, 'model-west-1', 8_780, 8_000, '', 'my-part')
     world.handle(relay_events.PeerTold('other', hint))
-    world.handle(relay_events.PeerTold('other', hints.Ended(7)))
+    world.handle(relay_events.PeerTold('other', hints.RunEnded(7)))
     world.advance(2.0)
     prompt = requests.Prompt(8_000, 780, 'my-part')
     exchange = world.ask(prompt=prompt, resumes_after=40)
@@ -165,10 +165,10 @@
     first = world.last_send(world.ask())
     world.refuse(first, status=421)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
-    assert hints.Replaced(first.engine.engine) in told
+    assert hints.EngineReplaced(first.engine.engine) in told
     other = relay_world.RelayWorld()
     other.handle(
-        relay_events.PeerTold('one', hints.Replaced(first.engine.engine))
+        relay_events.PeerTold('one', hints.EngineReplaced(first.engine.engine))
     )
     for _ in range(20):
         assert other.last_send(other.ask()).engine != first.engine
--- a/tests/relay/test_retry_budget.py
+++ b/tests/relay/test_retry_budget.py
@@ -146,7 +146,7 @@
 def test_run_announced_twice_counts_once():
     """An instance announces a run again when its copy is moved."""
     world = relay_world.RelayWorld()
-    placed = hints.Placed(7, 'model-north-0', 6_000, 0, '', attempt=2)
+    placed = hints.RunPlaced(7, 'model-north-0', 6_000, 0, '', attempt=2)
     for copy_to in ('', 'model-south-0'):
         hint = dataclasses.replace(placed, copy_to=copy_to)
         world.handle(relay_events.PeerTold('one', hint))
@@ -160,7 +160,7 @@
     return [
         action.hint.attempt
         for action in world.of_kind(relay_actions.TellPeers)
-        if isinstance(action.hint, hints.Placed)
+        if isinstance(action.hint, hints.RunPlaced)
     ]
 
 
--- a/tests/relay/test_store_call_counts.py
+++ b/tests/relay/test_store_call_counts.py
@@ -4,8 +4,8 @@
 from tests.common import instance_world
 from tests.common import store_fleet
 
-Call = store_calls.Call
-Cause = store_calls.Cause
+Call = store_calls.CallKind
+Cause = store_calls.CallCause
 
 
 def counts_of(instances):
@@ -49,8 +49,8 @@
 def test_counts_are_shown_to_scrapers_and_in_one_line():
     world = instance_world.InstanceWorld()
     calls = world.instance.watch.calls
-    calls.count(Call.UNREGISTER, Cause.STOP)
+    calls.count_call(Call.UNREGISTER, Cause.STOP)
     shown = world.instance.metrics_page().body
     told = b'greengagelb_store_calls{call="unregister",cause="stop"} 1'
     assert told in shown
-    assert 'unregister stop 1' in calls.summary()
+    assert 'unregister stop 1' in calls.format_summary()
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -267,7 +267,7 @@
     read = []
     ListStore(4, 5, 5, 5).read_all('t').addCallback(read.append)
     assert [row.key for row in read[0].rows] == ['k3', 'k4']
-    assert read[0].position == positions.Position(5, 3)
+    assert read[0].position == positions.StorePosition(5, 3)
 
 
 def test_a_list_that_changes_its_era_again_and_again_is_given_up():
@@ -293,7 +293,7 @@
     headers = [] if stated is None else [(b'Store-Era', stated)]
     response = h11.Response(status_code=200, headers=headers)
     answer = timed_requests.Answer(response, b'{"rows": [], "ver": 5}')
-    assert store.read_rows(answer).position == positions.Position(era, 5)
+    assert store.read_rows(answer).position == positions.StorePosition(era, 5)
 
 
 @pytest.mark.parametrize('late', [3, positions.NO_ERA])
@@ -332,12 +332,12 @@
     world.list_engines(relay_world.fleet())
     for hint in (
         hints.StoreRestored(2),
-        hints.EnginesTold((), ('model-north-0',)),
+        hints.EngineListChanged((), ('model-north-0',)),
     ):
         world.handle(relay_events.PeerTold('1-reader', hint))
     state = world.relay.engines.states['model-north-0']
-    assert state.usable(world.now + 1.9)
-    assert not state.usable(world.now + 5.0)
+    assert state.is_usable(world.now + 1.9)
+    assert not state.is_usable(world.now + 5.0)
 
 
 def test_the_reader_tells_the_era_before_what_is_missing():
@@ -350,7 +350,7 @@
     done = world.change_engines(removed=('model-north-0',))
     [told] = [a.hints for a in done if hasattr(a, 'hints')]
     assert told[0] == hints.StoreRestored(2)
-    assert told[1] == hints.EnginesTold((), ('model-north-0',))
+    assert told[1] == hints.EngineListChanged((), ('model-north-0',))
     done = world.change_engines()
     [told] = [a.hints for a in done if hasattr(a, 'hints')]
     assert not any(isinstance(hint, hints.StoreRestored) for hint in told)
--- a/tests/relay/test_store_sharing.py
+++ b/tests/relay/test_store_sharing.py
@@ -293,7 +293,8 @@
     reader.handle(relay_events.EnginesChanged((leaving,), ()))
     assert len(read_notifications(reader)) == before
     assert any(
-        isinstance(hint, hints.EnginesTold) and hint.entries == (leaving,)
+        isinstance(hint, hints.EngineListChanged)
+        and hint.entries == (leaving,)
         for hint in announced_hints(reader)
     )
 
--- a/tests/relay/test_successors.py
+++ b/tests/relay/test_successors.py
@@ -40,7 +40,7 @@
     assert 'model-new' in used
     assert dead.engine not in used
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
-    assert hints.Replaced(dead.engine, 'model-new') in told
+    assert hints.EngineReplaced(dead.engine, 'model-new') in told
 
 
 def test_engine_at_an_address_that_may_be_reassigned_is_not_used():
@@ -73,7 +73,9 @@
     world = relay_world.RelayWorld()
     old = relay_world.fleet()[0]
     world.handle(
-        relay_events.PeerTold('one', hints.Replaced(old.engine, 'model-new'))
+        relay_events.PeerTold(
+            'one', hints.EngineReplaced(old.engine, 'model-new')
+        )
     )
     assert world.relay.engines.states['model-new'].entry.address == (
         old.address
--- a/tests/seam/test_layers.py
+++ b/tests/seam/test_layers.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(('number', 'path'), MODULES)
-def test_layer_imports_only_what_lies_below(number, path):
+def test_layer_imports_only_lower_layers(number, path):
     above = set(LAYERS[number + 1 :]) | ABOVE_ALL_LAYERS
     for name in imported_modules(path):
         package, _, rest = name.partition('.')
--- a/tests/streams/test_stalls.py
+++ b/tests/streams/test_stalls.py
@@ -115,5 +115,5 @@
 def test_observed_pace_stays_within_what_was_observed(gaps):
     observed = pace.Pace()
     for gap in gaps:
-        observed.observe(gap)
+        observed.observe_gap(gap)
     assert min(gaps) * 0.999 <= observed.gap <= max(gaps) * 1.001
--- a/tests/timeline/test_order.py
+++ b/tests/timeline/test_order.py
@@ -34,7 +34,7 @@
         assert arrived > before
 
 
-def test_resumed_stream_sorts_behind_the_lost_instance(monkeypatch):
+def test_resumed_stream_sorts_after_the_lost_instance(monkeypatch):
     """The clock of the instance that dies runs ahead of the next one's.
 
     The caller brings its cursor to the next instance. Without the stamp in
@@ -45,7 +45,7 @@
     ahead = timeline.Stamp(wall + 5_000, 3)
     site = caller_sites.CallerSite()
     point = caller_sites.sample_point('teratak')
-    cursor = site.seal.seal(point, ahead).encode()
+    cursor = site.seal.seal_point(point, ahead).encode()
     site.connect().send(
         caller_sites.request(
             '/v1/chat/completions', None, b'Last-Event-ID: ' + cursor
--- a/tests/timeline/test_reading.py
+++ b/tests/timeline/test_reading.py
@@ -38,7 +38,7 @@
     assert {row[column:].split()[0] for row in rows} == {'reason'}
 
 
-def test_reader_is_told_what_is_missing():
+def test_output_notes_missing_events():
     """One process has dropped old events and another can't be reached."""
     full = timeline_api.TimelinePart('a', 7, [event(1, 'a')])
     address = operator_client.Address('127.0.0.1', 9)
@@ -51,14 +51,14 @@
     )
 
 
-def test_request_id_can_not_rewrite_the_terminal():
+def test_control_characters_in_request_id_are_not_printed():
     """A caller puts an escape sequence into its request id."""
     bad = event(1, 'a', account='x', request='\x1b[2Jgone')
     part = timeline_api.TimelinePart('a', 0, [bad])
     assert '\x1b' not in command.render([part], timeline.Selection())
 
 
-def test_long_request_id_does_not_push_other_columns_out_of_sight():
+def test_long_request_id_is_truncated_in_the_table():
     long = event(1, 'a', account='x', request='r' * 2000)
     part = timeline_api.TimelinePart('a', 0, [long])
     shown = lines_of([part])[1]
@@ -69,9 +69,11 @@
 def test_selection_takes_the_last_events_that_match():
     kept = timeline.Timeline(4)
     for number in range(6):
-        kept.append(event(number, 'a', account='x' if number % 2 else 'y'))
+        kept.append_event(
+            event(number, 'a', account='x' if number % 2 else 'y')
+        )
     assert kept.dropped == 2
-    found = kept.select(timeline.Selection(account='x', most_events=1))
+    found = kept.select_events(timeline.Selection(account='x', most_events=1))
     assert [e.stamp.milliseconds for e in found] == [5]
 
 
@@ -86,16 +88,16 @@
 )
 def test_wrong_parameter_is_refused(parameters):
     with pytest.raises(errors.BadValue):
-        timeline_api.selection_of(parameters)
+        timeline_api.parse_selection(parameters)
 
 
 def test_parameters_are_read_as_they_were_written():
     wanted = timeline.Selection('a', 'r', 'k', 5)
     raw = {
         name.encode(): [value.encode()]
-        for name, value in timeline_api.parameters_of(wanted).items()
+        for name, value in timeline_api.to_parameters(wanted).items()
     }
-    assert timeline_api.selection_of(raw) == wanted
+    assert timeline_api.parse_selection(raw) == wanted
 
 
 def test_log_line_is_flat_json(capsys):
--- a/tests/transport/test_compressed_rows.py
+++ b/tests/transport/test_compressed_rows.py
@@ -23,7 +23,7 @@
         base64.b64encode(b'not compressed').decode(),
         base64.b64encode(zlib.compress(b'{"version": "x"}')).decode(),
         base64.b64encode(
-            zlib.compress(bytes(codec.MOST_DOCUMENT_BYTES + 1))
+            zlib.compress(bytes(codec.MAX_DOCUMENT_BYTES + 1))
         ).decode(),
     ],
 )
--- a/tests/transport/test_engine_control.py
+++ b/tests/transport/test_engine_control.py
@@ -86,7 +86,7 @@
             60.0,
         )
     )
-    ended = engine_api.Ended(1, 'i.1', 0, 'length')
-    network.accept().answer(sse.write_event(codec.encode(ended), 'ended'))
+    ended = engine_api.AttemptEnded(1, 'i.1', 0, 'length')
+    network.accept().answer(sse.encode_event(codec.encode(ended), 'ended'))
     assert found[-1] == events.AttemptEnded(ATTEMPT, 0, 'length')
     assert client.open_streams == {}
--- a/tests/transport/test_relay.py
+++ b/tests/transport/test_relay.py
@@ -25,11 +25,11 @@
 
     def receive(self, position, *tokens):
         batch = engine_api.TokenBatch(1, 'i.1', position, list(tokens))
-        self.stream.receive(sse.write_event(codec.encode(batch), 'tokens'))
+        self.stream.receive(sse.encode_event(codec.encode(batch), 'tokens'))
 
     def receive_end(self, position):
-        ended = engine_api.Ended(1, 'i.1', position, 'stop')
-        self.stream.receive(sse.write_event(codec.encode(ended), 'ended'))
+        ended = engine_api.AttemptEnded(1, 'i.1', position, 'stop')
+        self.stream.receive(sse.encode_event(codec.encode(ended), 'ended'))
 
     def tokens(self):
         return [
