--- a/src/greengagelb/protocol/__init__.py
+++ b/src/greengagelb/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Validated messages and codecs at the border of the process."""
+"""Message formats between processes, with validation and codecs."""
--- a/src/greengagelb/protocol/caller_api.py
+++ b/src/greengagelb/protocol/caller_api.py
@@ -3,16 +3,16 @@
 ``POST /v1/chat/completions`` follows the streaming conventions that clients
 of chat models already use: ``data:`` events with ``choices[0].delta.content``
 and a last ``data: [DONE]``. The model's name is the service's name. Each event
-also has an ``id``, a sealed cursor. A caller whose stream broke sends the same
-request again, through any instance, with ``Last-Event-ID`` set to the last id
-and ``received`` set to the tokens that it holds.
+also has an ``id``, a signed cursor. A caller whose stream was interrupted
+sends the same request again, through any instance, with ``Last-Event-ID`` set
+to the last id and ``received`` set to the tokens that it has.
 
 ``POST /v1/services/{service}/{operation}`` passes a body to a plain service.
 
 Headers: ``Authorization: Bearer KEY``, ``Idempotency-Key``,
-``X-Deadline-Seconds``. With ``X-First-Send: 1`` the caller says that it has
-never sent this key before; only then can a refusal of a request that may not
-be repeated say "not run" while the platform's service is away.
+``X-Deadline-Seconds``. With ``X-First-Send: 1`` the caller states that it has
+never sent this key before; only then can the refusal of a non-idempotent
+request guarantee "not run" while the platform's service is unavailable.
 """
 
 from typing import Annotated
@@ -23,7 +23,7 @@
 
 
 class Message(msgspec.Struct, frozen=True):
-    """One turn of the conversation that makes up the prompt."""
+    """One message of the conversation that forms the prompt."""
 
     role: str
     content: str
@@ -40,13 +40,13 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """The text that an event adds."""
+    """The text that an event appends."""
 
     content: str
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of an event; ``finish_reason`` is set on the last."""
+    """The only choice of an event; the last one has a ``finish_reason``."""
 
     index: int
     delta: Delta
@@ -56,9 +56,9 @@
 class ChatChunk(msgspec.Struct, frozen=True):
     """One event of the stream.
 
-    ``position`` is that of the first of ``tokens``; ``generation`` grows only
-    after an explicit ``restart`` event, when the caller has to discard what
-    it holds.
+    ``position`` is that of the first of ``tokens``; ``generation`` increases
+    only after an explicit ``restart`` event, on which the caller has to
+    discard the tokens that it has.
     """
 
     id: str
@@ -71,14 +71,14 @@
 
 
 class GenerationRestarted(msgspec.Struct, frozen=True):
-    """The answer starts afresh; all tokens before this event are void."""
+    """The answer restarts; all tokens before this event are invalid."""
 
     generation: int
     reason: str
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A problem document (RFC 9457) with what is known of the request."""
+    """A problem document (RFC 9457), extended by the request's outcome."""
 
     title: str
     status: int
--- a/src/greengagelb/protocol/codec.py
+++ b/src/greengagelb/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes messages; turns codec errors into protocol errors."""
+"""Encoding and decoding of messages; raises protocol errors."""
 
 import base64
 import binascii
@@ -30,8 +30,8 @@
 def decode(raw: bytes | str, message_type: type[T]) -> T:
     """Return the message in ``raw``, validated.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` saying where it is wrong,
-    also for one that is nested deeper than can be read.
+    Raises :class:`~greengagelb.errors.ProtocolError` that names the invalid
+    part, also for a message that is nested too deeply to decode.
     """
     try:
         return msgspec.json.decode(raw, type=message_type)
@@ -40,10 +40,10 @@
 
 
 class SealedCursor(msgspec.Struct, frozen=True, array_like=True):
-    """What a cursor holds: where to go on, and the time line's stamp.
+    """The content of a cursor: a resume point and a time line stamp.
 
-    The stamp is the last one of the instance that sealed the cursor. The
-    caller carries it to the next instance, whose events then sort behind.
+    The stamp is the latest one of the instance that signed the cursor. The
+    caller passes it to the next instance, whose events then sort after it.
     """
 
     point: requests.ResumePoint
@@ -53,8 +53,8 @@
 def compress(message: Any) -> bytes:
     """Return a message or data class as compressed JSON.
 
-    A configuration of the design size has some 300 KB of JSON, and changes
-    over a thousand times a day at each instance.
+    A configuration of the design size is some 300 KB of JSON, and each
+    instance receives over a thousand changes of it a day.
     """
     return zlib.compress(encode(message))
 
@@ -63,8 +63,8 @@
     """Return the message in compressed JSON, validated.
 
     Raises :class:`~greengagelb.errors.ProtocolError`, also for a document
-    that is larger than any configuration: a few bytes can unpack to more than
-    the memory holds.
+    that is larger than any configuration, as a few bytes can decompress to
+    more than fits into memory.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -77,12 +77,12 @@
 
 
 def compress_to_text(message: Any) -> str:
-    """Return a message as text for a row of the platform's table."""
+    """Return a message as text for a row of a platform table."""
     return base64.b64encode(compress(message)).decode()
 
 
 def decompress_from_text(text: str, message_type: type[T]) -> T:
-    """Return the message in a row's text, validated."""
+    """Return the validated message in the text of a row."""
     try:
         raw = base64.b64decode(text, validate=True)
     except ValueError as exc:
@@ -91,12 +91,12 @@
 
 
 class CursorSeal:
-    """Seals resume points into event ids and opens them again.
+    """Encodes resume points as signed event ids and verifies them.
 
-    The id travels through the caller, who could otherwise name another
-    account's request in it or claim tokens that were never generated. All
-    instances share ``secret``, so any of them can open any cursor and none
-    has to remember a stream that another one lost.
+    Callers return these ids and could otherwise refer to another account's
+    request or claim tokens that were never generated. All instances share
+    ``secret``, so any of them can verify any cursor, and no instance has to
+    keep state about the streams of another one.
     """
 
     def __init__(self, secret: bytes) -> None:
@@ -107,18 +107,18 @@
         point: requests.ResumePoint,
         stamp: timeline.Stamp = NO_STAMP,
     ) -> str:
-        """Return the cursor of a resume point; URL-safe text."""
+        """Return the signed cursor of a resume point as URL-safe text."""
         payload = msgspec.msgpack.encode(SealedCursor(point, stamp))
         return base64.urlsafe_b64encode(
             self.compute_tag(payload) + payload
         ).decode()
 
     def open_point(self, cursor: str) -> requests.ResumePoint:
-        """Return the resume point of a cursor that this fleet sealed."""
+        """Return the resume point of a cursor that this fleet signed."""
         return self.open_cursor(cursor).point
 
     def open_cursor(self, cursor: str) -> SealedCursor:
-        """Return all that is in a cursor that this fleet sealed.
+        """Return the whole content of a cursor that this fleet signed.
 
         Raises :class:`~greengagelb.errors.BadCursor`.
         """
@@ -132,7 +132,7 @@
         try:
             return msgspec.msgpack.decode(payload, type=SealedCursor)
         except msgspec.DecodeError as exc:
-            raise errors.BadCursor('cursor of another release') from exc
+            raise errors.BadCursor('cursor format of another release') from exc
 
     def compute_tag(self, payload: bytes) -> bytes:
         """Return the keyed digest of a payload; 16 bytes."""
--- a/src/greengagelb/protocol/engine_api.py
+++ b/src/greengagelb/protocol/engine_api.py
@@ -3,7 +3,7 @@
 ======================== ==================================================
 ``POST /v1/generate``     :class:`GenerateOrder`; answers with an event
                           stream of :class:`TokenBatch` (event ``tokens``)
-                          and one :class:`Ended` (event ``ended``)
+                          and one :class:`AttemptEnded` (event ``ended``)
 ``POST /v1/attach``       :class:`AttachOrder`; the same stream of a running
                           or just ended attempt, from a position on
 ``POST /v1/cancel``       :class:`CancelOrder` -> :class:`CancelAnswer`
@@ -15,21 +15,22 @@
 An engine refuses with a status of 400 or more and a :class:`Refusal`; a
 refusal before the event stream starts means that nothing ran.
 
-An engine in need names in each answer to ``generate`` and ``attach``, refusals
-included, how many of them it takes a second from all instances together:
-``X-Request-Limit``, a decimal number, and ``X-Incarnation``. The limit holds
-until an answer does not name it, or another incarnation answers.
+An overloaded engine advertises in each answer to ``generate`` and ``attach``,
+including refusals, how many of these requests per second it accepts from all
+instances together: ``X-Request-Limit``, a decimal number, and
+``X-Incarnation``. The limit applies until an answer does not contain it, or
+another incarnation answers.
 """
 
 import msgspec
 
 
 class GenerateOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Start a generation, or continue one after the tokens it already has.
+    """Start a generation, or continue one after its existing tokens.
 
     Positions count from 0; the first new token has position
-    ``len(received)``. ``deadline_seconds`` is what is left of the caller's
-    deadline: clocks of two machines don't agree, so no absolute time crosses.
+    ``len(received)``. ``deadline_seconds`` is the time left until the
+    caller's deadline; it is relative as clocks of two machines may differ.
     """
 
     account: str
@@ -57,7 +58,7 @@
 
 
 class CancelOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Stop an attempt; repeating it is harmless."""
+    """Stop an attempt; the operation is idempotent."""
 
     account: str
     request: str
@@ -66,7 +67,7 @@
 
 
 class CancelAnswer(msgspec.Struct, frozen=True):
-    """``was_running`` is false where the attempt was unknown or over."""
+    """``was_running`` is false if the attempt was unknown or had ended."""
 
     was_running: bool
 
@@ -81,7 +82,7 @@
 
 
 class AttemptEnded(msgspec.Struct, frozen=True):
-    """The attempt is over: ``position`` tokens in all, prior ones included.
+    """The attempt has ended with ``position`` tokens, prior ones included.
 
     ``reason`` is ``stop``, ``length`` or ``cancelled``.
     """
@@ -93,10 +94,10 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """What an engine says of itself; the load may lag behind.
+    """An engine's report about itself; the load may be out of date.
 
-    ``step_seconds`` is its time per token now, ``steps`` and
-    ``prompt_tokens`` count its work since it started.
+    ``step_seconds`` is its current time per token; ``steps`` and
+    ``prompt_tokens`` count its work since its start.
     """
 
     name: str
@@ -115,7 +116,7 @@
 
 
 class TargetOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The model, version, adapter and role that the engine shall have."""
+    """The model, version, adapter and role that the engine is to have."""
 
     fencing_number: int
     model: str
@@ -125,7 +126,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why an engine or a plain service did not do what it was asked."""
+    """Why an engine or a plain service refused a request."""
 
     code: str
     detail: str
--- a/src/greengagelb/protocol/limit_header.py
+++ b/src/greengagelb/protocol/limit_header.py
@@ -1,25 +1,25 @@
-"""How an engine's answer names the requests a second that it takes."""
+"""Header of an answer that advertises an engine's request limit."""
 
 from collections.abc import Sequence
 import re
 
 from greengagelb.state import limits
 
-# By the product's own interface: the requests a second that an upstream takes
-# from all instances together, and the incarnation that says so.
+# Headers of this product's own engine interface: the requests per second that
+# an upstream accepts from all instances together, and its incarnation.
 LIMIT_HEADER = 'X-Request-Limit'
 INCARNATION_HEADER = 'X-Incarnation'
 
-# Digits are bounded so that no value is infinite.
+# The number of digits is limited so that no value is infinite.
 DECIMAL = re.compile(rb'\d{1,9}(\.\d{0,9})?')
-# The most of an unusable value that is kept for the log.
+# An invalid value is truncated to this length for the log.
 MAX_TEXT_CHARACTERS = 40
 
 
 def parse_limit(values: Sequence[bytes]) -> limits.AdvertisedLimit:
-    """Return what the values of the header say; None without any.
+    """Return the limit in the values of the header; None without any value.
 
-    Two values would leave open which one holds.
+    Several values are invalid, as it is ambiguous which one applies.
     """
     if not values:
         return None
--- a/src/greengagelb/protocol/limit_messages.py
+++ b/src/greengagelb/protocol/limit_messages.py
@@ -1,7 +1,7 @@
-"""What instances tell each other of limits, for both ways in which they do.
+"""Messages between instances about limits, for both peer transports.
 
-Arrays, as other messages between instances are. Texts are bounded, as whoever
-reaches the port may send anything.
+They are encoded as arrays like other messages between instances. The length
+of texts is limited, as anyone who reaches the port may send arbitrary data.
 """
 
 from typing import Annotated
@@ -22,7 +22,7 @@
 class LimitUpdate(
     msgspec.Struct, frozen=True, array_like=True, tag='ln', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.LimitNews`."""
+    """See :class:`greengagelb.state.limits.LimitUpdate`."""
 
     life: Life
     rate: Rate | None
@@ -32,13 +32,13 @@
 class LimitUpdatesRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lq', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.NewsWanted`."""
+    """See :class:`greengagelb.state.limits.LimitUpdatesRequest`."""
 
 
 class LeaseRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lw', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.LeaseWanted`."""
+    """See :class:`greengagelb.state.limits.LeaseRequest`."""
 
     life: Life
     stamp: float
@@ -47,7 +47,7 @@
 class LeaseGrant(
     msgspec.Struct, frozen=True, array_like=True, tag='ll', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Leased`."""
+    """See :class:`greengagelb.state.limits.LeaseGrant`."""
 
     life: Life
     share: Share
@@ -66,7 +66,7 @@
 class PermitRequestMessage(
     msgspec.Struct, frozen=True, array_like=True, tag='lp', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.PermitWanted`."""
+    """See :class:`greengagelb.state.limits.PermitRequestMessage`."""
 
     life: Life
     number: Number
@@ -101,7 +101,7 @@
 class UnpermittedSends(
     msgspec.Struct, frozen=True, array_like=True, tag='ls', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Spent`."""
+    """See :class:`greengagelb.state.limits.UnpermittedSends`."""
 
     life: Life
     count: Number
@@ -110,13 +110,13 @@
 class LivenessQuery(
     msgspec.Struct, frozen=True, array_like=True, tag='lh', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.PresenceWanted`."""
+    """See :class:`greengagelb.state.limits.LivenessQuery`."""
 
 
 class LivenessReply(
     msgspec.Struct, frozen=True, array_like=True, tag='li', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Present`."""
+    """See :class:`greengagelb.state.limits.LivenessReply`."""
 
 
 class IssuerSilent(
@@ -159,9 +159,9 @@
 
 
 def to_wire(message: limits.Message) -> WireMessage:
-    """Return a message as it is sent.
+    """Return the wire message for a message.
 
-    Both kinds have the same fields in the same order.
+    Both classes have the same fields in the same order.
     """
     wire = WIRE_TYPES[type(message)]
     fields = [getattr(message, name) for name in wire.__struct_fields__]
@@ -169,6 +169,6 @@
 
 
 def from_wire(wire: WireMessage) -> limits.Message:
-    """Return the message that was sent."""
+    """Return the message in a wire message."""
     fields = [getattr(wire, name) for name in wire.__struct_fields__]
     return MESSAGE_TYPES[type(wire)](*fields)
--- a/src/greengagelb/protocol/metrics_page.py
+++ b/src/greengagelb/protocol/metrics_page.py
@@ -1,7 +1,7 @@
-"""Reads what is in force from an instance's page of metrics.
+"""Parses what is in force on an instance from its metrics page.
 
-Whoever answers at an address may send anything: what is missing or of another
-kind is an error, and the rest of the page is not looked at.
+The process that answers at an address may not be an instance: missing metrics
+and values of the wrong type are errors, and other metrics are ignored.
 """
 
 import re
@@ -16,11 +16,11 @@
 
 
 def parse_page(raw: bytes) -> in_force.InstanceReport:
-    """Return what a page says; raise :class:`errors.ProtocolError` if not."""
+    """Return the report in a page; raises :class:`errors.ProtocolError`."""
     try:
         text = raw.decode('utf-8')
     except UnicodeDecodeError as exc:
-        raise errors.ProtocolError('not UTF-8') from exc
+        raise errors.ProtocolError('metrics page is not UTF-8') from exc
     metrics: dict[str, float] = {}
     labels: dict[str, str] = {}
     for line in text.splitlines():
@@ -55,19 +55,19 @@
     except ValueError:
         value = -1.0
     if not 0.0 <= value < 1e18:
-        raise errors.BadValue(f'{PREFIX}{name} is no number from 0 on')
+        raise errors.BadValue(f'{PREFIX}{name} is not a valid number')
     return value
 
 
 def require_metric(metrics: dict[str, float], name: str) -> float:
-    """Return a metric that has to be there."""
+    """Return a required metric."""
     if name not in metrics:
         raise errors.BadValue(f'{PREFIX}{name} is missing')
     return metrics[name]
 
 
 def require_label(labels: dict[str, str], name: str) -> str:
-    """Return a label of the instance that has to be there."""
+    """Return a required label of the instance."""
     if name not in labels:
         raise errors.BadValue(f'{PREFIX}instance has no {name}')
     return labels[name][:MAX_LABEL_CHARACTERS]
--- a/src/greengagelb/protocol/operator_api.py
+++ b/src/greengagelb/protocol/operator_api.py
@@ -1,9 +1,9 @@
-"""Messages between operators and an instance, over HTTP on a port of its own.
+"""Messages between operators and an instance, over HTTP on a separate port.
 
 ``POST /v1/plans`` with an intent -> the plan; ``POST /v1/plans/{id}/confirm``
--> the plan as confirmed, or 409 :class:`Conflict`, or 503
-``confirm-unsettled``; ``GET /v1/plans/{id}`` -> the plan with its stage now;
-``GET /v1/status``; ``GET /v1/timeline`` as in
+-> the confirmed plan, or 409 :class:`Conflict`, or 503
+``confirm-unsettled``; ``GET /v1/plans/{id}`` -> the plan with its current
+stage; ``GET /v1/status``; ``GET /v1/timeline`` as in
 :mod:`~greengagelb.protocol.timeline_api`. Header
 ``Authorization: Bearer KEY``.
 
@@ -34,13 +34,13 @@
 
 
 class IntentType(msgspec.Struct, frozen=True):
-    """The attribute of an intent that tells its kind."""
+    """The attribute of an intent that contains its type."""
 
     type: str
 
 
 class InstanceStatus(msgspec.Struct, frozen=True):
-    """What is known here of another instance, or of this one."""
+    """What this instance knows about another instance or itself."""
 
     name: str
     data_centre: str
@@ -50,11 +50,11 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """What one instance says of itself and of the others.
+    """An instance's status report about itself and the others.
 
     ``in_force_on`` of ``instances_known`` in this data centre have the
-    highest version heard of; ``missing`` names those that have not.
-    ``data_centres`` says the same of each one, as last heard.
+    highest known version; ``missing`` names those that lack it.
+    ``data_centres`` has the latest such summary of each data centre.
     """
 
     process: str
@@ -74,7 +74,7 @@
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """Why a plan can't be confirmed any more, and what has changed since."""
+    """Why a plan can no longer be confirmed, and what has changed since."""
 
     title: str
     status: int
@@ -86,7 +86,7 @@
 
 
 def encode_intent(intent: plans.Intent) -> bytes:
-    """Return the message of an intent."""
+    """Return the encoded message of an intent."""
     (kind,) = [
         k
         for k, intent_class in INTENTS.items()
@@ -102,8 +102,8 @@
 def decode_intent(raw: bytes) -> plans.Intent:
     """Return the intent in a message.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` for attributes that the
-    intent does not have: a misspelt one would silently keep its default.
+    Raises :class:`~greengagelb.errors.ProtocolError` for unknown attributes,
+    as a misspelt optional attribute would silently get its default.
     """
     kind = codec.decode(raw, IntentType).type
     if kind not in INTENTS:
--- a/src/greengagelb/protocol/peer_api.py
+++ b/src/greengagelb/protocol/peer_api.py
@@ -1,18 +1,18 @@
 """Messages between instances, one zmq frame each: a tag, then msgpack.
 
 The tag is a keyed digest under the secret that all instances share. Without
-it whoever reaches the peer port could put a configuration in force.
+it, anyone who reaches the peer port could put a configuration in force.
 
 ============================ ==============================================
-:class:`HeartbeatMessage`    who is there, applied version, notices
+:class:`HeartbeatMessage`    identity, applied version, loads, notices
 :class:`ConfigurationQuery`  asks for the configuration applied there
 :class:`ConfigurationCopy`   the configuration, as compressed JSON
 :class:`Introduction`        addresses of other instances
 :class:`LimitMessage`        limits of engines, and permits
 ============================ ==============================================
 
-Messages are arrays, not maps, and so have no attribute names in them: a
-heartbeat goes to each instance of the data centre every few seconds.
+Messages are arrays without attribute names rather than maps, to keep them
+small: a heartbeat goes to each instance of the data centre every few seconds.
 """
 
 import hashlib
@@ -41,7 +41,7 @@
 
 
 class DataCentreSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What one data centre says of its instances."""
+    """See :class:`greengagelb.state.fleet.DataCentreSummary`."""
 
     data_centre: str
     version: int
@@ -60,7 +60,7 @@
 
 
 class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
-    """See :class:`greengagelb.state.crashes.ToldCrash`."""
+    """See :class:`greengagelb.state.crashes.ReportedCrash`."""
 
     life: str
     seconds: float
@@ -97,14 +97,14 @@
 class ConfigurationQuery(
     msgspec.Struct, frozen=True, array_like=True, tag='q'
 ):
-    """Asks for the configuration; the answer goes to this address."""
+    """Asks for the configuration; the answer is sent to this address."""
 
     host: str
     port: int
 
 
 class ConfigurationCopy(msgspec.Struct, frozen=True, array_like=True, tag='c'):
-    """A configuration as compressed JSON, and who sends it."""
+    """A configuration as compressed JSON, and the name of its sender."""
 
     name: str
     document: bytes
@@ -117,7 +117,7 @@
 
 
 class LimitMessage(msgspec.Struct, frozen=True, array_like=True, tag='l'):
-    """What an instance says about limits; see :mod:`.limit_messages`."""
+    """A message about limits; see :mod:`.limit_messages`."""
 
     incarnation: str
     message: limit_messages.WireMessage
@@ -133,7 +133,7 @@
 
 
 class PeerCodec:
-    """Seals messages under the secret of the fleet and opens them."""
+    """Signs messages with the secret of the fleet and verifies them."""
 
     def __init__(self, secret: str) -> None:
         self.key = hmac.digest(secret.encode(), KEY_PURPOSE, hashlib.sha256)
@@ -141,19 +141,24 @@
         self.decoder = msgspec.msgpack.Decoder(Message)
 
     def seal_message(self, message: Message) -> bytes:
-        """Return the frame of a message."""
+        """Return the signed frame of a message."""
         payload = self.encoder.encode(message)
         return self.compute_tag(payload) + payload
 
     def open_frame(self, frame: bytes) -> Message:
-        """Return the message in a frame that an instance has sealed."""
+        """Return the message in a frame that an instance of the fleet signed.
+
+        Raises :class:`~greengagelb.errors.ProtocolError`.
+        """
         tag, payload = frame[:TAG_BYTES], frame[TAG_BYTES:]
         if not hmac.compare_digest(tag, self.compute_tag(payload)):
-            raise errors.ProtocolError('message of no instance of this fleet')
+            raise errors.ProtocolError('message was not signed by this fleet')
         try:
             return self.decoder.decode(payload)
         except msgspec.DecodeError as exc:
-            raise errors.ProtocolError('message of another release') from exc
+            raise errors.ProtocolError(
+                'message format of another release'
+            ) from exc
 
     def compute_tag(self, payload: bytes) -> bytes:
         """Return the keyed digest of a payload."""
@@ -161,7 +166,7 @@
 
 
 def to_message(heartbeat: fleet.Heartbeat) -> HeartbeatMessage:
-    """Return the message that carries a heartbeat."""
+    """Return the message for a heartbeat."""
     sender = heartbeat.sender
     return HeartbeatMessage(
         name=sender.name,
--- a/src/greengagelb/protocol/platform_api.py
+++ b/src/greengagelb/protocol/platform_api.py
@@ -2,10 +2,11 @@
 
 ``GET /tables/{table}/row?key=`` -> :class:`Row` or 404;
 ``PUT /tables/{table}/row?key=`` :class:`Write` -> :class:`Row`, or 409 with
-the row that stands in the way; ``GET /tables/{table}/rows`` -> list of
+the conflicting row; ``GET /tables/{table}/rows`` -> list of
 :class:`Row`; ``GET``/``PUT /objects?key=`` raw bytes; ``GET /instances``
--> list of :class:`Instance`, which lags; ``POST /weights/{model}/{version}``
--> 200, or 429 with ``Retry-After`` when loads come too fast.
+-> list of :class:`Instance`, possibly out of date;
+``POST /weights/{model}/{version}`` -> 200, or 429 with ``Retry-After`` when
+loads are too frequent.
 """
 
 import msgspec
@@ -17,9 +18,9 @@
 
 
 class Write(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A conditional write: it happens only on top of ``expected_version``.
+    """A conditional write: it succeeds only on ``expected_version``.
 
-    Version 0 stands for a row that is not there yet.
+    Version 0 means that the row must not exist yet.
     """
 
     expected_version: int
@@ -27,7 +28,7 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """A row of a table; ``version`` grows by one with each write."""
+    """A row of a table; ``version`` increases by one with each write."""
 
     key: str
     version: int
@@ -51,5 +52,5 @@
 
 
 def to_engine_id(instance: Instance) -> identity.EngineId:
-    """Return the upstream that an entry of the list shows."""
+    """Return the id of the upstream in an entry of the list."""
     return identity.EngineId(instance.name, instance.incarnation)
--- a/src/greengagelb/protocol/problems.py
+++ b/src/greengagelb/protocol/problems.py
@@ -1,4 +1,4 @@
-"""Problem documents: final answers to callers who get no other."""
+"""Problem documents: the final answers to requests that failed."""
 
 from greengagelb.protocol import caller_api
 from greengagelb.state import requests
--- a/src/greengagelb/protocol/relay_hints.py
+++ b/src/greengagelb/protocol/relay_hints.py
@@ -1,8 +1,8 @@
-"""Hints between instances as datagrams.
+"""Encoding of hints between instances as datagrams.
 
-Datagrams and not ``zmq``: a hint that is late is worthless, so nothing is
-queued or sent again, and an instance needs one socket for hundreds of others
-instead of a connection to each.
+Datagrams are used rather than ``zmq`` because late hints are useless, so
+nothing has to be queued or resent, and because an instance needs one socket
+for hundreds of others instead of a connection to each.
 """
 
 from typing import Annotated
@@ -23,7 +23,7 @@
 class Heartbeat(
     msgspec.Struct, frozen=True, array_like=True, tag='h', tag_field='kind'
 ):
-    """The sender is there; ``leaving`` that it stops now."""
+    """The sender is alive; with ``leaving`` it is about to stop."""
 
     name: str
     host: str
@@ -36,7 +36,7 @@
 class RunPlaced(
     msgspec.Struct, frozen=True, array_like=True, tag='p', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Placed`."""
+    """See :class:`greengagelb.state.relay.hints.RunPlaced`."""
 
     number: int
     engine: str
@@ -50,7 +50,7 @@
 class RunEnded(
     msgspec.Struct, frozen=True, array_like=True, tag='e', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Ended`."""
+    """See :class:`greengagelb.state.relay.hints.RunEnded`."""
 
     number: int
 
@@ -58,7 +58,7 @@
 class EngineFailed(
     msgspec.Struct, frozen=True, array_like=True, tag='f', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Failed`."""
+    """See :class:`greengagelb.state.relay.hints.EngineFailed`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -67,7 +67,7 @@
 class EngineErrored(
     msgspec.Struct, frozen=True, array_like=True, tag='x', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Erred`."""
+    """See :class:`greengagelb.state.relay.hints.EngineErrored`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -76,7 +76,7 @@
 class StreamSilent(
     msgspec.Struct, frozen=True, array_like=True, tag='q', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Silent`."""
+    """See :class:`greengagelb.state.relay.hints.StreamSilent`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -85,7 +85,7 @@
 class EngineReplaced(
     msgspec.Struct, frozen=True, array_like=True, tag='r', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Replaced`."""
+    """See :class:`greengagelb.state.relay.hints.EngineReplaced`."""
 
     engine: str
     successor: str = ''
@@ -95,7 +95,7 @@
 class EngineRestarted(
     msgspec.Struct, frozen=True, array_like=True, tag='a', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Restarted`."""
+    """See :class:`greengagelb.state.relay.hints.EngineRestarted`."""
 
     engine: str
     started_at_ms: int
@@ -118,7 +118,7 @@
 class EngineListChanged(
     msgspec.Struct, frozen=True, array_like=True, tag='t', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.EnginesTold`."""
+    """See :class:`greengagelb.state.relay.hints.EngineListChanged`."""
 
     entries: tuple[EngineEntry, ...]
     removed: tuple[str, ...]
@@ -137,7 +137,7 @@
 class StoreProbed(
     msgspec.Struct, frozen=True, array_like=True, tag='u', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.StoreTried`."""
+    """See :class:`greengagelb.state.relay.hints.StoreProbed`."""
 
 
 class StoreRestored(
@@ -151,7 +151,7 @@
 class InstancesNotListed(
     msgspec.Struct, frozen=True, array_like=True, tag='n', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.NotListed`."""
+    """See :class:`greengagelb.state.relay.hints.InstancesNotListed`."""
 
     incarnations: tuple[str, ...]
 
@@ -159,7 +159,7 @@
 class Forwarded(
     msgspec.Struct, frozen=True, array_like=True, tag='d', tag_field='kind'
 ):
-    """A datagram for all instances of the receiver's data centre."""
+    """A datagram to pass on to all instances of the receiver's data centre."""
 
     datagram: bytes
 
@@ -173,7 +173,7 @@
 
 
 class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
-    """See :class:`greengagelb.state.crashes.ToldCrash`."""
+    """See :class:`greengagelb.state.crashes.ReportedCrash`."""
 
     life: Life
     seconds: float
@@ -193,7 +193,7 @@
 class CrashReportsRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='w', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.crashes.Wanted`."""
+    """See :class:`greengagelb.state.crashes.CrashReportsRequest`."""
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
@@ -227,7 +227,7 @@
 
 
 def write_engine(entry: engines.EngineEntry) -> EngineEntry:
-    """Return an engine's entry as it is sent."""
+    """Return the wire message for an engine's entry."""
     return EngineEntry(
         entry.engine,
         entry.service,
@@ -242,7 +242,7 @@
 
 
 def read_engine(wire: EngineEntry) -> engines.EngineEntry:
-    """Return an engine's entry."""
+    """Return the engine's entry in a wire message."""
     return engines.EngineEntry(
         wire.engine,
         wire.service,
@@ -324,7 +324,7 @@
 
 
 def encode_forwarded(incarnation: str, raw: bytes) -> bytes:
-    """Return a datagram to be passed on to a data centre, as one."""
+    """Return a datagram that asks its receiver to pass ``raw`` on."""
     return _encoder.encode(Datagram(incarnation, Forwarded(raw)))
 
 
@@ -332,7 +332,7 @@
 
 
 def decode_datagram(raw: bytes) -> tuple[str, Message]:
-    """Return who sent a datagram, and what.
+    """Return the sender's incarnation and the message of a datagram.
 
     Raises :class:`~greengagelb.errors.ProtocolError`.
     """
--- a/src/greengagelb/protocol/sse.py
+++ b/src/greengagelb/protocol/sse.py
@@ -1,7 +1,7 @@
-"""Server-sent events: writing them, and splitting a byte stream into them.
+"""Encoding and parsing of server-sent events.
 
-None of the libraries in use reads server-sent events on Twisted, so the few
-lines that are needed stand here. Only the fields that engines use are read.
+None of the libraries in use parses server-sent events on Twisted. Only the
+fields that engines use are parsed.
 """
 
 import dataclasses
@@ -13,14 +13,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerSentEvent:
-    """An event's type and data; the type is empty if the event names none."""
+    """An event's type and data; the type is empty if not specified."""
 
     kind: str
     data: bytes
 
 
 def encode_event(data: bytes, kind: str = '', event_id: str = '') -> bytes:
-    """Return an event as bytes; ``data`` must hold no line break."""
+    """Return an event as bytes; ``data`` must not contain line breaks."""
     field_lines = b''
     if kind:
         field_lines += b'event: ' + kind.encode() + b'\n'
@@ -30,7 +30,7 @@
 
 
 class EventReader:
-    """Cuts a byte stream into events; keeps an unfinished one for later."""
+    """Splits a byte stream into events and buffers an incomplete one."""
 
     def __init__(self) -> None:
         self.pending_bytes = b''
@@ -38,17 +38,17 @@
     def feed(self, raw: bytes) -> list[ServerSentEvent]:
         """Return the events that ``raw`` completes.
 
-        Raises :class:`~greengagelb.errors.ProtocolError` where an event grows
-        past a bound: an upstream gone wrong must not fill the memory.
+        Raises :class:`~greengagelb.errors.ProtocolError` if an event exceeds
+        the size limit, so that a faulty upstream can't exhaust the memory.
         """
         *blocks, self.pending_bytes = (self.pending_bytes + raw).split(b'\n\n')
         if len(self.pending_bytes) > MAX_EVENT_BYTES:
-            raise errors.ProtocolError('event without an end')
+            raise errors.ProtocolError('event exceeds the size limit')
         return [parse_event(block) for block in blocks]
 
 
 def parse_event(block: bytes) -> ServerSentEvent:
-    """Return the event in a block of lines."""
+    """Return the event in the lines of a block."""
     kind = ''
     data = []
     for line in block.split(b'\n'):
--- a/src/greengagelb/protocol/timeline_api.py
+++ b/src/greengagelb/protocol/timeline_api.py
@@ -1,7 +1,7 @@
-"""Messages about the time line, as ``GET /v1/timeline`` takes and gives them.
+"""Parameters and answer of ``GET /v1/timeline``.
 
 Parameters: ``account``, ``request`` and ``kind``, each empty for any, and
-``most_events``, the number of last events that are wanted.
+``most_events``, the maximum number of events; the latest ones are returned.
 """
 
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 
 class TimelinePart(msgspec.Struct, frozen=True):
-    """The events that one process still has; ``dropped`` are lost."""
+    """The events that a process still has; ``dropped`` older ones are lost."""
 
     process: str
     dropped: int
@@ -23,7 +23,7 @@
 
 
 def to_parameters(selection: timeline.Selection) -> dict[str, str]:
-    """Return the query parameters that ask for a selection of events."""
+    """Return the query parameters for a selection of events."""
     return {
         'account': selection.account,
         'request': selection.request,
@@ -35,7 +35,7 @@
 def parse_selection(
     parameters: Mapping[bytes, list[bytes]],
 ) -> timeline.Selection:
-    """Return the selection in the parameters of a query."""
+    """Return the selection in query parameters; raises ``BadValue``."""
     values_by_name = to_parameters(timeline.Selection())
     for name, values in parameters.items():
         parameter = name.decode('utf-8', 'replace')
--- a/src/greengagelb/state/__init__.py
+++ b/src/greengagelb/state/__init__.py
@@ -1,1 +1,1 @@
-"""Data classes that decisions read and write; no behaviour beyond checks."""
+"""State that the decision code reads and writes; no I/O and no clocks."""
--- a/src/greengagelb/state/attempts.py
+++ b/src/greengagelb/state/attempts.py
@@ -1,4 +1,4 @@
-"""One try of one engine at a generation, as its instance knows it."""
+"""One attempt of an engine at a generation, as its instance tracks it."""
 
 import dataclasses
 
@@ -10,11 +10,12 @@
 class Attempt:
     """An attempt that counts as in flight at ``upstream``.
 
-    ``incarnation`` is that of the engine, empty where it has not reported.
-    ``suspected`` says that a fresh connection asks for it and no token has
-    come since. Times are monotonic seconds. ``accepted_at`` is when the
-    engine first answered. ``confirming`` says that its stall deadline has
-    passed and only the sockets are still to be read.
+    ``incarnation`` is that of the engine, empty until the engine has
+    reported. ``suspected`` is true while a new connection is checking the
+    attempt and no token has arrived since. Times are monotonic seconds.
+    ``accepted_at`` is when the engine first answered. ``confirming`` is true
+    once the stall deadline has passed and only data that may already wait in
+    the sockets remains to be read.
     """
 
     attempt_id: identity.AttemptId
--- a/src/greengagelb/state/claims.py
+++ b/src/greengagelb/state/claims.py
@@ -1,15 +1,15 @@
-"""Claims: the rows that let a non-idempotent request run at most once."""
+"""Claims: rows that ensure a non-idempotent request runs at most once."""
 
 import dataclasses
 import enum
 
 
 class ClaimStage(enum.Enum):
-    """How far the claimed request has come, as far as the row tells.
+    """Progress of the claimed request as recorded in the row.
 
-    ``CLAIMED`` says nothing about whether it ran: its holder may have died
-    at any point since. ``RELEASED`` is written only by a holder that knows
-    that it never dispatched the request and never will.
+    ``CLAIMED`` does not tell whether the request ran, as its holder may have
+    died at any point since. ``RELEASED`` is written only by a holder that
+    has not dispatched the request and never will.
     """
 
     CLAIMED = 'claimed'
@@ -21,11 +21,11 @@
 class ClaimRecord:
     """The value of a claim row; ``holder`` is unique per attempt to claim.
 
-    ``content`` is a digest of what was asked for: a key that comes back with
-    something else names no retry. ``body_kept`` is false where the answer was
-    too large, or a stream. ``expires_at`` is in seconds since the epoch; from
-    then on the platform may delete the row. Instances never do, and never
-    take an expired row for an absent one.
+    ``content`` is a digest of the request's content: the same key with other
+    content is not a retry. ``body_kept`` is false if the answer was too large
+    or a stream. From ``expires_at``, in seconds since the epoch, the platform
+    may delete the row. Instances never delete rows, and never treat an
+    expired row as absent.
     """
 
     holder: str
@@ -39,19 +39,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRow:
-    """A claim row as it was found; ``version`` grows by one per write."""
+    """A claim row as read; ``version`` increases by one with each write."""
 
     version: int
     record: ClaimRecord
 
 
 class ClaimPhase(enum.Enum):
-    """What a holder is about.
+    """Phase of a claim at the instance that makes it.
 
-    While ``CLAIMING`` the caller waits and the row's owner is not known yet.
-    ``HELD`` means that the row is this holder's and the request is served.
-    While ``SETTLING`` the caller has its answer and the row has yet to say
-    how the request ended.
+    While ``CLAIMING`` the caller waits and the owner of the row is not known
+    yet. ``HELD`` means that this holder owns the row and the request is being
+    served. While ``SETTLING`` the caller has its answer, but the outcome is
+    not yet recorded in the row.
     """
 
     CLAIMING = 'claiming'
--- a/src/greengagelb/state/configuration.py
+++ b/src/greengagelb/state/configuration.py
@@ -1,7 +1,7 @@
 """The configuration that operators confirm and every instance applies.
 
-It is one document with one version. Instances replace it whole and never
-accept a lower version, whatever the source.
+It is a single document with one version. Instances replace it as a whole and
+never accept a lower version, whatever the source.
 """
 
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class ServiceKind(enum.Enum):
-    """What stands behind a service."""
+    """Kind of work that a service does."""
 
     GENERATION = 'generation'
     CALL = 'call'
@@ -25,13 +25,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecoveryPolicy:
-    """How resume latency is traded against extra resource use.
+    """Trade-off between resume latency and additional resource use.
 
-    ``stall_factor`` times the engine's own observed gap between tokens is the
-    silence after which an attempt is suspected, never less than
-    ``least_stall`` nor more than ``most_stall`` seconds. With
-    ``spare_attempt`` a second engine starts as soon as the first is
-    suspected; without it the first is probed before.
+    An attempt is suspected after ``stall_factor`` times the observed gap
+    between tokens of its engine, but no less than ``least_stall`` and no more
+    than ``most_stall`` seconds. With ``spare_attempt`` a second engine starts
+    as soon as the first is suspected; otherwise the first is probed before.
     """
 
     stall_factor: float = 20.0
@@ -43,10 +42,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Upstream:
-    """An engine or a plain service's process, reached by IP number and port.
+    """An engine or a process of a plain service, at an IP address and port.
 
-    ``checks_fencing`` tells whether it refuses orders with an old fencing
-    number. A draining upstream finishes what it has and gets nothing new.
+    ``checks_fencing`` tells whether it refuses orders with a stale fencing
+    number. A draining upstream finishes its requests and gets no new ones.
     """
 
     name: str
@@ -60,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelVersion:
-    """What an engine has loaded."""
+    """Model, version and adapter that an engine has loaded."""
 
     model: str
     version: str
@@ -71,8 +70,8 @@
 class Pool:
     """Upstreams that serve the same model version, or one plain service.
 
-    ``former`` is what the engines had before a change that may still be
-    under way: those that have it still get new work of that version.
+    ``former`` is the model version before a change that may still be in
+    progress: engines that still have it get new work for that version.
     """
 
     name: str
@@ -85,15 +84,15 @@
 
     @property
     def serves(self) -> ModelVersion:
-        """Return what its engines shall have loaded."""
+        """Return the model version that its engines are to have loaded."""
         return ModelVersion(self.model, self.version, self.adapter)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """What client accounts call by name.
+    """A service that client accounts call by name.
 
-    ``most_wait`` bounds the seconds that a request may wait for a place on an
+    ``most_wait`` limits the seconds that a request may wait for a slot on an
     upstream; 0 lets it wait until its deadline.
     """
 
@@ -110,12 +109,12 @@
 class ClientAccount:
     """A client account; its key is kept only as a SHA-256 hex digest.
 
-    ``weight`` sets its share where accounts compete, ``most_running`` bounds
-    its running requests per data centre, ``most_queued`` its waiting ones per
-    instance. ``resume_budget`` bounds the callers' returns to broken streams
-    per minute and instance. ``tokens_per_second`` bounds what may be started
-    per data centre, prompt and most generated tokens together; 0 means that
-    there is no such bound.
+    ``weight`` sets its share when accounts compete. ``most_running`` limits
+    its running requests per data centre, ``most_queued`` its queued requests
+    per instance. ``resume_budget`` limits how often its callers may resume
+    broken streams, per minute and instance. ``tokens_per_second`` limits the
+    work started per data centre, counted as prompt tokens plus the maximum of
+    generated tokens; 0 means no limit.
     """
 
     name: str
@@ -130,10 +129,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """All that operators decide, under one version.
+    """All operator settings, under one version.
 
-    ``confirmed_by`` is the id of the plan that put the version in force; two
-    plans may lead to equal documents, and only one of them has won.
+    ``confirmed_by`` is the id of the plan that put the version in force. It
+    tells concurrent plans apart that lead to equal documents, of which only
+    one was confirmed.
     """
 
     version: int = 0
@@ -143,13 +143,13 @@
     pools: tuple[Pool, ...] = ()
 
     def find_account(self, name: str) -> ClientAccount | None:
-        """Return the client account of that name, if there is one."""
+        """Return the client account with this name, or None."""
         return next((a for a in self.accounts if a.name == name), None)
 
     def find_service(self, name: str) -> Service | None:
-        """Return the service of that name, if there is one."""
+        """Return the service with this name, or None."""
         return next((s for s in self.services if s.name == name), None)
 
     def find_pool(self, name: str) -> Pool | None:
-        """Return the pool of that name, if there is one."""
+        """Return the pool with this name, or None."""
         return next((p for p in self.pools if p.name == name), None)
--- a/src/greengagelb/state/crashes.py
+++ b/src/greengagelb/state/crashes.py
@@ -1,7 +1,7 @@
-"""Engines that crashed while they ran a request.
+"""Engine crashes during a request, to detect requests that cause them.
 
-Times are monotonic seconds of the instance that holds them; what instances
-tell each other are ages.
+Times are monotonic seconds of the local instance. Messages between instances
+carry ages instead, as monotonic clocks of two machines can't be compared.
 """
 
 import dataclasses
@@ -9,10 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An engine's life that ended while it ran a request.
+    """A crash of an engine while it ran a request.
 
-    ``began_at`` is when it began to run it, as far as that can be seen from
-    outside: the head of its answer, or the send where answers are short.
+    ``life`` is the engine's life (one run of its process) that ended.
+    ``began_at`` is when the engine began to run the request as far as an
+    instance can observe: when the head of its answer arrived, or when the
+    request was sent if answers are short.
     """
 
     life: str
@@ -21,16 +23,17 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long the request had run."""
+        """Return how long the request had run before the crash."""
         return self.ended_at - self.began_at
 
 
 @dataclasses.dataclass(slots=True)
 class CrashHistory:
-    """The crashes under one request, by the life that ended.
+    """The crashes during one request, by the engine's life that ended.
 
-    ``survived_at`` is when an engine last ran it to its end; crashes before
-    that are not its doing. ``changed_at`` is when this was last news here.
+    ``survived_at`` is when an engine last completed the request; crashes
+    before that are not attributed to it. ``changed_at`` is when this instance
+    last learned something new about the request.
     """
 
     crashes: dict[str, Crash] = dataclasses.field(default_factory=dict)
@@ -40,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspectRequest:
-    """A request and its history at one moment."""
+    """Snapshot of the crash history of a suspected request."""
 
     fingerprint: str
     crashes: tuple[Crash, ...]
@@ -50,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportedCrash:
-    """A crash as another instance tells of it, in seconds."""
+    """A crash as reported by another instance; times are in seconds."""
 
     life: str
     seconds: float
@@ -59,14 +62,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReportsRequest:
-    """The sender asks for all that the receiver knows."""
+    """Asks the receiver for all its crash reports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """What an instance knows of the crashes under one request.
+    """The crashes during one request that an instance knows of.
 
-    ``survived_age`` is None where no engine is known to have survived it.
+    ``survived_age`` is None if no engine is known to have completed it.
     """
 
     fingerprint: str
@@ -75,7 +78,7 @@
 
 
 def build_crash_report(suspect: SuspectRequest, now: float) -> CrashReport:
-    """Return what is known of a suspect, as others are told."""
+    """Return the report about a suspected request for other instances."""
     survived_age = None
     if suspect.survived_at > float('-inf'):
         survived_age = now - suspect.survived_at
@@ -88,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredCrash:
-    """A crash as the store keeps it; ``ended_at_ms`` is its Unix time."""
+    """A crash as stored; ``ended_at_ms`` is its Unix time."""
 
     life: str
     seconds: float
@@ -97,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredCrashes:
-    """The crashes under one request as the store keeps them."""
+    """The crashes during one request as stored."""
 
     fingerprint: str
     crashes: tuple[StoredCrash, ...]
@@ -106,7 +109,7 @@
 def to_stored_crashes(
     report: CrashReport, wall_milliseconds: int
 ) -> StoredCrashes:
-    """Return a report as it is kept."""
+    """Return a report in the form in which it is stored."""
     return StoredCrashes(
         report.fingerprint,
         tuple(
@@ -123,9 +126,9 @@
 def to_crash_report(
     stored: StoredCrashes, wall_milliseconds: int
 ) -> CrashReport:
-    """Return what is kept as a report.
+    """Return stored crashes as a report.
 
-    The clock of who wrote it may have been ahead.
+    Ages are at least 0, as the clock of the writer may have been ahead.
     """
     return CrashReport(
         stored.fingerprint,
--- a/src/greengagelb/state/fleet.py
+++ b/src/greengagelb/state/fleet.py
@@ -1,4 +1,4 @@
-"""What an instance knows of the other instances."""
+"""What an instance knows about the other instances."""
 
 import dataclasses
 import enum
@@ -9,10 +9,10 @@
 
 
 class Standing(enum.Enum):
-    """What another instance can be counted on for.
+    """Whether another instance is considered available.
 
-    ``LISTED`` is one that the platform's list shows and that has not been
-    heard of here; it may be dead, cut off, or not reached yet.
+    A ``LISTED`` instance is on the platform's list, but no message from it
+    has arrived; it may be dead, partitioned, or not reached yet.
     """
 
     LIVE = 'live'
@@ -23,7 +23,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class PeerAddress:
-    """Where an instance's peer port is: IP number and port."""
+    """IP address and port at which an instance receives peer messages."""
 
     host: str
     port: int
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerId:
-    """An instance as it is since its last start, and where it is."""
+    """One incarnation of an instance, with its data centre and address."""
 
     name: str
     incarnation: str
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DataCentreSummary:
-    """What one data centre says of its instances.
+    """How far the configuration is applied in a data centre.
 
-    ``version`` is the highest that is applied there, ``in_force_on`` of
-    ``instances`` have it; ``missing`` names the first few that have not.
+    ``version`` is the highest version applied there, on ``in_force_on`` of
+    its ``instances``; ``missing`` names the first few that lack it.
     """
 
     data_centre: str
@@ -59,10 +59,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamLoad:
-    """The load of an upstream as its watcher was told; step in seconds.
+    """The load of an upstream as reported to the instance that probes it.
 
-    ``index`` is its place among all upstreams of the configuration, pool by
-    pool: a name would make the heartbeat several times as long.
+    ``index`` is its position among all upstreams of the configuration, pool
+    by pool; names would make the heartbeat several times as long.
     """
 
     index: int
@@ -73,9 +73,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What an instance tells others, now and again and when it changes.
+    """State that an instance sends to others periodically and on changes.
 
-    ``loads`` count upstreams by the configuration of ``version``.
+    The indexes in ``loads`` refer to the configuration of ``version``.
     """
 
     sender: PeerId
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListedInstance:
-    """An instance as the platform's list shows it."""
+    """An entry for an instance in the platform's list."""
 
     peer: PeerId
     leaving: bool
@@ -99,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnState:
-    """What this instance has to tell."""
+    """The state of this instance that its heartbeats announce."""
 
     version: int = 0
     leaving: bool = False
@@ -110,10 +110,10 @@
 
 @dataclasses.dataclass(slots=True)
 class PeerView:
-    """Another instance as heard of here; times are monotonic seconds.
+    """Another instance as known here; times are monotonic seconds.
 
-    ``heard_at`` is None for one that is only listed, ``listed`` says whether
-    the platform's list shows it now.
+    ``heard_at`` is None if no heartbeat of it has arrived. ``listed`` tells
+    whether it is currently on the platform's list.
     """
 
     peer: PeerId
--- a/src/greengagelb/state/identity.py
+++ b/src/greengagelb/state/identity.py
@@ -1,7 +1,7 @@
-"""Names of requests and attempts.
+"""Identifiers of requests, attempts and engines.
 
-Everything that belongs to a caller is scoped by its client account, so that
-an id guessed by another account names nothing.
+Identifiers from callers are scoped by their client account, so that another
+account can't refer to a request by guessing its id.
 """
 
 import dataclasses
@@ -17,11 +17,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptId:
-    """One try of one engine at one generation of a request.
+    """One attempt of an engine at one generation of a request.
 
-    ``generation`` counts from 1 and grows only when an answer starts afresh.
-    ``attempt`` holds the incarnation of the instance that started the attempt
-    and a counter, so that no two instances ever make the same one.
+    ``generation`` counts from 1 and increases only when an answer restarts
+    from its beginning. ``attempt`` consists of the incarnation of the
+    instance that started the attempt and a counter, so it is unique across
+    instances.
     """
 
     request: RequestId
@@ -31,10 +32,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineId:
-    """An upstream as it is since its last start.
+    """One incarnation of an upstream.
 
-    An engine that restarts keeps its name and takes a new incarnation; what
-    was known of the old incarnation says nothing about the new one.
+    An engine that restarts keeps its name and gets a new incarnation. State
+    known about the old incarnation does not apply to the new one.
     """
 
     name: str
--- a/src/greengagelb/state/in_force.py
+++ b/src/greengagelb/state/in_force.py
@@ -1,4 +1,4 @@
-"""What instances say is in force with them, and where they differ."""
+"""Reports of what is in force on instances, and their comparison."""
 
 import collections
 from collections.abc import Sequence
@@ -7,9 +7,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceReport:
-    """What one instance says of itself.
+    """What an instance reports about itself.
 
-    Ages are in seconds; ``store_seconds`` is None where it is not told.
+    ``settings_seconds`` and ``store_seconds`` are ages in seconds;
+    ``store_seconds`` is None if the instance does not report it.
     """
 
     name: str
@@ -25,22 +26,22 @@
 
     @property
     def digest(self) -> str:
-        """Return the digest of the settings as people read it."""
+        """Return the digest of the settings in hexadecimal, for output."""
         return f'{self.settings_digest:08x}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportUnavailable:
-    """Why nothing is known of an instance."""
+    """Why there is no report from an instance."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ComparedReport:
-    """One address, what was found there, and how it differs from most.
+    """The report from an address and how it differs from the majority.
 
-    ``differences`` is empty where it agrees with them.
+    ``differences`` is empty if it agrees with the majority.
     """
 
     address: str
@@ -51,10 +52,10 @@
 def compare_reports(
     found: Sequence[tuple[str, InstanceReport | ReportUnavailable]],
 ) -> list[ComparedReport]:
-    """Return all addresses, those that differ or don't answer first.
+    """Compare the reports; those that differ or are missing come first.
 
-    What most of them have counts as right; of two with as many the newer
-    configuration and the digest that sorts last.
+    The most common value is the reference. Ties are resolved in favour of
+    the newer configuration and of the digest that sorts last.
     """
     reports = [
         report for _, report in found if isinstance(report, InstanceReport)
@@ -87,13 +88,13 @@
 
 
 def sort_key(compared: ComparedReport) -> tuple[bool, bool, str]:
-    """Return the order in which operators want to see instances."""
+    """Return the sort key: missing, then differing, then agreeing reports."""
     agrees = not compared.differences
     answered = isinstance(compared.found, InstanceReport)
     return (agrees, answered, compared.address)
 
 
 def find_most_common(values: list) -> object:
-    """Return the value that most have, the highest of those; None of none."""
+    """Return the most common value, on a tie the highest; None if empty."""
     counts = collections.Counter(values)
     return max(counts, key=lambda value: (counts[value], value), default=None)
--- a/src/greengagelb/state/limits.py
+++ b/src/greengagelb/state/limits.py
@@ -1,6 +1,8 @@
-"""Limits that engines name: the requests a second that they take in all.
+"""Rate limits that engines advertise, in requests per second.
 
-A limit belongs to one life of an engine and holds for all instances together.
+A limit belongs to one life of an engine (one run of its process) and applies
+to all instances together. For each such life one instance issues permits;
+others lease it their shares of the limit.
 """
 
 import dataclasses
@@ -9,21 +11,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnusableLimit:
-    """What an answer has in place of a limit that can be read."""
+    """A limit in an answer that could not be parsed."""
 
     text: str
 
 
-# What an answer says of its engine's limit: requests a second, that it has
-# none, or something else.
+# The limit in an answer: requests per second, a value that could not be
+# parsed, or None if the engine has no limit.
 AdvertisedLimit = float | UnusableLimit | None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UpstreamAdvertisement:
-    """What an answer says of its upstream, by the product's own interface.
+    """Limit and incarnation of an upstream from the headers of its answer.
 
-    ``incarnation`` is empty where it does not say it.
+    ``incarnation`` is empty if the answer does not contain it.
     """
 
     limit: AdvertisedLimit = None
@@ -35,10 +37,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitUpdate:
-    """The limit of a life of an engine; ``rate`` is None once it is lifted.
+    """The limit of an engine's life; ``rate`` is None once it is removed.
 
-    ``version`` counts the values that it has had. It orders what instances
-    tell each other, as their clocks differ and datagrams overtake each other.
+    ``version`` counts the values that the limit has had. It orders updates
+    from different instances, as clocks differ and datagrams may be reordered.
     """
 
     life: str
@@ -48,10 +50,10 @@
 
 @dataclasses.dataclass(slots=True)
 class KnownLimit:
-    """A limit as known here.
+    """A limit as known to this instance.
 
-    ``known_at`` is when this value came to be known, ``confirmed_at`` when an
-    answer last said so to this instance; both are monotonic.
+    ``known_at`` is when this value became known, ``confirmed_at`` when an
+    answer to this instance last contained it; both are monotonic seconds.
     """
 
     rate: float | None
@@ -62,11 +64,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitStatistics:
-    """What one instance knows and does of limits.
+    """Statistics of the limits known to one instance.
 
-    ``in_force`` counts the limits, and ``rate`` is their sum in requests a
-    second. ``held`` requests wait for a permit now; ``granted`` and ``denied``
-    count the permits asked for here since the start.
+    ``in_force`` is the number of limits, and ``rate`` their sum in requests
+    per second. ``held`` is the number of requests that wait for a permit;
+    ``granted`` and ``denied`` count this instance's permit requests since its
+    start.
     """
 
     in_force: int = 0
@@ -77,7 +80,7 @@
 
 
 class Verdict(enum.Enum):
-    """What an issuer answers to an instance that wants a permit."""
+    """Answer of an issuer to a request for a permit."""
 
     GRANTED = 'granted'
     QUEUED = 'queued'
@@ -86,14 +89,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitUpdatesRequest:
-    """The sender knows other limits than the receiver, and asks for them."""
+    """Asks for the receiver's limits, as they differ from the sender's."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """The sender issues permits for a life, and asks for the parts of others.
+    """The sender issues permits for a life and asks for the others' shares.
 
-    ``stamp`` is its own monotonic time, which the answer repeats.
+    ``stamp`` is the sender's monotonic time, which the answer repeats.
     """
 
     life: str
@@ -102,10 +105,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseGrant:
-    """The sender's part of a limit is the receiver's for a time.
+    """Leases the sender's share of a limit to the receiver for some time.
 
-    The lease began at ``stamp``, by the receiver's clock. ``share`` is the
-    part of the whole limit; it was nobody's for ``unused`` seconds before.
+    The lease begins at ``stamp``, by the receiver's clock. ``share`` is a
+    fraction of the whole limit; nobody used it for ``unused`` seconds before.
     """
 
     life: str
@@ -116,18 +119,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseReturned:
-    """The sender issues no permits for a life any more."""
+    """The sender no longer issues permits for a life."""
 
     life: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitRequestMessage:
-    """The sender wants to send one request to a life with a limit.
+    """Asks for a permit to send one request to an engine with a limit.
 
-    ``number`` names the request at the sender, ``wait`` is for how many
-    seconds it can wait. ``urgent`` requests go first. ``rate`` and
-    ``version`` are the limit as the sender knows it.
+    ``number`` identifies the request at the sender; ``wait`` is how many
+    seconds it can wait. ``urgent`` requests take precedence. ``rate`` and
+    ``version`` are the limit as known to the sender.
     """
 
     life: str
@@ -141,10 +144,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitAnswer:
-    """What comes of a request for a permit.
+    """The answer to a request for a permit.
 
-    ``wait`` is the time in seconds until one is expected; ``share`` the part
-    of the limit that the sender has leased.
+    ``wait`` is the time in seconds until a permit is expected; ``share`` is
+    the fraction of the limit that the sender has leased.
     """
 
     life: str
@@ -156,7 +159,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitReturned:
-    """A permit that was granted to the sender was not used."""
+    """The sender did not use a permit that was granted to it."""
 
     life: str
     number: int
@@ -164,7 +167,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UnpermittedSends:
-    """The sender has sent something to a life without a permit."""
+    """The sender has sent ``count`` requests to a life without a permit."""
 
     life: str
     count: int
@@ -172,17 +175,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LivenessQuery:
-    """The sender asks the receiver for a sign of life."""
+    """Asks the receiver to confirm that it is alive."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LivenessReply:
-    """The sender's sign of life."""
+    """Confirms that the sender is alive."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IssuerSilent:
-    """The sender gets no sign of life of an instance that issues permits."""
+    """An instance that issues permits does not respond to the sender."""
 
     issuer: str
 
--- a/src/greengagelb/state/orders.py
+++ b/src/greengagelb/state/orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and the leases that allow to send them."""
+"""Orders to engines, and the leases that permit sending them."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What an engine shall be, or says that it is."""
+    """Model, version, adapter and role that an engine is to have, or has."""
 
     model: str
     version: str
@@ -20,7 +20,8 @@
     """The value of a lease's row; its fencing number is the row's version.
 
     ``holder`` is unique per write, so that a holder whose write was not
-    answered recognises it. An empty one says that no order is under way.
+    answered recognises it later. An empty ``holder`` means that no order is
+    in progress.
     """
 
     holder: str
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineObservation:
-    """An engine's own report; ``reported_at`` is a monotonic time."""
+    """The latest report of an engine; ``reported_at`` is monotonic seconds."""
 
     incarnation: str
     target: Target
@@ -54,10 +55,10 @@
 
 @dataclasses.dataclass(slots=True)
 class OrderProgress:
-    """An engine that gets no new work until it has reached its target.
+    """Progress of an engine that gets no new work until it has its target.
 
-    ``held_at`` and ``resend_at`` are monotonic times; ``may_load`` says
-    whether the weight store has allowed the load.
+    ``held_at`` and ``resend_at`` are monotonic seconds; ``may_load`` tells
+    whether the weight store has permitted the load.
     """
 
     held_at: float
--- a/src/greengagelb/state/pace.py
+++ b/src/greengagelb/state/pace.py
@@ -1,4 +1,4 @@
-"""How fast an upstream delivers, as observed by this instance."""
+"""Token rate of an upstream as observed by this instance."""
 
 import dataclasses
 
@@ -7,17 +7,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Pace:
-    """Moving estimate of the gap between two batches of one attempt.
+    """Exponential moving average of the gap between batches of an attempt.
 
-    ``gap`` is in seconds, 0 until something was observed. ``latest`` is the
-    monotonic time of the latest progress of any attempt at the upstream.
+    ``gap`` is in seconds, and 0 until the first observation. ``latest`` is
+    the monotonic time of the last progress of any attempt at the upstream.
     """
 
     gap: float = 0.0
     latest: float = float('-inf')
 
     def observe_gap(self, gap: float) -> None:
-        """Take in the gap between two batches."""
+        """Update the average with a gap in seconds."""
         if not self.gap:
             self.gap = gap
             return
--- a/src/greengagelb/state/plans.py
+++ b/src/greengagelb/state/plans.py
@@ -1,4 +1,4 @@
-"""Operators' intents and the plans that answer them."""
+"""Operators' intents, and the plans computed for them."""
 
 import dataclasses
 import enum
@@ -15,42 +15,42 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutAccount:
-    """Create a client account, or change the one of that name."""
+    """Create a client account, or replace the one with this name."""
 
     account: configuration.ClientAccount
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutService:
-    """Create a service, or change the one of that name."""
+    """Create a service, or replace the one with this name."""
 
     service: configuration.Service
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutPool:
-    """Create a pool, or change the one of that name."""
+    """Create a pool, or replace the one with this name."""
 
     pool: configuration.Pool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainUpstream:
-    """Give an upstream no new work."""
+    """Stop giving new work to an upstream."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReturnUpstream:
-    """Give new work again to an upstream that an operator had drained."""
+    """Resume giving new work to an upstream that an operator drained."""
 
     upstream: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeModel:
-    """Have all engines of a pool serve another version or adapter."""
+    """Have all engines of a pool serve another model, version or adapter."""
 
     pool: str
     model: str
@@ -60,9 +60,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MoveUpstream:
-    """Put an upstream into another pool, another data centre, or both.
+    """Move an upstream to another pool, another data centre, or both.
 
-    An empty ``pool`` or ``data_centre`` leaves that as it is.
+    An empty ``pool`` or ``data_centre`` stays unchanged.
     """
 
     upstream: str
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRole:
-    """Order an engine to another role."""
+    """Order an engine to change to another role."""
 
     upstream: str
     role: str
@@ -92,7 +92,7 @@
 
 
 class PlanStage(enum.Enum):
-    """Life of a plan; a confirmed or overtaken one never changes again."""
+    """Stage of a plan; confirmed and overtaken plans never change again."""
 
     PROPOSED = 'proposed'
     CONFIRMED = 'confirmed'
@@ -101,10 +101,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Capacity:
-    """Places for running requests: now, while the plan is carried out, after.
+    """Slots for running requests before, during and after a plan.
 
-    ``account`` is empty where the places are those of a whole pool; else they
-    are the account's share by weight when all accounts of the pool compete.
+    An empty ``account`` means the slots of the whole pool. Otherwise they are
+    the account's share by weight when all accounts of the pool compete.
     """
 
     pool: str
@@ -116,13 +116,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What will happen once an operator confirms.
+    """The changes that take effect once an operator confirms.
 
     ``base_version`` is the version of the configuration that the plan was
-    built on; on any other version it can't be confirmed. ``result`` is the
-    configuration that it puts in force. ``cut`` counts the running requests
-    that would be lost, ``moved`` those that end on an upstream that gets no
-    new work meanwhile. ``estimated_seconds`` is how long it takes.
+    computed from; it can't be confirmed on any other version. ``result`` is
+    the configuration that it puts in force. ``cut`` is the number of running
+    requests that would be lost, ``moved`` the number of those that finish on
+    an upstream that meanwhile gets no new work. ``estimated_seconds`` is the
+    estimated duration.
     """
 
     plan_id: str
@@ -139,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Says which plan put a version of the configuration in force."""
+    """Records which plan put a version of the configuration in force."""
 
     version: int
     plan_id: str
--- a/src/greengagelb/state/relay/__init__.py
+++ b/src/greengagelb/state/relay/__init__.py
@@ -1,1 +1,1 @@
-"""What relaying of opaque requests and answers knows and keeps."""
+"""State of the relay, which passes requests on to registered engines."""
--- a/src/greengagelb/state/relay/bounds.py
+++ b/src/greengagelb/state/relay/bounds.py
@@ -1,14 +1,14 @@
-"""Bounds that the operators set for all instances together."""
+"""Bounds that operators set for all instances together."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RetryBounds:
-    """How many repeats a service may get from all instances together.
+    """Retry budget of a service across all instances.
 
-    In any ``window_seconds``: ``ratio`` times the requests for the service,
-    plus ``slack``.
+    In any ``window_seconds`` the retries may number ``ratio`` times the
+    requests for the service, plus ``slack``.
     """
 
     ratio: float = 0.1
@@ -17,17 +17,19 @@
 
     def __post_init__(self) -> None:
         if self.ratio < 0 or self.slack < 0 or self.window_seconds <= 0:
-            raise ValueError('retry bounds must not be negative')
+            raise ValueError(
+                'retry bounds must not be negative, and window_seconds not 0'
+            )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineBounds:
-    """What the platform promises of engines and of the list of them.
+    """Guarantees of the platform about engines and the list of engines.
 
-    For ``address_reuse_seconds`` after an engine has ended, its address is
-    given to no engine of another service; 0 promises nothing. An engine
-    renews its entry every ``heartbeat_milliseconds``; the entry lapses when
-    three renewals are missed.
+    For ``address_reuse_seconds`` after an engine has ended, no engine of
+    another service gets its address; 0 means no guarantee. An engine renews
+    its entry every ``heartbeat_milliseconds``; the entry expires after three
+    missed renewals.
     """
 
     address_reuse_seconds: float = 0.0
@@ -35,8 +37,9 @@
 
     @property
     def least_lapse_seconds(self) -> float:
-        """Return how long a store must have been away for entries to lapse.
+        """Return the shortest store outage in which entries can expire.
 
-        The last renewal before the outage may be almost one interval old.
+        The last renewal before the outage may be almost one interval old, so
+        this is two intervals rather than three.
         """
         return 2.0 * self.heartbeat_milliseconds / 1_000.0
--- a/src/greengagelb/state/relay/engine_states.py
+++ b/src/greengagelb/state/relay/engine_states.py
@@ -1,4 +1,4 @@
-"""What an instance believes of an engine, beyond what the list says."""
+"""What an instance knows about an engine beyond the list of engines."""
 
 import dataclasses
 
@@ -7,18 +7,18 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineState:
-    """What is known here of one life of an engine.
-
-    ``learned_at`` is when this instance first heard of it. ``listed`` tells
-    that the list has it, and ``gone_at`` is the monotonic time from which on
-    it counts as removed. ``in_flight`` counts the sends of
-    this instance. ``replaced`` is set when another engine answers at its
-    address. Once it seems to have died,
-    ``alive_from`` is the heartbeat that would prove it alive, and
-    ``retry_dead_at`` when it is tried without that proof. Until
-    ``doubted_until`` another instance's word speaks against it. ``silent_at``
-    is when a stream last fell silent there. What was sent until
-    ``former_until`` certainly went to the life before this one.
+    """What this instance knows about one life of an engine.
+
+    Times are monotonic seconds. ``learned_at`` is when this instance learned
+    of the engine. ``listed`` tells whether it is on the list, and ``gone_at``
+    is the time from which it counts as removed. ``in_flight`` is the number
+    of this instance's sends in progress. ``replaced`` is set when another
+    engine answers at its address. After an apparent death, a heartbeat of at
+    least ``alive_from`` proves that it is alive, and from ``retry_dead_at``
+    it is tried without that proof. Until ``doubted_until`` it is suspected on
+    a report of another instance. ``silent_at`` is when a stream last stalled
+    there. Requests sent until ``former_until`` certainly went to its
+    previous life.
     """
 
     entry: engines.EngineEntry
@@ -46,13 +46,13 @@
         return not (self.leaving or self.replaced or is_gone)
 
     def is_trusted(self, now: float) -> bool:
-        """Return whether nothing speaks against giving it work."""
+        """Return whether it is usable and neither suspected nor dead."""
         if not self.is_usable(now) or now < self.suspected_until:
             return False
         is_alive = self.entry.heartbeat >= self.alive_from
         return is_alive or now >= self.retry_dead_at
 
     def is_reachable(self, now: float) -> bool:
-        """Return whether it can have what it held before a failure."""
+        """Return whether it may still hold its runs from before a failure."""
         is_alive = self.entry.heartbeat >= self.alive_from
         return self.is_usable(now) and (is_alive or now >= self.retry_dead_at)
--- a/src/greengagelb/state/relay/engines.py
+++ b/src/greengagelb/state/relay/engines.py
@@ -1,19 +1,19 @@
-"""Engines as the list of engines tells of them."""
+"""Engines as they appear in the list of engines."""
 
 import dataclasses
 
-# The start of an engine that does not say when it started.
+# The start of an engine that does not report when it started.
 UNKNOWN_START = 0
 
 
 def is_earlier(start: int, other: int) -> bool:
-    """Return whether one start is known to lie before another."""
+    """Return whether one start is known to be before another."""
     return UNKNOWN_START < start < other
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """IP number and port."""
+    """IP address and port."""
 
     host: str
     port: int
@@ -24,15 +24,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineEntry:
-    """One life of an engine, as it registered itself.
-
-    ``engine`` is the engine's identity. One that crashed comes back under
-    another identity or under the same one; it remembers nothing of before
-    either way. ``started_at_ms`` is the Unix time of its start in
-    milliseconds, by its own clock, and tells two lives under one identity
-    apart: the greater one is the later life. It is ``UNKNOWN_START`` where
-    the engine does not say it. ``heartbeat`` counts the entry's renewals,
-    and begins anew with each life.
+    """One life of an engine (one run of its process), as it registered.
+
+    ``engine`` is the engine's identity. After a crash it returns under the
+    same or another identity and has lost its state in both cases.
+    ``started_at_ms`` is the Unix time of its start in milliseconds, by its
+    own clock, and orders the lives under one identity: the greater one is
+    the later life. It is ``UNKNOWN_START`` if the engine does not report it.
+    ``heartbeat`` counts the renewals of the entry, and restarts with each
+    life.
     """
 
     engine: str
@@ -45,15 +45,15 @@
     started_at_ms: int = UNKNOWN_START
 
     def is_earlier_than(self, started_at_ms: int) -> bool:
-        """Return whether this is an earlier life than one that began then.
+        """Return whether this life is earlier than one started at that time.
 
-        Of a life whose start is not known nobody can tell.
+        False if either start is unknown.
         """
         return is_earlier(self.started_at_ms, started_at_ms)
 
     @property
     def life(self) -> str:
-        """Return a name that no other life of any engine has."""
+        """Return a name that is unique among all lives of all engines."""
         if self.started_at_ms == UNKNOWN_START:
             return self.engine
         return f'{self.engine} {self.started_at_ms}'
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineLoad:
-    """What an engine says of its load in an answer."""
+    """The load of an engine as reported in an answer."""
 
     running: int
     waiting: int
--- a/src/greengagelb/state/relay/exchanges.py
+++ b/src/greengagelb/state/relay/exchanges.py
@@ -1,4 +1,4 @@
-"""One caller's request while it is being served."""
+"""A caller's request while it is being served."""
 
 import dataclasses
 
@@ -8,18 +8,18 @@
 
 @dataclasses.dataclass(slots=True)
 class InFlightSend:
-    """One send of a request to an engine that is still under way.
+    """One send of a request to an engine that is still in progress.
 
-    ``moved_at`` is the monotonic time of the last sign of this send: its
-    start, the answer's head, or events. ``answered_at`` is when the answer's
-    head was here. ``asked_at`` is when its engine was
-    last asked for a sign of life. ``first_due`` is when its first event
-    should have come at the latest. ``copy_to`` names the engine that gets a
-    copy of the run's memory, which is there as ``copy_name``; ``copy_ordered``
-    tells that it was ordered and lapses in time, and ``copy_orders`` how many
-    orders were given. ``from_copy`` tells that the
-    send went on from a copy. ``alone_with`` is the size of its prompt where
-    the engine had nothing else to do and has to read it.
+    ``moved_at`` is the monotonic time of its last progress: its start, the
+    head of the answer, or events. ``answered_at`` is when the head of the
+    answer arrived. ``asked_at`` is when its engine was last probed.
+    ``first_due`` is the time by which its first event is expected.
+    ``copy_to`` is the engine that gets a copy of the run's memory, where the
+    copy is named ``copy_name``; ``copy_ordered`` is true if the copy was
+    ordered and so expires after a time, and ``copy_orders`` is the number of
+    orders so far. ``from_copy`` is true if the run continued from a copy.
+    ``alone_with`` is the size of its prompt in tokens if the engine was idle
+    and has to read the prompt, else 0.
     """
 
     number: int
@@ -44,12 +44,12 @@
     """A caller's request, its sends, and what the caller has been given.
 
     ``position`` is the number of the last event that the caller has.
-    ``may_have_run`` is set as soon as a send that no engine has disowned was
-    handed to a connection. ``failed`` keeps an engine's own failure while
-    another engine is tried. ``moved_at`` is when the caller got the last
-    event. ``tried`` names the engines that got it and
-    ``refused_by`` those that had no room for it. ``fingerprint`` is that of
-    the request.
+    ``may_have_run`` is set once a send was handed to a connection, unless its
+    engine confirmed that it did not run. ``failed`` keeps the error answer of
+    an engine while another engine is tried. ``moved_at`` is when the caller
+    got the last event. ``tried`` names the engines that got the request and
+    ``refused_by`` those that had no capacity for it. ``fingerprint`` is that
+    of the request.
     """
 
     request: requests.CallerRequest
--- a/src/greengagelb/state/relay/hints.py
+++ b/src/greengagelb/state/relay/hints.py
@@ -1,11 +1,11 @@
-"""What instances tell each other while they serve.
+"""Hints that instances send each other while they serve requests.
 
-Hints are sent once and may be lost. Nothing that callers are promised rests
-on them: they only let instances choose engines by what the others have just
-put there, which the engines' own reports tell too late.
+Hints are sent once and may be lost. No guarantee to callers depends on them:
+they let instances take into account which runs others have just placed on an
+engine, which the engine's own reports show too late.
 
-A word against an engine names the start of the life that it speaks of, since
-it may come when the engine has started again.
+A hint against an engine contains the start of the life that it refers to, as
+it may arrive after the engine has restarted.
 """
 
 import dataclasses
@@ -17,11 +17,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunPlaced:
-    """A run was given to an engine; ``number`` names it at its instance.
+    """A run was placed on an engine; ``number`` identifies it at the sender.
 
-    ``part`` names the part of its prompt that no other conversation shares.
-    ``attempt`` is 1 for the first send of its request, more for each repeat,
-    and 0 for one in place of a send that never left.
+    ``part`` identifies the part of its prompt that no other conversation
+    shares. ``attempt`` is 1 for the first send of a request, higher for each
+    retry, and 0 for the replacement of a send that was never transmitted.
     """
 
     number: int
@@ -35,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunEnded:
-    """A run is over."""
+    """A run has ended."""
 
     number: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineFailed:
-    """An engine seems to have died, as seen from the sender."""
+    """The sender suspects that an engine has died."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineErrored:
-    """An engine has answered a call with an error of its own."""
+    """An engine answered a call with an error of its own."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -58,7 +58,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamSilent:
-    """A stream has fallen silent on an engine; it may be the connection."""
+    """A stream from an engine has stalled; the cause may be the connection."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
@@ -68,7 +68,7 @@
 class EngineReplaced:
     """Another engine answers at the address of this one.
 
-    ``successor`` names it where it is sure to be of the same service.
+    ``successor`` is that engine if it certainly belongs to the same service.
     """
 
     engine: str
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineRestarted:
-    """An engine has started again under its identity, at a Unix time."""
+    """An engine has restarted under its identity; the start is Unix time."""
 
     engine: str
     started_at_ms: int
@@ -86,9 +86,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineListChanged:
-    """What was new in the list of engines; heartbeats are not.
+    """Changes in the list of engines, other than of heartbeats.
 
-    ``unusable`` names the engines whose entries can't be used any more.
+    ``unusable`` names the engines whose entries have become invalid.
     """
 
     entries: tuple[engines.EngineEntry, ...]
@@ -100,8 +100,8 @@
 class StoreRead:
     """The sender has just read the store.
 
-    ``digest`` is that of the list of engines as it stands there, and
-    ``version`` that of the configuration, None where that was not read.
+    ``digest`` is the digest of the list of engines in the store; ``version``
+    is that of the configuration, or None if it was not read.
     """
 
     digest: int
@@ -110,28 +110,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRestored:
-    """The store has come back from a copy, and begun an era."""
+    """The store was restored from a copy and has begun a new era."""
 
     era: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreProbed:
-    """The sender tries again whether the store is back."""
+    """The sender is checking whether the store is available again."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstancesNotListed:
-    """Instances that the list of instances lacks, by their incarnations."""
+    """Incarnations of instances that are missing in the list of instances."""
 
     incarnations: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationApplied:
-    """The sender has just read the configuration in the store.
+    """The sender has applied a version of the configuration.
 
-    It says nothing of the list of engines, which it may have read long ago.
+    Unlike :class:`StoreRead` this says nothing about the list of engines,
+    which the sender may have read long ago.
     """
 
     version: int
@@ -159,9 +160,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Digests:
-    """Numbers that differ where an instance knows other things.
+    """Digests by which two instances detect that their knowledge differs.
 
-    Of requests that crash engines, and of limits that engines name.
+    They cover requests that crash engines, and limits of engines.
     """
 
     crashes: int = 0
@@ -173,7 +174,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """An instance of the fleet; ``incarnation`` is new at each start."""
+    """An instance of the fleet; ``incarnation`` changes with each start."""
 
     name: str
     incarnation: str
--- a/src/greengagelb/state/relay/positions.py
+++ b/src/greengagelb/state/relay/positions.py
@@ -1,13 +1,13 @@
-"""How far an instance has read in the store, and in which of its histories.
+"""How far an instance has read in the store, and in which era.
 
-When a store comes back from an older copy, what was written since is gone and
-versions are given out again. Each time it begins a new era. Versions can be
-compared within one era only.
+When a store is restored from an older copy, later writes are lost and their
+versions are assigned again. Each restore begins a new era. Versions are
+comparable within one era only.
 """
 
 import dataclasses
 
-# The era of a store that states none.
+# The era of a store that does not report one.
 NO_ERA = -1
 
 
--- a/src/greengagelb/state/relay/requests.py
+++ b/src/greengagelb/state/relay/requests.py
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a generation reads and may make, in tokens.
+    """Size of a generation's prompt and of its output, in tokens.
 
-    ``own_part`` names the last part of the prompt, which no other
-    conversation shares; an engine that has it in memory need not read the
-    prompt again.
+    ``own_part`` identifies the last part of the prompt, which no other
+    conversation shares; an engine that has it in memory does not need to
+    read the prompt again.
     """
 
     tokens: int
@@ -24,17 +24,17 @@
 
     @property
     def max_memory_tokens(self) -> int:
-        """Return the tokens that a run keeps in memory at its end."""
+        """Return the most tokens that a run can hold in memory."""
         return self.tokens + self.most_new_tokens
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyName:
-    """Names a copy of a run's memory, as the engines know it.
+    """Name of a copy of a run's memory, as the engines use it.
 
-    A copy that an engine sends along as the run grows is named by its
-    holder's address and the request's id; one that was ordered by the
-    source's address and the handle that the source gave.
+    A copy that an engine sends continuously as the run grows is named by the
+    address of its holder and the request's id; a copy that was ordered, by
+    the address of its source and the handle that the source returned.
     """
 
     address: engines.Address
@@ -43,12 +43,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A whole request as a caller sent it.
+    """A complete request as received from a caller.
 
-    ``headers`` are those that are passed on as they are. ``deadline`` is the
+    ``headers`` are those that are passed on unchanged. ``deadline`` is the
     monotonic time at which the caller stops waiting, ``received_at`` that at
-    which the request's head was in. ``resumes_after`` is the number of the
-    last event that the caller has of a broken stream.
+    which the head of the request was complete. ``resumes_after`` is the
+    number of the last event that the caller has of a broken stream.
     """
 
     exchange: int
@@ -74,10 +74,10 @@
 class AnswerHead:
     """Status and headers of an engine's answer.
 
-    ``sealed`` says whether the engine signed the answer; ``not_run`` whether
-    it promises that it has not run the request and never will. ``engine`` is
-    the engine that answered, where it says so. ``limit`` is what it says of
-    the requests a second that it takes.
+    ``sealed`` tells whether the engine signed the answer; ``not_run`` whether
+    it guarantees that it has not run the request and never will. ``engine``
+    is the identity of the engine if the answer contains it. ``limit`` is the
+    advertised limit in requests per second.
     """
 
     status: int
@@ -91,13 +91,13 @@
 
     @property
     def is_success(self) -> bool:
-        """Return whether the status tells of success."""
+        """Return whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One whole event of a stream, byte for byte; ``number`` counts them."""
+    """One complete event of a stream as raw bytes, with its number."""
 
     number: int
     raw: bytes
@@ -105,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ruling:
-    """What a request's route and account make of it."""
+    """How a request is handled, decided by its route and account."""
 
     route: routes.Route
     service: routes.Service
--- a/src/greengagelb/state/relay/routes.py
+++ b/src/greengagelb/state/relay/routes.py
@@ -1,7 +1,7 @@
 """The configuration of relayed traffic: routes, services, accounts, limits.
 
-A table is built once per configuration version and never changes. Whatever
-holds one sees one version as a whole, never half of the next.
+A table is built once per configuration version and is immutable, so its users
+never see a mixture of two versions.
 """
 
 import dataclasses
@@ -10,7 +10,7 @@
 
 
 class RepeatPolicy(enum.Enum):
-    """What may be done again with requests of a route."""
+    """Whether and how requests of a route may be repeated."""
 
     IDEMPOTENT = 'idempotent'
     AT_MOST_ONCE = 'at-most-once'
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """The part of a route's requests that a service gets."""
+    """The share of a route's requests that a service gets."""
 
     service: str
     weight: float
@@ -27,11 +27,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of one host and path prefix go, and what they may cost.
+    """Destination and limits of the requests of one host and path prefix.
 
-    ``time_limit`` is the longest time a caller is kept waiting and ``goal``
-    the time within which an answer should begin; ``gap_goal`` is the longest
-    pause within a stream that callers do not notice. All in seconds.
+    ``time_limit`` is the maximum time that a caller waits and ``goal`` the
+    time within which an answer should begin; ``gap_goal`` is the longest
+    pause within a stream that callers do not notice. All are in seconds.
     ``priority`` 0 is the most urgent.
     """
 
@@ -58,12 +58,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelEngines:
-    """What the model engines of a service have and can do.
+    """Capacity and capabilities of the model engines of a service.
 
-    ``memory_tokens`` is what one engine's KV memory holds. ``copies`` says
-    whether an engine sends the memory of a run to another one as it grows,
-    ``moves`` whether it does so when told, which then stays there for
-    ``copy_seconds``.
+    ``memory_tokens`` is the capacity of one engine's KV memory. ``copies``
+    tells whether an engine sends the memory of a run to another engine as
+    the run grows, ``moves`` whether it does so on an order; such a copy is
+    kept for ``copy_seconds``.
     """
 
     slots: int
@@ -75,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A set of engines that do the same.
+    """A set of interchangeable engines.
 
     An engine answers a status check at ``health_path`` with its identity.
     """
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, and how long they may take, in seconds."""
+    """Limits for callers' requests, in bytes and in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4 << 20
@@ -98,22 +98,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Account:
-    """A client account; its ``priority``, if any, replaces the route's."""
+    """A client account; its ``priority``, if set, overrides the route's."""
 
     name: str
     priority: int | None = None
 
 
 def hash_api_key(key: str) -> bytes:
-    """Return what is kept of an API key."""
+    """Return the digest under which an API key is stored."""
     return hashlib.sha256(key.encode('utf-8', 'surrogateescape')).digest()
 
 
 class RouteTable:
     """One version of the configuration.
 
-    API keys are kept as digests: a look-up by digest tells nothing through
-    its timing of how much of a guessed key was right.
+    API keys are stored as digests, so that the timing of a lookup does not
+    reveal how much of a guessed key is correct.
     """
 
     def __init__(
@@ -135,14 +135,14 @@
             self.routes_by_host.setdefault(route.host, []).append(route)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path."""
+        """Return the route with the longest prefix that matches a path."""
         for route in self.routes_by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
     def find_account(self, key: str) -> Account | None:
-        """Return the account that holds a key."""
+        """Return the account to which an API key belongs."""
         if self.accounts is None:
             return None
         return self.accounts.get(hash_api_key(key))
--- a/src/greengagelb/state/relay/store_calls.py
+++ b/src/greengagelb/state/relay/store_calls.py
@@ -1,4 +1,4 @@
-"""What this instance has asked of the store, and why."""
+"""Counts this instance's calls to the store by kind and cause."""
 
 import collections
 import dataclasses
@@ -6,7 +6,7 @@
 
 
 class CallKind(enum.Enum):
-    """What a call is about."""
+    """Kind of a call."""
 
     REGISTER = 'register'
     UNREGISTER = 'unregister'
@@ -40,7 +40,7 @@
 
 
 class StoreCalls:
-    """Counts calls: each costs, and what they cost adds up over a fleet."""
+    """Counts store calls, as their cost adds up over a fleet."""
 
     def __init__(self) -> None:
         self.counts: collections.Counter[CountedCall] = collections.Counter()
@@ -50,7 +50,7 @@
         self.counts[CountedCall(call, cause)] += 1
 
     def format_summary(self) -> str:
-        """Return all counts in a line, the largest first."""
+        """Return all counts in one line, largest first."""
         return ', '.join(
             f'{counted.call.value} {counted.cause.value} {number}'
             for counted, number in self.counts.most_common()
--- a/src/greengagelb/state/requests.py
+++ b/src/greengagelb/state/requests.py
@@ -1,4 +1,4 @@
-"""Requests as the decisions see them, and the final answers to them."""
+"""Requests as the decision code sees them, and their final answers."""
 
 import dataclasses
 import enum
@@ -8,10 +8,10 @@
 
 
 class Ran(enum.Enum):
-    """What is known of a request that did not succeed.
+    """Whether a request that did not succeed has run.
 
-    ``NO`` is said only with proof: no byte of the request was ever handed to
-    a transport, or the upstream refused it before starting.
+    ``NO`` requires proof: no byte of the request was ever handed to a
+    transport, or the upstream refused it before it started.
     """
 
     NO = 'not-run'
@@ -23,9 +23,9 @@
 class GenerationRequest:
     """A streamed generation.
 
-    ``exchange`` names the caller's connection within this process. Two
-    connections that ask for the same request are two exchanges, and an
-    answer goes to its exchange only. ``deadline`` is a monotonic time.
+    ``exchange`` identifies the caller's connection within this process. Two
+    connections with the same request are two exchanges, and an answer goes
+    to its own exchange only. ``deadline`` is a monotonic time.
     """
 
     exchange: int
@@ -37,14 +37,14 @@
     has_idempotency_key: bool = False
     """Whether the caller, rather than this process, chose the request id."""
     first_send: bool = False
-    """Whether the caller says that it never sent this key before."""
+    """Whether the caller states that it never sent this key before."""
     priority: configuration.Priority = configuration.Priority.SHORT
-    """The class that the caller asks for; never above its service's."""
+    """The requested priority; limited to that of the service."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallRequest:
-    """A call to a plain service; ``body`` is passed through unread."""
+    """A call to a plain service; ``body`` is passed through unchanged."""
 
     exchange: int
     request: identity.RequestId
@@ -59,13 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ResumePoint:
-    """Where a caller's stream broke off, as its sealed cursor says.
+    """Where a caller's stream was interrupted, as stated by its cursor.
 
-    ``position`` counts the tokens that the caller holds; ``chain`` is the
-    running digest over them, so that tokens of another generation can't be
-    passed off as these. ``engine`` and ``attempt`` tell where the generation
-    ran, ``model``, ``version`` and ``adapter`` what made its tokens, and
-    ``request_digest`` what was asked for.
+    ``position`` is the number of tokens that the caller has; ``chain`` is the
+    running digest over them, so that tokens of another generation are not
+    accepted in their place. ``engine`` and ``attempt`` identify where the
+    generation ran; ``model``, ``version`` and ``adapter`` what generated its
+    tokens; ``request_digest`` the request's content.
     """
 
     request: identity.RequestId
@@ -83,9 +83,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failure:
-    """The final answer to a request that the system has given up on.
+    """The final answer to a request that is not attempted any more.
 
-    ``retry_after`` in seconds is None where coming back does not help.
+    ``retry_after`` is in seconds, or None if a retry would not help.
     """
 
     code: str
--- a/src/greengagelb/state/streams.py
+++ b/src/greengagelb/state/streams.py
@@ -1,4 +1,4 @@
-"""A running generation as the instance that serves it knows it."""
+"""A running generation, as tracked by the instance that serves it."""
 
 import dataclasses
 import hashlib
@@ -16,8 +16,8 @@
 def extend_chain(chain: bytes, tokens: tuple[str, ...]) -> bytes:
     """Return the running digest after ``tokens``; 16 bytes.
 
-    Each token is hashed with its length, so that no two different token
-    sequences share a digest by running together.
+    Each token is hashed with its length, so that token sequences with the
+    same concatenation get different digests.
     """
     for token in tokens:
         token_bytes = token.encode()
@@ -29,10 +29,10 @@
 
 
 def hash_request(request: requests.GenerationRequest) -> bytes:
-    """Return a digest of what a generation was asked for; 16 bytes.
+    """Return a digest of a generation request's content; 16 bytes.
 
-    A caller that comes back with its cursor but another prompt would get the
-    start of one answer and the end of another.
+    Without this check a caller that resumes with another prompt would get the
+    beginning of one answer and the end of another.
     """
     hashed_fields = (request.service, request.prompt, str(request.most_tokens))
     return extend_chain(EMPTY_CHAIN, hashed_fields)
@@ -42,11 +42,12 @@
 class Stream:
     """One exchange's generation.
 
-    ``pool`` is pinned: its model, version and adapter are those of every
-    token in ``tokens``. ``spare`` runs beside a suspected attempt; the first
-    of the two to bring the next token stays. ``recover_by`` is the monotonic
-    time by which output goes on or the final answer is given. ``may_have_run``
-    turns true once an engine may have worked on this request.
+    ``pool`` does not follow configuration changes: its model, version and
+    adapter are those of every token in ``tokens``. ``spare`` runs beside a
+    suspected attempt; the one that delivers the next token first is kept.
+    ``recover_by`` is the monotonic time by which output has to continue,
+    else the final answer is sent. ``may_have_run`` is true once an engine may
+    have worked on this request.
 
     Invariant: ``position`` equals the number of tokens sent to the caller
     and of those kept in ``tokens``; all of them belong to ``generation``.
@@ -73,27 +74,28 @@
 
     @property
     def upstream(self) -> configuration.Upstream | None:
-        """Return where the current attempt runs, if there is one."""
+        """Return the upstream of the current attempt, if there is one."""
         return self.attempt.upstream if self.attempt else None
 
     @property
     def is_complete(self) -> bool:
-        """Return whether no further token was asked for."""
+        """Return whether all requested tokens are there."""
         return self.position >= self.request.most_tokens
 
     @property
     def would_run_twice(self) -> bool:
-        """Return whether a new attempt would repeat what may not repeat.
+        """Return whether a new attempt could run a request twice in error.
 
-        A continuation after the first token is the same generation. Before
-        it nothing tells a continuation from a second run.
+        That applies to services that are not idempotent. A continuation after
+        the first token belongs to the same generation; before the first token
+        a continuation can't be distinguished from a second run.
         """
         before_first_token = not self.position and self.may_have_run
         return before_first_token and not self.service.idempotent
 
     @property
     def execution_status(self) -> requests.Ran:
-        """Return what is known of this stream, should it end now."""
+        """Return whether the request has run, if the stream ended now."""
         if self.position:
             return requests.Ran.YES
         if self.may_have_run or self.active_attempts():
@@ -101,7 +103,7 @@
         return requests.Ran.NO
 
     def append_tokens(self, position: int, tokens: tuple[str, ...]) -> None:
-        """Append tokens that must follow on exactly from what is there."""
+        """Append tokens that must start at the current position."""
         if position != self.position:
             raise errors.InvariantViolated(
                 f'next token position is {self.position}, got {position}'
@@ -110,23 +112,25 @@
         self.chain = extend_chain(self.chain, tokens)
 
     def restart_generation(self, pool: configuration.Pool) -> None:
-        """Begin a new generation; nothing of the old one is kept."""
+        """Begin a new generation and discard the tokens of the old one."""
         if not self.service.idempotent:
-            raise errors.InvariantViolated('restart of what may not repeat')
+            raise errors.InvariantViolated(
+                'restart of a request that is not idempotent'
+            )
         self.generation += 1
         self.pool = pool
         self.tokens.clear()
         self.chain = EMPTY_CHAIN
 
     def active_attempts(self) -> list[attempts.Attempt]:
-        """Return the current attempt and the spare, where there are any."""
+        """Return the current attempt and the spare, as far as they exist."""
         candidates = (self.attempt, self.spare)
         return [attempt for attempt in candidates if attempt is not None]
 
     def find_attempt(
         self, attempt_id: identity.AttemptId
     ) -> attempts.Attempt | None:
-        """Return the attempt of that id, if it still counts."""
+        """Return the current or spare attempt with this id, or None."""
         if self.attempt and self.attempt.attempt_id == attempt_id:
             return self.attempt
         if self.spare and self.spare.attempt_id == attempt_id:
@@ -134,7 +138,7 @@
         return None
 
     def build_resume_point(self) -> requests.ResumePoint:
-        """Return what a caller needs to come back through any instance."""
+        """Return what a caller needs to resume through any instance."""
         attempt = self.attempt
         if attempt is None:
             raise errors.InvariantViolated('no attempt to resume')
--- a/src/greengagelb/state/timeline.py
+++ b/src/greengagelb/state/timeline.py
@@ -1,8 +1,8 @@
-"""Events of the time line that an on-call person reads.
+"""Events of the time line that on-call operators read.
 
-Each automatic act is one event with its reason. Stamps come from a hybrid
-logical clock: the wall clock where clocks agree, a counter where a message
-arrives from a process whose clock runs ahead, so that a cause always sorts
+Each automatic action is one event with its reason. Stamps come from a hybrid
+logical clock: the wall clock, with a counter that orders events after a
+message from a process whose clock is ahead, so that a cause always sorts
 before its effect.
 """
 
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimelineEvent:
-    """One act of one process; ``request`` is empty where none is concerned."""
+    """One action of a process; ``request`` is empty if none is concerned."""
 
     stamp: Stamp
     process: str
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Selection:
-    """Which events a reader wants; an empty string stands for any."""
+    """Filter for events; an empty string matches any value."""
 
     account: str = ''
     request: str = ''
@@ -43,7 +43,7 @@
     most_events: int = 2_000
 
     def matches(self, event: TimelineEvent) -> bool:
-        """Return whether an event is wanted."""
+        """Return whether an event passes the filter."""
         return (
             self.account in ('', event.account)
             and self.request in ('', event.request)
@@ -52,23 +52,23 @@
 
 
 def sort_key(event: TimelineEvent) -> tuple[int, int, str]:
-    """Return what events of several processes are sorted by."""
+    """Return the sort key for events of several processes."""
     stamp = event.stamp
     return stamp.milliseconds, stamp.count, event.process
 
 
 class HybridClock:
-    """Gives stamps that never fall, neither here nor along messages."""
+    """Hybrid logical clock: stamps increase locally and along messages."""
 
     def __init__(self) -> None:
         self.latest = Stamp(0, 0)
 
     def tick(self, wall_milliseconds: int) -> Stamp:
-        """Stamp a local event at this wall clock reading."""
+        """Return the stamp of a local event at this wall clock time."""
         return self.observe(Stamp(0, 0), wall_milliseconds)
 
     def observe(self, remote: Stamp, wall_milliseconds: int) -> Stamp:
-        """Stamp the arrival of a message that carries ``remote``."""
+        """Return the stamp of the arrival of a message stamped ``remote``."""
         latest_known = max(self.latest, remote)
         if wall_milliseconds > latest_known.milliseconds:
             self.latest = Stamp(wall_milliseconds, 0)
@@ -80,9 +80,9 @@
 
 
 class Timeline:
-    """The last events of this process; the oldest are dropped when full.
+    """The latest events of this process; the oldest are dropped when full.
 
-    ``dropped`` counts those, so that a reader knows of the gap.
+    ``dropped`` counts dropped events, so that readers can show the gap.
     """
 
     def __init__(self, most_events: int) -> None:
@@ -92,16 +92,16 @@
         self.dropped = 0
 
     def append_event(self, event: TimelineEvent) -> None:
-        """Keep an event, at the cost of the oldest one."""
+        """Append an event; if full, drop the oldest one."""
         if len(self.events) == self.events.maxlen:
             self.dropped += 1
         self.events.append(event)
 
     def select_events(self, selection: Selection) -> list[TimelineEvent]:
-        """Return the last events that are wanted, oldest first.
+        """Return the latest events that pass the filter, oldest first.
 
-        The choice is made here and not by the reader: the events of a large
-        fleet would be more than a reader can fetch while somebody waits.
+        Events are filtered here and not by the reader, as fetching all events
+        of a large fleet would take too long for an interactive command.
         """
         found: list[TimelineEvent] = []
         for event in reversed(self.events):
--- a/src/greengagelb/state/upstreams.py
+++ b/src/greengagelb/state/upstreams.py
@@ -1,4 +1,4 @@
-"""What an instance knows of an upstream."""
+"""What an instance knows about an upstream."""
 
 import dataclasses
 
@@ -9,14 +9,13 @@
 class UpstreamView:
     """One upstream as seen from this instance; loads are counts of requests.
 
-    ``reported_at`` is a monotonic time; a report older than a few seconds
-    says little. ``probed_at`` is when this instance was last answered by the
-    upstream itself; until then a load may have been passed on by another
-    instance. ``in_flight_at_report`` tells what of the reported load is this
-    instance's own. ``suspected_until`` keeps new work away from an upstream
-    that has just failed, ``failures`` counts such times in a row and
-    ``returned_at`` is when it last came back.
-    ``leaving`` is final for the incarnation.
+    ``reported_at`` is a monotonic time; a report older than a few seconds is
+    of little use. ``probed_at`` is when the upstream last answered this
+    instance directly; loads may also be forwarded by other instances.
+    ``in_flight_at_report`` is this instance's own part of the reported load.
+    Until ``suspected_until`` an upstream that has just failed gets no new
+    work; ``failures`` counts consecutive failures, and ``returned_at`` is
+    when it last recovered. ``leaving`` is final for the incarnation.
     """
 
     upstream: configuration.Upstream
--- a/tests/seam/test_layers.py
+++ b/tests/seam/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go one way, and each layer uses only the libraries it may."""
+"""Layers import only lower layers and their own set of libraries."""
 
 import ast
 import pathlib
@@ -28,7 +28,7 @@
         'zope',
     },
 }
-# A decision that reads a clock, the environment or the global random state
+# Decision code that reads a clock, the environment or global random state
 # can't be replayed from its events.
 FORBIDDEN_IN_DECISIONS = {
     'asyncio',
--- a/tests/timeline/test_order.py
+++ b/tests/timeline/test_order.py
@@ -1,4 +1,4 @@
-"""A cause always sorts before its effect, whatever the clocks say."""
+"""Causes sort before their effects even if clocks of processes differ."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -35,11 +35,10 @@
 
 
 def test_resumed_stream_sorts_after_the_lost_instance(monkeypatch):
-    """The clock of the instance that dies runs ahead of the next one's.
+    """Guards against a time line that shows a resumption before the start.
 
-    The caller brings its cursor to the next instance. Without the stamp in
-    the cursor, an operator would read that the stream was resumed before it
-    had begun.
+    The clock of the lost instance is ahead of that of the next one, which
+    gets the stamp from the caller's cursor.
     """
     wall = recorder.wall_milliseconds()
     ahead = timeline.Stamp(wall + 5_000, 3)
@@ -57,9 +56,9 @@
 
 
 def test_clock_far_ahead_is_not_followed():
-    """A machine's clock is an hour ahead.
+    """Guards against one wrong clock that shifts the stamps of all instances.
 
-    Following it would put an hour into all later stamps of the fleet.
+    The clock of one machine is an hour ahead.
     """
     found = recorder.Recorder('instance-0', 10)
     wall = recorder.wall_milliseconds()
