--- a/measure/in_force.py
+++ b/measure/in_force.py
@@ -55,7 +55,7 @@
     ]
     reader = page_reader.PageReader(reactor)
     began_at = time.monotonic()
-    found = await reader.read_all(addresses)
+    found = await reader.read_all_pages(addresses)
     seconds = time.monotonic() - began_at
     answers = sum(
         isinstance(page, in_force.InstanceReport) for _, page in found
--- a/measure/log_cost.py
+++ b/measure/log_cost.py
@@ -157,10 +157,10 @@
                 site.serve(kind)
             used = time.process_time() - before
             found[name].append(1e6 * used / COUNTS[kind])
-    while lines.waiting:
+    while lines.pending:
         time.sleep(LINE_WAIT_SECONDS)
         lines.flush()
-    return {'times': found, 'left out': lines.dropped_in_all}
+    return {'times': found, 'left out': lines.total_dropped}
 
 
 def excess(times: list[float], without: list[float]) -> float:
--- a/src/greengagelb/cli/demo.py
+++ b/src/greengagelb/cli/demo.py
@@ -151,9 +151,9 @@
     async def configure(self) -> None:
         """Plan and confirm a configuration, and wait until it is in force."""
         intent = plan_state.ReplaceConfiguration(self.fleet.configuration())
-        plan = await self.operators[0].propose(intent)
+        plan = await self.operators[0].propose_plan(intent)
         say(f'planned: {"; ".join(str(step) for step in plan.steps)}')
-        plan = await self.operators[0].confirm(plan.plan_id)
+        plan = await self.operators[0].confirm_plan(plan.plan_id)
         say(f'confirmed: configuration version {plan.result.version}')
         for process in self.fleet.instances.values():
             await self.wait_until_ready(process)
--- a/src/greengagelb/cli/in_force.py
+++ b/src/greengagelb/cli/in_force.py
@@ -121,7 +121,7 @@
     deadline = reactor.seconds() + DEADLINE_SECONDS.value
     last_told = ''
     while True:
-        found = await reader.read_all(addresses)
+        found = await reader.read_all_pages(addresses)
         if wanted is None:
             return in_force.compare_reports(found)
         count = sum(has_it(page, wanted) for _, page in found)
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -47,7 +47,7 @@
 def plan(words: list[str]) -> int:
     """Ask for the plan of an intent; nothing takes effect yet."""
     intent = read_intent()
-    made = ask_first(lambda client: client.propose(intent))
+    made = ask_first(lambda client: client.propose_plan(intent))
     sys.stdout.write(render_plan(made))
     sys.stdout.write(
         'nothing has changed yet; to put it in force:\n'
@@ -59,14 +59,14 @@
 def show_plan(words: list[str]) -> int:
     """Show a plan that was made before."""
     plan_id = one_word(words, 'show-plan PLAN_ID')
-    sys.stdout.write(render_plan(ask_first(lambda c: c.show(plan_id))))
+    sys.stdout.write(render_plan(ask_first(lambda c: c.show_plan(plan_id))))
     return exit_codes.ExitCode.SUCCESS
 
 
 def confirm(words: list[str]) -> int:
     """Put a plan in force."""
     plan_id = one_word(words, 'confirm PLAN_ID')
-    done = ask_first(lambda client: client.confirm(plan_id))
+    done = ask_first(lambda client: client.confirm_plan(plan_id))
     sys.stdout.write(
         f'plan {done.plan_id} is confirmed: configuration version '
         f'{done.result.version}\nsee how far it is in force: '
@@ -86,7 +86,7 @@
             for address in addresses
         ]
         return await operator_client.ask_all(
-            clients, lambda client: client.status()
+            clients, lambda client: client.fetch_status()
         )
 
     answers = running.run_once(ask)
--- a/src/greengagelb/platform/process.py
+++ b/src/greengagelb/platform/process.py
@@ -58,20 +58,23 @@
         wire.PlatformDialect(),
         lambda pool: store.PlatformStore(pool, settings.store.address),
     )
-    running.loop.repeat(LOG_FLUSH_SECONDS, log.flush)
+    running.loop.call_periodically(LOG_FLUSH_SECONDS, log.flush)
     running.stopped.addCallback(lambda _: reactor.stop())
     reactor.callWhenRunning(running.start)
     file = settings_file.WatchedFile(
         path, lambda: running.reload(lambda: read_settings(path))
     )
-    running.loop.repeat(SETTINGS_LOOK_SECONDS, file.look)
+    running.loop.call_periodically(
+        SETTINGS_LOOK_SECONDS, file.check_for_change
+    )
     # A busy loop looks late; the time for a stop counts from the signal.
     signal.signal(
         signal.SIGTERM,
         lambda *_: reactor.callFromThread(running.stop, reactor.seconds()),
     )
     signal.signal(
-        signal.SIGHUP, lambda *_: reactor.callFromThread(file.changed)
+        signal.SIGHUP,
+        lambda *_: reactor.callFromThread(file.handle_change_notice),
     )
     reactor.run(installSignalHandlers=False)
     return 0
--- a/src/greengagelb/standins/engine.py
+++ b/src/greengagelb/standins/engine.py
@@ -127,7 +127,7 @@
 
     def generate(self, request: server.Request) -> object:
         """Start or continue a generation."""
-        answer_limits.write_answer(
+        answer_limits.set_limit_headers(
             request, self.faults.limit, self.incarnation
         )
         order = codec.decode(request.content.read(), engine_api.GenerateOrder)
@@ -146,7 +146,7 @@
 
     def attach(self, request: server.Request) -> object:
         """Stream a known attempt from a position on."""
-        answer_limits.write_answer(
+        answer_limits.set_limit_headers(
             request, self.faults.limit, self.incarnation
         )
         order = codec.decode(request.content.read(), engine_api.AttachOrder)
--- a/src/greengagelb/standins/service.py
+++ b/src/greengagelb/standins/service.py
@@ -58,7 +58,7 @@
     @defer.inlineCallbacks
     def call(self, request: server.Request, operation: str) -> object:
         """Run a call, and answer unless told not to."""
-        answer_limits.write_answer(
+        answer_limits.set_limit_headers(
             request, self.faults.limit, self.incarnation
         )
         account = request.getHeader(service_api.ACCOUNT_HEADER)
--- a/src/greengagelb/transport/body_budget.py
+++ b/src/greengagelb/transport/body_budget.py
@@ -13,7 +13,7 @@
 
 from greengagelb import errors
 
-MOST_ACCOUNT_BYTES = 32 << 20
+MAX_ACCOUNT_BODY_BYTES = 32 << 20
 
 
 class BodyBudget:
@@ -26,20 +26,21 @@
 
     def __init__(self, account_of: Callable[[server.Request], str]) -> None:
         self.account_of = account_of
-        self.held: collections.Counter[str] = collections.Counter()
+        self.held_bytes: collections.Counter[str] = collections.Counter()
 
-    def take(self, account: str, length: int) -> None:
+    def reserve_bytes(self, account: str, length: int) -> None:
         """Count bytes as held; raise where the account holds too many."""
-        if self.held[account] + length > MOST_ACCOUNT_BYTES:
+        if self.held_bytes[account] + length > MAX_ACCOUNT_BODY_BYTES:
             raise errors.AccountBodiesFull(
-                f'{MOST_ACCOUNT_BYTES} bytes of this account are held already'
+                f'{MAX_ACCOUNT_BODY_BYTES} bytes of this account are held '
+                'already'
             )
-        self.held[account] += length
+        self.held_bytes[account] += length
 
-    def give_back(self, account: str, length: int) -> None:
+    def release_bytes(self, account: str, length: int) -> None:
         """Count bytes as no longer held."""
-        self.held[account] -= length
-        if self.held[account] < 0:
+        self.held_bytes[account] -= length
+        if self.held_bytes[account] < 0:
             raise errors.InvariantViolated(f'{account} holds less than none')
-        if not self.held[account]:
-            del self.held[account]
+        if not self.held_bytes[account]:
+            del self.held_bytes[account]
--- a/src/greengagelb/transport/bounded_log.py
+++ b/src/greengagelb/transport/bounded_log.py
@@ -9,13 +9,13 @@
 import json
 import os
 
-MOST_WAITING_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 256 * 1024
 # Lines a second that are written for long, and how many may come at once.
 # Beyond that a burst of failures would spend the processor on its own report.
 LINES_PER_SECOND = 200.0
-MOST_LINES_AT_ONCE = 2_000.0
+MAX_BURST_LINES = 2_000.0
 # The count of lines that were left out is written this often at the most.
-TELL_SECONDS = 1.0
+DROP_REPORT_INTERVAL_SECONDS = 1.0
 
 
 class BoundedLog:
@@ -27,12 +27,12 @@
     def __init__(self, descriptor: int, seconds: Callable[[], float]) -> None:
         self.descriptor = descriptor
         self.seconds = seconds
-        self.waiting = bytearray()
-        self.allowed = MOST_LINES_AT_ONCE
-        self.filled_at = seconds()
-        self.dropped = 0
-        self.dropped_in_all = 0
-        self.tell_at = float('-inf')
+        self.pending = bytearray()
+        self.line_tokens = MAX_BURST_LINES
+        self.refilled_at = seconds()
+        self.unreported_drops = 0
+        self.total_dropped = 0
+        self.next_drop_report_at = float('-inf')
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
@@ -40,45 +40,50 @@
         if text == '\n':
             return
         raw = text.rstrip('\n').encode('utf-8', 'replace') + b'\n'
-        if not self.may_write(len(raw)):
-            self.dropped += 1
-            self.dropped_in_all += 1
+        if not self.take_line_token(len(raw)):
+            self.unreported_drops += 1
+            self.total_dropped += 1
             return
-        if self.dropped and self.filled_at >= self.tell_at:
-            self.tell_dropped()
-        self.waiting += raw
+        if (
+            self.unreported_drops
+            and self.refilled_at >= self.next_drop_report_at
+        ):
+            self.report_dropped_lines()
+        self.pending += raw
         self.flush()
 
-    def may_write(self, size: int) -> bool:
+    def take_line_token(self, size: int) -> bool:
         """Return whether a line of that size is let through now."""
         now = self.seconds()
-        came = (now - self.filled_at) * LINES_PER_SECOND
-        self.allowed = min(MOST_LINES_AT_ONCE, self.allowed + came)
-        self.filled_at = now
-        if self.allowed < 1.0:
+        refill = (now - self.refilled_at) * LINES_PER_SECOND
+        self.line_tokens = min(MAX_BURST_LINES, self.line_tokens + refill)
+        self.refilled_at = now
+        if self.line_tokens < 1.0:
             return False
-        if len(self.waiting) + size > MOST_WAITING_BYTES:
+        if len(self.pending) + size > MAX_PENDING_BYTES:
             return False
-        self.allowed -= 1.0
+        self.line_tokens -= 1.0
         return True
 
-    def tell_dropped(self) -> None:
+    def report_dropped_lines(self) -> None:
         """Add a line that says how many were left out."""
-        line = {'event': 'log-lines-dropped', 'count': self.dropped}
-        self.dropped = 0
-        self.tell_at = self.filled_at + TELL_SECONDS
-        self.waiting += json.dumps(line).encode() + b'\n'
+        line = {'event': 'log-lines-dropped', 'count': self.unreported_drops}
+        self.unreported_drops = 0
+        self.next_drop_report_at = (
+            self.refilled_at + DROP_REPORT_INTERVAL_SECONDS
+        )
+        self.pending += json.dumps(line).encode() + b'\n'
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        while self.waiting:
+        while self.pending:
             try:
-                written = os.write(self.descriptor, self.waiting)
+                written = os.write(self.descriptor, self.pending)
             except BlockingIOError:
                 return
             except OSError:
                 # The reader is gone. What nobody reads need not be kept.
-                self.dropped_in_all += self.waiting.count(b'\n')
-                self.waiting.clear()
+                self.total_dropped += self.pending.count(b'\n')
+                self.pending.clear()
                 return
-            del self.waiting[:written]
+            del self.pending[:written]
--- a/src/greengagelb/transport/caller_app.py
+++ b/src/greengagelb/transport/caller_app.py
@@ -37,7 +37,7 @@
     """A caller's connection that waits for its answer."""
 
     request: server.Request
-    done: defer.Deferred
+    final_answer: defer.Deferred
     service: str
     request_id: str
     stream: caller_stream.CallerStream | None = None
@@ -63,19 +63,21 @@
             lambda request: self.authenticate(request).name
         )
         self.exchanges: dict[int, Exchange] = {}
-        self.numbers = itertools.count(1)
+        self.exchange_numbers = itertools.count(1)
         self.app = klein.Klein()
-        self.app.route('/v1/chat/completions', methods=['POST'])(self.chat)
+        self.app.route('/v1/chat/completions', methods=['POST'])(
+            self.handle_chat
+        )
         self.app.route('/v1/services/<service>/<operation>', methods=['POST'])(
-            self.call
+            self.handle_call
         )
-        problem_handlers.install(
+        problem_handlers.install_problem_handlers(
             self.app, events_recorder.metrics.count_refusal
         )
 
     # -- requests -----------------------------------------------------------
 
-    def chat(self, request: server.Request) -> object:
+    def handle_chat(self, request: server.Request) -> object:
         """Handle a request for a streamed generation."""
         account = self.authenticate(request)
         headers = caller_headers.read_headers(request)
@@ -86,8 +88,8 @@
             f'{message.role}: {message.content}' for message in body.messages
         )
         generation = requests.GenerationRequest(
-            next(self.numbers),
-            identity.RequestId(account.name, self.name_request(headers)),
+            next(self.exchange_numbers),
+            identity.RequestId(account.name, self.choose_request_id(headers)),
             body.model,
             prompt,
             body.max_tokens,
@@ -96,10 +98,12 @@
             headers.first_send,
             headers.priority,
         )
-        event = self.arrival(headers.cursor, generation, tuple(body.received))
-        return self.open(request, generation, event)
+        event = self.event_of_submission(
+            headers.cursor, generation, tuple(body.received)
+        )
+        return self.open_exchange(request, generation, event)
 
-    def arrival(
+    def event_of_submission(
         self,
         cursor: str,
         generation: requests.GenerationRequest,
@@ -118,11 +122,11 @@
         point = sealed.point
         if point.request.account != generation.request.account:
             raise errors.BadCursor('cursor was not sealed here')
-        self.recorder.follow(sealed.stamp)
+        self.recorder.observe_stamp(sealed.stamp)
         resumed = dataclasses.replace(generation, request=point.request)
         return events.GenerationResumed(resumed, point, received)
 
-    def call(
+    def handle_call(
         self, request: server.Request, service: str, operation: str
     ) -> object:
         """Handle a call to a plain service."""
@@ -130,8 +134,8 @@
         headers = caller_headers.read_headers(request)
         caller_headers.check_operation(operation)
         call = requests.CallRequest(
-            next(self.numbers),
-            identity.RequestId(account.name, self.name_request(headers)),
+            next(self.exchange_numbers),
+            identity.RequestId(account.name, self.choose_request_id(headers)),
             service,
             operation,
             request.content.read(),
@@ -140,9 +144,9 @@
             headers.first_send,
             headers.priority,
         )
-        return self.open(request, call, events.CallSubmitted(call))
+        return self.open_exchange(request, call, events.CallSubmitted(call))
 
-    def open(
+    def open_exchange(
         self,
         request: server.Request,
         submitted: requests.GenerationRequest | requests.CallRequest,
@@ -150,15 +154,17 @@
     ) -> defer.Deferred:
         """Keep the connection until its final answer."""
         number = submitted.exchange
-        done: defer.Deferred = defer.Deferred()
+        final_answer: defer.Deferred = defer.Deferred()
         self.exchanges[number] = Exchange(
-            request, done, submitted.service, submitted.request.request
+            request, final_answer, submitted.service, submitted.request.request
+        )
+        request.notifyFinish().addErrback(
+            lambda _: self.report_caller_gone(number)
         )
-        request.notifyFinish().addErrback(lambda _: self.gone(number))
         self.dispatch(event)
-        return done
+        return final_answer
 
-    def gone(self, number: int) -> None:
+    def report_caller_gone(self, number: int) -> None:
         """Tell that a caller's connection is lost."""
         if self.exchanges.pop(number, None) is not None:
             self.dispatch(events.CallerGone(number))
@@ -184,7 +190,7 @@
             raise errors.Unauthenticated('unknown API key')
         return found
 
-    def name_request(self, headers: caller_headers.CallerHeaders) -> str:
+    def choose_request_id(self, headers: caller_headers.CallerHeaders) -> str:
         """Return the request's id: the caller's own, or a fresh one."""
         return headers.idempotency_key or secrets.token_urlsafe(12)
 
@@ -199,7 +205,7 @@
         exchange = self.exchanges.get(action.exchange)
         if exchange is None:
             return
-        stream = self.begin_stream(exchange)
+        stream = self.get_or_open_stream(exchange)
         chunk = caller_api.ChatChunk(
             id=exchange.request_id,
             model=exchange.service,
@@ -213,18 +219,20 @@
         cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
         stream.write(sse.encode_event(codec.encode(chunk), event_id=cursor))
 
-    def begin_stream(self, exchange: Exchange) -> caller_stream.CallerStream:
+    def get_or_open_stream(
+        self, exchange: Exchange
+    ) -> caller_stream.CallerStream:
         """Return the stream, after its headers were set."""
         if exchange.stream is None:
             request = exchange.request
             request.setHeader(b'content-type', b'text/event-stream')
             request.setHeader(b'cache-control', b'no-store')
             exchange.stream = caller_stream.CallerStream(
-                request, lambda: self.cut(request)
+                request, lambda: self.abort_connection(request)
             )
         return exchange.stream
 
-    def cut(self, request: server.Request) -> None:
+    def abort_connection(self, request: server.Request) -> None:
         """Close the connection of a caller that does not read.
 
         What waits in the transport is dropped too: flushing it would wait
@@ -241,7 +249,7 @@
             action.generation, action.reason
         )
         cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
-        self.begin_stream(exchange).write(
+        self.get_or_open_stream(exchange).write(
             sse.encode_event(codec.encode(message), 'restart', cursor)
         )
 
@@ -250,7 +258,7 @@
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
-        stream = self.begin_stream(exchange)
+        stream = self.get_or_open_stream(exchange)
         chunk = caller_api.ChatChunk(
             id=exchange.request_id,
             model=exchange.service,
@@ -263,7 +271,7 @@
         )
         last = sse.encode_event(codec.encode(chunk))
         last += sse.encode_event(b'[DONE]')
-        exchange.done.callback(stream.finish() + last)
+        exchange.final_answer.callback(stream.finish() + last)
 
     def send_failure(self, action: actions.SendFailure) -> None:
         """Give the caller its final answer."""
@@ -273,9 +281,11 @@
         problem = problems.to_problem(action.failure)
         if exchange.stream is not None:
             event = sse.encode_event(codec.encode(problem), 'error')
-            exchange.done.callback(exchange.stream.finish() + event)
+            exchange.final_answer.callback(exchange.stream.finish() + event)
             return
-        exchange.done.callback(http.problem_answer(exchange.request, problem))
+        exchange.final_answer.callback(
+            http.problem_answer(exchange.request, problem)
+        )
 
     def send_answer(self, action: actions.SendAnswer) -> None:
         """Pass on a plain service's answer."""
@@ -283,7 +293,7 @@
         if exchange is None:
             return
         exchange.request.setResponseCode(action.status)
-        exchange.done.callback(action.body)
+        exchange.final_answer.callback(action.body)
 
 
 def health_app(
@@ -291,7 +301,7 @@
 ) -> klein.Klein:
     """Return an app with ``/healthz``, ``/readyz`` and ``/metrics``."""
     app = klein.Klein()
-    problem_handlers.install(app)
+    problem_handlers.install_problem_handlers(app)
 
     @app.route('/healthz')
     def healthz(request: server.Request) -> bytes:
--- a/src/greengagelb/transport/caller_headers.py
+++ b/src/greengagelb/transport/caller_headers.py
@@ -9,16 +9,16 @@
 from greengagelb.state import configuration
 
 DEFAULT_DEADLINE_SECONDS = 600.0
-MOST_DEADLINE_SECONDS = 3600.0
-MOST_KEY_CHARACTERS = 255
-MOST_OPERATION_CHARACTERS = 64
+MAX_DEADLINE_SECONDS = 3600.0
+MAX_KEY_CHARACTERS = 255
+MAX_OPERATION_CHARACTERS = 64
 PRIORITIES = {
     b'': configuration.Priority.SHORT,
     b'short': configuration.Priority.SHORT,
     b'long': configuration.Priority.LONG,
 }
-BEARER = b'Bearer '
-PRINTABLE = frozenset(range(0x21, 0x7F))
+BEARER_PREFIX = b'Bearer '
+PRINTABLE_BYTES = frozenset(range(0x21, 0x7F))
 OPERATION_CHARACTERS = frozenset(string.ascii_letters + string.digits + '-_')
 
 
@@ -46,12 +46,12 @@
         idempotency_key_of(request),
         cursor_of(request),
         deadline_seconds_of(request),
-        single(request, 'X-First-Send') == b'1',
+        read_single_header(request, 'X-First-Send') == b'1',
         priority_of(request),
     )
 
 
-def single(request: server.Request, name: str) -> bytes:
+def read_single_header(request: server.Request, name: str) -> bytes:
     """Return a header's only value, or nothing if it is not there.
 
     Of two values, a proxy on the way and this process may each believe
@@ -65,18 +65,18 @@
 
 def api_key_of(request: server.Request) -> bytes:
     """Return the API key as it was sent; a missing one is empty."""
-    value = single(request, 'Authorization')
-    if not value.startswith(BEARER):
+    value = read_single_header(request, 'Authorization')
+    if not value.startswith(BEARER_PREFIX):
         return b''
-    return value.removeprefix(BEARER)
+    return value.removeprefix(BEARER_PREFIX)
 
 
 def idempotency_key_of(request: server.Request) -> str:
     """Return the caller's name for this request."""
-    raw = single(request, 'Idempotency-Key')
-    if len(raw) > MOST_KEY_CHARACTERS or not PRINTABLE.issuperset(raw):
+    raw = read_single_header(request, 'Idempotency-Key')
+    if len(raw) > MAX_KEY_CHARACTERS or not PRINTABLE_BYTES.issuperset(raw):
         raise errors.BadValue(
-            f'Idempotency-Key: write at most {MOST_KEY_CHARACTERS} printable '
+            f'Idempotency-Key: write at most {MAX_KEY_CHARACTERS} printable '
             'ASCII characters without spaces'
         )
     return raw.decode('ascii')
@@ -84,7 +84,7 @@
 
 def cursor_of(request: server.Request) -> str:
     """Return the id of the last event that the caller holds."""
-    raw = single(request, 'Last-Event-ID')
+    raw = read_single_header(request, 'Last-Event-ID')
     if not raw.isascii():
         raise errors.BadCursor('cursor was not sealed here')
     return raw.decode('ascii')
@@ -92,7 +92,7 @@
 
 def deadline_seconds_of(request: server.Request) -> float:
     """Return how long the caller waits for its answer."""
-    raw = single(request, 'X-Deadline-Seconds')
+    raw = read_single_header(request, 'X-Deadline-Seconds')
     if not raw:
         return DEFAULT_DEADLINE_SECONDS
     try:
@@ -100,10 +100,10 @@
     except ValueError:
         seconds = 0.0
     # Written so that "nan" fails it: no comparison with nan holds.
-    if not 0 < seconds <= MOST_DEADLINE_SECONDS:
+    if not 0 < seconds <= MAX_DEADLINE_SECONDS:
         raise errors.BadValue(
             'X-Deadline-Seconds: write seconds above 0, up to '
-            f'{MOST_DEADLINE_SECONDS:.0f}'
+            f'{MAX_DEADLINE_SECONDS:.0f}'
         )
     return seconds
 
@@ -113,7 +113,7 @@
 
     Without the header it is the highest, which leaves the service's own.
     """
-    raw = single(request, 'X-Priority')
+    raw = read_single_header(request, 'X-Priority')
     if raw not in PRIORITIES:
         raise errors.BadValue('X-Priority: write short or long')
     return PRIORITIES[raw]
@@ -125,9 +125,9 @@
     An operation such as ``..%2Fadmin`` or ``book%3Fforce=1`` would otherwise
     reach paths of a plain service that no client account may call.
     """
-    known = OPERATION_CHARACTERS.issuperset(operation)
-    if not known or not 0 < len(operation) <= MOST_OPERATION_CHARACTERS:
+    is_allowed = OPERATION_CHARACTERS.issuperset(operation)
+    if not is_allowed or not 0 < len(operation) <= MAX_OPERATION_CHARACTERS:
         raise errors.BadValue(
-            f'operation: write at most {MOST_OPERATION_CHARACTERS} letters, '
+            f'operation: write at most {MAX_OPERATION_CHARACTERS} letters, '
             'digits, "-" and "_"'
         )
--- a/src/greengagelb/transport/caller_stream.py
+++ b/src/greengagelb/transport/caller_stream.py
@@ -14,7 +14,7 @@
 from twisted.web import server
 from zope.interface import implementer
 
-MOST_UNSENT_BYTES = 128 << 10
+MAX_UNSENT_BYTES = 128 << 10
 KERNEL_BUFFER_BYTES = 128 << 10
 
 
@@ -41,33 +41,33 @@
     """
 
     def __init__(
-        self, request: server.Request, overrun: Callable[[], None]
+        self, request: server.Request, on_overflow: Callable[[], None]
     ) -> None:
         self.request = request
-        self.overrun = overrun
+        self.on_overflow = on_overflow
         self.unsent: list[bytes] = []
         self.unsent_bytes = 0
-        self.paused = False
-        self.closed = False
+        self.is_paused = False
+        self.is_closed = False
         request.registerProducer(self, True)
 
     def write(self, raw: bytes) -> None:
         """Write bytes, or keep them while the caller does not read."""
-        if self.closed:
+        if self.is_closed:
             return
-        if not self.paused:
+        if not self.is_paused:
             self.request.write(raw)
             return
-        if self.unsent_bytes + len(raw) > MOST_UNSENT_BYTES:
-            self.cut()
+        if self.unsent_bytes + len(raw) > MAX_UNSENT_BYTES:
+            self.abandon_caller()
             return
         self.unsent.append(raw)
         self.unsent_bytes += len(raw)
 
-    def cut(self) -> None:
+    def abandon_caller(self) -> None:
         """Give up on a caller that does not read."""
         self.stopProducing()
-        self.overrun()
+        self.on_overflow()
 
     def finish(self) -> bytes:
         """Return what is still to be written, and end the buffering."""
@@ -78,7 +78,7 @@
 
     def flush(self) -> None:
         """Write what was kept, for as long as the caller reads."""
-        while self.unsent and not self.paused:
+        while self.unsent and not self.is_paused:
             raw = self.unsent.pop(0)
             self.unsent_bytes -= len(raw)
             self.request.write(raw)
@@ -87,15 +87,15 @@
 
     def pauseProducing(self) -> None:  # noqa: N802
         """Keep what comes from now on."""
-        self.paused = True
+        self.is_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
         """Go on writing."""
-        self.paused = False
+        self.is_paused = False
         self.flush()
 
     def stopProducing(self) -> None:  # noqa: N802
         """Forget what was kept: nobody will read it."""
-        self.closed = True
+        self.is_closed = True
         self.unsent.clear()
         self.unsent_bytes = 0
--- a/src/greengagelb/transport/claim_store.py
+++ b/src/greengagelb/transport/claim_store.py
@@ -16,8 +16,8 @@
 from greengagelb.transport import engine_client
 from greengagelb.transport import platform_client
 
-TABLE = 'claims'
-KEPT_SECONDS = 24 * 3600.0
+CLAIM_TABLE = 'claims'
+CLAIM_RETENTION_SECONDS = 24 * 3600.0
 
 
 class ClaimStore:
@@ -32,22 +32,22 @@
         self.dispatch = dispatch
 
     @defer.inlineCallbacks
-    def write(self, action: actions.WriteClaim) -> Any:
+    def write_claim(self, action: actions.WriteClaim) -> Any:
         """Write a claim row; exactly one event answers it.
 
         An answer that makes no sense counts as none. Left to raise, it would
         end up in a log, and the caller would wait until its deadline.
         """
         holder = action.holder
-        expires_at = time.time() + KEPT_SECONDS
+        expires_at = time.time() + CLAIM_RETENTION_SECONDS
         record = dataclasses.replace(action.record, expires_at=expires_at)
         value = codec.encode(record).decode()
         kind = store_budget.RequestKind.DEFERRABLE_WRITE
         if record.stage is claims.ClaimStage.CLAIMED:
             kind = store_budget.RequestKind.WRITE
         try:
-            row = yield self.platform.write(
-                TABLE,
+            row = yield self.platform.write_row(
+                CLAIM_TABLE,
                 action.key,
                 action.expected_version,
                 value,
@@ -56,14 +56,14 @@
             )
             answer = events.ClaimWritten(holder, row.version)
         except errors.VersionConflict as exc:
-            answer = self.conflicted(holder, exc.row)
+            answer = self.event_of_conflict(holder, exc.row)
         except errors.PlatformUnavailable as exc:
             answer = events.ClaimWriteFailed(holder, exc.handed_over)
         except errors.GreengagelbError:
             answer = events.ClaimWriteFailed(holder, True)
         self.dispatch(answer)
 
-    def conflicted(
+    def event_of_conflict(
         self, holder: str, row: platform_api.Row
     ) -> events.ClaimConflicted | events.ClaimWriteFailed:
         """Report the row that stands in the way, if it can be read."""
--- a/src/greengagelb/transport/decision_loop.py
+++ b/src/greengagelb/transport/decision_loop.py
@@ -41,28 +41,30 @@
         events_recorder: recorder.Recorder,
     ) -> None:
         self.reactor = reactor
-        self.node = decisions
+        self.decisions = decisions
         self.carry_out = carry_out
         self.recorder = events_recorder
         self.timers: dict[str, interfaces.IDelayedCall] = {}
-        self.backlog: collections.deque[events.Event] = collections.deque()
-        self.busy = False
+        self.pending_events: collections.deque[events.Event] = (
+            collections.deque()
+        )
+        self.is_dispatching = False
 
     # -- events -------------------------------------------------------------
 
     def dispatch(self, event: events.Event) -> None:
         """Have an event decided on, after those that came before it."""
-        self.backlog.append(event)
-        if self.busy:
+        self.pending_events.append(event)
+        if self.is_dispatching:
             return
-        self.busy = True
+        self.is_dispatching = True
         try:
-            while self.backlog:
-                self.decide(self.backlog.popleft())
+            while self.pending_events:
+                self.process_event(self.pending_events.popleft())
         finally:
-            self.busy = False
+            self.is_dispatching = False
 
-    def decide(self, event: events.Event) -> None:
+    def process_event(self, event: events.Event) -> None:
         """Decide on one event and carry out what follows.
 
         An error in here is this program's own. Events come from within HTTP
@@ -70,7 +72,7 @@
         connection to whatever upstream the event came from.
         """
         try:
-            for action in self.node.handle(event, self.reactor.seconds()):
+            for action in self.decisions.handle(event, self.reactor.seconds()):
                 self.carry_out(action)
         except Exception:
             recorder.log.exception('decision-failed', event_kind=repr(event))
@@ -85,7 +87,7 @@
         if pending is not None and pending.active():
             pending.reset(wait)
             return
-        self.timers[name] = self.reactor.callLater(wait, self.fire, name)
+        self.timers[name] = self.reactor.callLater(wait, self.fire_timer, name)
 
     def clear_timer(self, name: str) -> None:
         """Forget a timer."""
@@ -93,14 +95,16 @@
         if pending is not None and pending.active():
             pending.cancel()
 
-    def fire(self, name: str) -> None:
+    def fire_timer(self, name: str) -> None:
         """Report that a timer is due."""
         del self.timers[name]
         self.dispatch(events.TimerFired(name))
 
     # -- what is done now and again -----------------------------------------
 
-    def repeat(self, seconds: float, function: Callable[[], object]) -> None:
+    def call_periodically(
+        self, seconds: float, function: Callable[[], object]
+    ) -> None:
         """Call a function now and again, as long as the process lives.
 
         A looping call ends for good at the first error. An instance whose
@@ -109,13 +113,15 @@
         """
 
         def call() -> defer.Deferred:
-            return defer.maybeDeferred(function).addErrback(self.failed)
+            return defer.maybeDeferred(function).addErrback(
+                self.log_unhandled_error
+            )
 
         looping = task.LoopingCall(call)
         looping.clock = self.reactor
         looping.start(seconds)
 
-    def failed(self, why: failure.Failure) -> None:
+    def log_unhandled_error(self, why: failure.Failure) -> None:
         """Log an error of this program itself."""
         recorder.log.error('unhandled', detail=why.getTraceback())
         self.recorder.metrics.decision_errors += 1
--- a/src/greengagelb/transport/engine_client.py
+++ b/src/greengagelb/transport/engine_client.py
@@ -19,8 +19,8 @@
 from greengagelb.transport import answer_limits
 from greengagelb.transport import http
 
-CONTROL_SECONDS = 1.0
-RELAY_SECONDS = 0.01
+CONTROL_TIMEOUT_SECONDS = 1.0
+RELAY_INTERVAL_SECONDS = 0.01
 Dispatch = Callable[[events.Event], None]
 
 
@@ -40,63 +40,69 @@
         self,
         attempt: identity.AttemptId,
         dispatch: Dispatch,
-        gather: Callable[['EngineStream'], bool],
-        forget: Callable[['EngineStream'], None],
+        delay_relay: Callable[['EngineStream'], bool],
+        forget_stream: Callable[['EngineStream'], None],
     ) -> None:
         self.attempt = attempt
         self.dispatch = dispatch
-        self.gather = gather
-        self.forget = forget
-        self.gathered: list[str] = []
-        self.gathered_position = 0
-        self.reader = sse.EventReader()
-        self.closed = False
+        self.delay_relay = delay_relay
+        self.forget_stream = forget_stream
+        self.pending_tokens: list[str] = []
+        self.pending_position = 0
+        self.event_reader = sse.EventReader()
+        self.is_closed = False
         self.collector: http.BodyCollector | None = None
-        self.waiting: defer.Deferred | None = None
+        self.pending_response: defer.Deferred | None = None
 
-    def open(self, answer: 'defer.Deferred[iweb.IResponse]') -> None:
+    def follow_response(
+        self, answer: 'defer.Deferred[iweb.IResponse]'
+    ) -> None:
         """Follow a request that is under way."""
-        self.waiting = answer
-        answer.addCallbacks(self.answered, self.failed)
-        answer.addErrback(self.failed)
+        self.pending_response = answer
+        answer.addCallbacks(self.handle_response, self.report_broken)
+        answer.addErrback(self.report_broken)
 
-    def answered(self, response: iweb.IResponse) -> object:
+    def handle_response(self, response: iweb.IResponse) -> object:
         """Read the event stream, or the refusal."""
-        self.waiting = None
-        if self.closed:
+        self.pending_response = None
+        if self.is_closed:
             return None
         if response.code != web_http.OK:
             return http.read_whole_body(response).addCallback(
-                self.refused, response
+                self.report_refusal, response
             )
-        said = answer_limits.read_answer(response.headers)
-        self.report(events.AttemptAccepted(self.attempt, said))
-        self.collector = http.BodyCollector(self.receive, self.failed)
+        said = answer_limits.read_limit_headers(response.headers)
+        self.report_event(events.AttemptAccepted(self.attempt, said))
+        self.collector = http.BodyCollector(
+            self.receive_bytes, self.report_broken
+        )
         response.deliverBody(self.collector)
         return None
 
-    def refused(self, raw: bytes, response: iweb.IResponse) -> None:
+    def report_refusal(self, raw: bytes, response: iweb.IResponse) -> None:
         """Report that the engine did not start the attempt."""
         try:
             refusal = codec.decode(raw, engine_api.Refusal)
         except errors.ProtocolError:
             refusal = engine_api.Refusal(f'status-{response.code}', '')
-        self.report(
+        self.report_event(
             events.AttemptRefused(
                 self.attempt,
                 refusal.code,
                 refusal.retry_after,
-                answer_limits.read_answer(response.headers),
+                answer_limits.read_limit_headers(response.headers),
             )
         )
 
-    def receive(self, raw: bytes) -> None:
+    def receive_bytes(self, raw: bytes) -> None:
         """Report the events that have come in whole."""
         try:
-            for event in self.reader.feed(raw):
+            for event in self.event_reader.feed(raw):
                 self.receive_event(event)
         except errors.ProtocolError as exc:
-            self.report(events.AttemptBroken(self.attempt, str(exc), True))
+            self.report_event(
+                events.AttemptBroken(self.attempt, str(exc), True)
+            )
             self.close()
 
     def receive_event(self, event: sse.ServerSentEvent) -> None:
@@ -104,12 +110,12 @@
         match event.kind:
             case 'tokens':
                 batch = codec.decode(event.data, engine_api.TokenBatch)
-                self.check(batch.generation, batch.attempt)
+                self.check_attempt(batch.generation, batch.attempt)
                 self.receive_tokens(batch)
             case 'ended':
                 ended = codec.decode(event.data, engine_api.AttemptEnded)
-                self.check(ended.generation, ended.attempt)
-                self.report(
+                self.check_attempt(ended.generation, ended.attempt)
+                self.report_event(
                     events.AttemptEnded(
                         self.attempt, ended.position, ended.reason
                     )
@@ -122,43 +128,43 @@
         Most of the cost of relaying is paid per event, not per token, so an
         engine whose steps are short would cost a multiple of what it has to.
         """
-        if batch.position != self.gathered_position + len(self.gathered):
-            self.flush()
-            self.gathered_position = batch.position
-        self.gathered += batch.tokens
-        if not self.gather(self):
-            self.flush()
-
-    def flush(self) -> None:
+        if batch.position != self.pending_position + len(self.pending_tokens):
+            self.relay_pending_tokens()
+            self.pending_position = batch.position
+        self.pending_tokens += batch.tokens
+        if not self.delay_relay(self):
+            self.relay_pending_tokens()
+
+    def relay_pending_tokens(self) -> None:
         """Report the tokens that were gathered."""
-        if not self.gathered:
+        if not self.pending_tokens:
             return
-        tokens, self.gathered = tuple(self.gathered), []
-        position = self.gathered_position
-        self.gathered_position += len(tokens)
-        if not self.closed:
+        tokens, self.pending_tokens = tuple(self.pending_tokens), []
+        position = self.pending_position
+        self.pending_position += len(tokens)
+        if not self.is_closed:
             self.dispatch(events.TokensArrived(self.attempt, position, tokens))
 
-    def set_reading(self, wanted: bool) -> None:
+    def set_reading(self, is_wanted: bool) -> None:
         """Pause or resume the reading of the event stream."""
         transport = self.collector.transport if self.collector else None
-        if self.closed or transport is None:
+        if self.is_closed or transport is None:
             return
-        if wanted:
+        if is_wanted:
             transport.resumeProducing()
         else:
             transport.pauseProducing()
 
-    def check(self, generation: int, attempt: str) -> None:
+    def check_attempt(self, generation: int, attempt: str) -> None:
         """Refuse what another attempt's stream has brought here."""
         mine = (self.attempt.generation, self.attempt.attempt)
         if (generation, attempt) != mine:
             raise errors.ProtocolError(f'tokens of attempt {attempt}')
 
-    def failed(self, why: failure.Failure) -> None:
+    def report_broken(self, why: failure.Failure) -> None:
         """Report that the connection ended before the generation did."""
-        self.waiting = None
-        self.report(
+        self.pending_response = None
+        self.report_event(
             events.AttemptBroken(
                 self.attempt,
                 why.type.__name__,
@@ -166,21 +172,21 @@
             )
         )
 
-    def report(self, event: events.Event) -> None:
+    def report_event(self, event: events.Event) -> None:
         """Pass an event on, unless this connection was abandoned.
 
         Tokens that were gathered go first: the event may end the attempt.
         """
-        self.flush()
-        if not self.closed:
+        self.relay_pending_tokens()
+        if not self.is_closed:
             self.dispatch(event)
 
     def close(self) -> None:
         """Abandon the connection."""
-        self.closed = True
-        self.forget(self)
-        if self.waiting is not None:
-            self.waiting.cancel()
+        self.is_closed = True
+        self.forget_stream(self)
+        if self.pending_response is not None:
+            self.pending_response.cancel()
         if self.collector is not None:
             self.collector.abort()
 
@@ -196,10 +202,10 @@
         self.agent = http.fresh_connection_agent(reactor)
         self.treq = http.direct_client(self.agent)
         self.open_streams: dict[identity.AttemptId, EngineStream] = {}
-        self.gathering: set[EngineStream] = set()
+        self.delayed_streams: set[EngineStream] = set()
         self.relayed_at = float('-inf')
 
-    def start(self, action: actions.StartAttempt) -> None:
+    def start_attempt(self, action: actions.StartAttempt) -> None:
         """Order a generation."""
         attempt = action.attempt
         order = engine_api.GenerateOrder(
@@ -216,9 +222,11 @@
             priority=int(action.priority),
             deadline_seconds=action.deadline - self.reactor.seconds(),
         )
-        self.stream(attempt, url_of(action.upstream, '/v1/generate'), order)
+        self.open_stream(
+            attempt, url_of(action.upstream, '/v1/generate'), order
+        )
 
-    def attach(self, action: actions.AttachAttempt) -> None:
+    def attach_attempt(self, action: actions.AttachAttempt) -> None:
         """Follow an attempt that already runs, over a new connection."""
         attempt = action.attempt
         order = engine_api.AttachOrder(
@@ -228,74 +236,78 @@
             attempt=attempt.attempt,
             position=action.position,
         )
-        self.stream(attempt, url_of(action.upstream, '/v1/attach'), order)
+        self.open_stream(attempt, url_of(action.upstream, '/v1/attach'), order)
 
-    def stream(
+    def open_stream(
         self, attempt: identity.AttemptId, url: str, order: object
     ) -> None:
         """Open the one connection of an attempt, in place of an older one."""
         self.close(attempt)
-        opened = EngineStream(attempt, self.dispatch, self.gather, self.forget)
-        self.open_streams[attempt] = opened
-        opened.open(
+        stream = EngineStream(
+            attempt, self.dispatch, self.delay_relay, self.forget_stream
+        )
+        self.open_streams[attempt] = stream
+        stream.follow_response(
             self.treq.post(url, data=codec.encode(order), unbuffered=True)
         )
 
-    def gather(self, opened: EngineStream) -> bool:
+    def delay_relay(self, stream: EngineStream) -> bool:
         """Return whether a stream's tokens should wait for the next relay.
 
         The first tokens after a quiet time go on at once; while tokens keep
         coming, all streams are read and relayed together every
         ``RELAY_SECONDS``.
         """
-        if not self.gathering:
+        if not self.delayed_streams:
             now = self.reactor.seconds()
-            due_at = self.relayed_at + RELAY_SECONDS
+            due_at = self.relayed_at + RELAY_INTERVAL_SECONDS
             if now >= due_at:
                 self.relayed_at = now
                 return False
-            self.reactor.callLater(due_at - now, self.read_gathering)
-        self.gathering.add(opened)
+            self.reactor.callLater(due_at - now, self.resume_reading)
+        self.delayed_streams.add(stream)
         return True
 
-    def read_gathering(self) -> None:
+    def resume_reading(self) -> None:
         """Read what has come in on the connections that were paused.
 
         Each read costs about as much as all else that a token needs. Between
         two relays the connections are paused, so that one read brings all
         tokens of the time between.
         """
-        for opened in self.gathering:
-            opened.set_reading(True)
-        self.reactor.callLater(0, self.relay)
+        for stream in self.delayed_streams:
+            stream.set_reading(True)
+        self.reactor.callLater(0, self.relay_delayed_streams)
 
-    def relay(self) -> None:
+    def relay_delayed_streams(self) -> None:
         """Report what all streams have gathered, then pause them."""
         self.relayed_at = self.reactor.seconds()
-        gathered = [o for o in self.gathering if o.gathered]
-        self.gathering = set(gathered)
-        for opened in gathered:
-            opened.flush()
-            opened.set_reading(False)
-        if gathered:
-            self.reactor.callLater(RELAY_SECONDS, self.read_gathering)
+        streams_with_tokens = [
+            o for o in self.delayed_streams if o.pending_tokens
+        ]
+        self.delayed_streams = set(streams_with_tokens)
+        for stream in streams_with_tokens:
+            stream.relay_pending_tokens()
+            stream.set_reading(False)
+        if streams_with_tokens:
+            self.reactor.callLater(RELAY_INTERVAL_SECONDS, self.resume_reading)
 
     def close(self, attempt: identity.AttemptId) -> None:
         """Abandon the connection of an attempt, if there is one."""
-        opened = self.open_streams.get(attempt)
-        if opened is not None:
-            opened.close()
+        stream = self.open_streams.get(attempt)
+        if stream is not None:
+            stream.close()
 
-    def forget(self, opened: EngineStream) -> None:
+    def forget_stream(self, stream: EngineStream) -> None:
         """Forget a connection that is over, for whatever reason.
 
         One that was replaced by another of its attempt is not known here
         any more.
         """
-        if self.open_streams.get(opened.attempt) is opened:
-            del self.open_streams[opened.attempt]
+        if self.open_streams.get(stream.attempt) is stream:
+            del self.open_streams[stream.attempt]
 
-    def cancel(self, action: actions.CancelAttempt) -> None:
+    def cancel_attempt(self, action: actions.CancelAttempt) -> None:
         """Have the engine stop an attempt, and report whether it did."""
         attempt = action.attempt
         self.close(attempt)
@@ -306,7 +318,7 @@
             attempt=attempt.attempt,
         )
         url = url_of(action.upstream, '/v1/cancel')
-        answer = self.control(
+        answer = self.read_control_answer(
             self.treq.post(url, data=codec.encode(order)),
             engine_api.CancelAnswer,
         )
@@ -315,23 +327,23 @@
             lambda _: self.dispatch(events.CancelFailed(attempt)),
         )
 
-    def probe(self, action: actions.ProbeUpstream) -> None:
+    def probe_upstream(self, action: actions.ProbeUpstream) -> None:
         """Ask an upstream for its report."""
         upstream = action.upstream
-        answer = self.control(
+        answer = self.read_control_answer(
             self.treq.get(url_of(upstream, '/v1/report')),
             engine_api.EngineReport,
         )
         answer.addCallbacks(
-            self.reported,
+            self.dispatch_report,
             lambda why: self.dispatch(
                 events.UpstreamUnreachable(
-                    upstream.name, http.was_refused(why)
+                    upstream.name, http.was_connection_refused(why)
                 )
             ),
         )
 
-    def reported(self, report: engine_api.EngineReport) -> None:
+    def dispatch_report(self, report: engine_api.EngineReport) -> None:
         """Pass a report on as an event."""
         self.dispatch(
             events.UpstreamReported(
@@ -347,7 +359,7 @@
             )
         )
 
-    def control(
+    def read_control_answer(
         self, answer: 'defer.Deferred[iweb.IResponse]', kind: type
     ) -> defer.Deferred:
         """Return the decoded answer to a short order, within its time."""
@@ -360,4 +372,4 @@
 
         answer.addCallback(read)
         answer.addCallback(codec.decode, kind)
-        return answer.addTimeout(CONTROL_SECONDS, self.reactor)
+        return answer.addTimeout(CONTROL_TIMEOUT_SECONDS, self.reactor)
--- a/src/greengagelb/transport/http.py
+++ b/src/greengagelb/transport/http.py
@@ -26,13 +26,13 @@
 from greengagelb.state import requests
 
 CONNECT_SECONDS = 0.5
-MOST_BODY_BYTES = 4 << 20
+MAX_BODY_BYTES = 4 << 20
 TOO_MANY_REQUESTS = 429
 
 
 @interface.implementer(iweb.IAgentEndpointFactory)
 @dataclasses.dataclass(frozen=True, slots=True)
-class IPNumberEndpointFactory:
+class IPAddressEndpointFactory:
     """Connects to IP numbers directly.
 
     The agent's own choice resolves names and races several addresses. It
@@ -68,7 +68,7 @@
     """
     pool = client.HTTPConnectionPool(reactor, persistent=False)
     pool.retryAutomatically = False
-    factory = IPNumberEndpointFactory(reactor, connect_seconds)
+    factory = IPAddressEndpointFactory(reactor, connect_seconds)
     return client.Agent.usingEndpointFactory(reactor, factory, pool)
 
 
@@ -94,8 +94,8 @@
     Shared by all requests, it would hand what a service set in its answer to
     one client account on to the calls of another.
     """
-    nobody = cookiejar.DefaultCookiePolicy(allowed_domains=())
-    jar = treq_cookies.IndexableCookieJar(policy=nobody)
+    no_domains = cookiejar.DefaultCookiePolicy(allowed_domains=())
+    jar = treq_cookies.IndexableCookieJar(policy=no_domains)
     return DirectClient(agent, cookiejar=jar)
 
 
@@ -107,7 +107,7 @@
     return why.check(error.ConnectError, error.DNSLookupError) is None
 
 
-def was_refused(why: failure.Failure) -> bool:
+def was_connection_refused(why: failure.Failure) -> bool:
     """Return whether nobody listened at the address."""
     return why.check(error.ConnectionRefusedError) is not None
 
@@ -117,24 +117,24 @@
 
     def __init__(
         self,
-        receive: Callable[[bytes], None],
-        lost: Callable[[failure.Failure], None],
+        on_data: Callable[[bytes], None],
+        on_end: Callable[[failure.Failure], None],
     ) -> None:
-        self.receive = receive
-        self.lost = lost
-        self.aborted = False
+        self.on_data = on_data
+        self.on_end = on_end
+        self.is_aborted = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
         """Pass bytes on, unless nobody wants them any more."""
-        if not self.aborted:
-            self.receive(data)
+        if not self.is_aborted:
+            self.on_data(data)
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
         """Tell that the body is over; ``ResponseDone`` if it is whole."""
-        if not self.aborted:
-            self.lost(reason)
+        if not self.is_aborted:
+            self.on_end(reason)
 
     def abort(self) -> None:
         """Close the connection and report nothing more.
@@ -144,12 +144,12 @@
         the connection stayed open for as long as the peer liked. Nothing is
         left to be written here, so losing it closes it at once.
         """
-        self.aborted = True
+        self.is_aborted = True
         if self.transport is not None:
             self.transport.loseConnection()
 
 
-def set_json(request: server.Request, status: int) -> None:
+def set_json_headers(request: server.Request, status: int) -> None:
     """Prepare a JSON answer."""
     request.setResponseCode(status)
     request.setHeader(b'content-type', b'application/json')
@@ -159,7 +159,7 @@
     request: server.Request, message: object, status: int = http.OK
 ) -> bytes:
     """Return a message as the body of an answer."""
-    set_json(request, status)
+    set_json_headers(request, status)
     return codec.encode(message)
 
 
@@ -177,10 +177,10 @@
     return body
 
 
-def refuse(request: server.Request, code: str, detail: str) -> bytes:
+def refusal_answer(request: server.Request, code: str, detail: str) -> bytes:
     """Return the answer to a request that was refused and did not run."""
-    failure_state = requests.Failure(code, requests.Ran.NO, detail)
-    return problem_answer(request, problems.to_problem(failure_state))
+    refusal = requests.Failure(code, requests.Ran.NO, detail)
+    return problem_answer(request, problems.to_problem(refusal))
 
 
 class BoundedBody:
@@ -190,39 +190,39 @@
     that is longer, or that ends before its announced length, fails it.
     """
 
-    def __init__(self, response: iweb.IResponse, most_bytes: int) -> None:
-        self.most_bytes = most_bytes
-        self.pieces: list[bytes] = []
+    def __init__(self, response: iweb.IResponse, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.chunks: list[bytes] = []
         self.length = 0
-        self.collector = BodyCollector(self.received, self.ended)
-        self.whole: defer.Deferred[bytes] = defer.Deferred(
+        self.collector = BodyCollector(self.receive_chunk, self.handle_end)
+        self.complete_body: defer.Deferred[bytes] = defer.Deferred(
             lambda _: self.collector.abort()
         )
         response.deliverBody(self.collector)
 
-    def received(self, data: bytes) -> None:
+    def receive_chunk(self, data: bytes) -> None:
         """Keep bytes, or give up where there are too many."""
-        self.pieces.append(data)
+        self.chunks.append(data)
         self.length += len(data)
-        if self.length > self.most_bytes:
+        if self.length > self.max_bytes:
             self.collector.abort()
-            self.whole.errback(
-                errors.TransportError(f'body above {self.most_bytes} bytes')
+            self.complete_body.errback(
+                errors.TransportError(f'body above {self.max_bytes} bytes')
             )
 
-    def ended(self, why: failure.Failure) -> None:
+    def handle_end(self, why: failure.Failure) -> None:
         """Hand the body on, if it is whole."""
         if why.check(client.ResponseDone):
-            self.whole.callback(b''.join(self.pieces))
+            self.complete_body.callback(b''.join(self.chunks))
         else:
-            self.whole.errback(why)
+            self.complete_body.errback(why)
 
 
 def read_whole_body(
-    response: iweb.IResponse, most_bytes: int = MOST_BODY_BYTES
+    response: iweb.IResponse, max_bytes: int = MAX_BODY_BYTES
 ) -> 'defer.Deferred[bytes]':
     """Return the body of a response, bounded; cancelling closes it."""
-    return BoundedBody(response, most_bytes).whole
+    return BoundedBody(response, max_bytes).complete_body
 
 
 def discard_body(response: iweb.IResponse) -> None:
--- a/src/greengagelb/transport/instance.py
+++ b/src/greengagelb/transport/instance.py
@@ -37,9 +37,9 @@
 from greengagelb.transport import service_client
 from greengagelb.transport import serving
 
-PULSE_SECONDS = 0.1
-PAUSE_SECONDS = 0.25
-PROBE_SECONDS = 1.0
+PAUSE_CHECK_INTERVAL_SECONDS = 0.1
+PAUSE_THRESHOLD_SECONDS = 0.25
+PROBE_INTERVAL_SECONDS = 1.0
 LIST_POLL_JITTER = (0.5, 1.5)
 
 
@@ -98,45 +98,53 @@
             self.dispatch,
             self.recorder.record,
         )
-        self.watch = probe_assignment.ProbeAssignment(
+        self.probes = probe_assignment.ProbeAssignment(
             self.incarnation, instance_settings.instance.data_centre
         )
         self.sites: list[listening.DrainingFactory] = []
         self.ports: list[interfaces.IListeningPort] = []
-        self.finishing = False
-        self.last_pulse = reactor.seconds()
-        self.settings_since = reactor.seconds()
-        self.next_list_poll = reactor.seconds()
+        self.is_finishing = False
+        self.last_pause_check_at = reactor.seconds()
+        self.settings_applied_at = reactor.seconds()
+        self.next_list_poll_at = reactor.seconds()
         self.stopped: defer.Deferred = defer.Deferred()
 
     # -- life ---------------------------------------------------------------
 
     def start(self) -> None:
         """Open the ports and begin to poll."""
-        place = self.settings.instance
+        own_settings = self.settings.instance
         health = caller_app.health_app(
             lambda: self.node.is_ready, self.recorder.metrics.render
         )
         self.callers.app.route('/', branch=True)(
             lambda request: health.resource()
         )
-        self.listen(place.caller_port, self.callers.app, self.callers.budget)
+        self.listen(
+            own_settings.caller_port, self.callers.app, self.callers.budget
+        )
         operators = operator_app.OperatorApp(
             self.plans,
             self.settings.secrets.operator_key_digest,
             self.status,
             self.recorder,
-            self.plan_confirmed,
+            self.apply_confirmed_plan,
             self.running_by_upstream,
         )
-        self.listen(place.operator_port, operators.app)
+        self.listen(own_settings.operator_port, operators.app)
         self.peers.start()
-        self.loop.repeat(PULSE_SECONDS, self.pulse)
-        self.loop.repeat(
-            self.settings.peers.heartbeat_seconds, self.tell_peers
+        self.loop.call_periodically(
+            PAUSE_CHECK_INTERVAL_SECONDS, self.check_own_pause
+        )
+        self.loop.call_periodically(
+            self.settings.peers.heartbeat_seconds, self.send_heartbeats
+        )
+        self.loop.call_periodically(
+            PROBE_INTERVAL_SECONDS, self.probe_upstreams
+        )
+        self.loop.call_periodically(
+            self.settings.platform.poll_seconds, self.poll_platform
         )
-        self.loop.repeat(PROBE_SECONDS, self.probe_upstreams)
-        self.loop.repeat(self.settings.platform.poll_seconds, self.poll)
 
     def listen(
         self,
@@ -157,20 +165,20 @@
         caller_stream.bound_kernel_buffer(listener)
         self.ports.append(listener)
 
-    def pulse(self) -> None:
+    def check_own_pause(self) -> None:
         """Notice when this process itself stood still.
 
         Nothing else tells a stopped process that it was stopped: to it, all
         upstreams seem to have fallen silent at the same moment.
         """
         now = self.reactor.seconds()
-        late = now - self.last_pulse - PULSE_SECONDS
-        self.last_pulse = now
-        if late > PAUSE_SECONDS:
-            self.peers.pause_noticed(late)
-            self.orders.pause_noticed()
+        late = now - self.last_pause_check_at - PAUSE_CHECK_INTERVAL_SECONDS
+        self.last_pause_check_at = now
+        if late > PAUSE_THRESHOLD_SECONDS:
+            self.peers.handle_own_pause(late)
+            self.orders.handle_own_pause()
             self.dispatch(events.PauseDetected(late))
-        self.peers.own_changed(self.own_state())
+        self.peers.update_own_state(self.own_state())
 
     def own_state(self) -> fleet.OwnState:
         """Return what other instances should know of this one."""
@@ -182,7 +190,7 @@
                 for name, view in self.node.directory.views.items()
                 if view.leaving and view.incarnation
             ),
-            self.orders.held,
+            self.orders.held_engines,
             self.node.guard.sorted_suspects(),
         )
 
@@ -190,21 +198,21 @@
         """Ask the upstreams that this instance watches for their reports."""
         now = self.reactor.seconds()
         members = self.peers.membership
-        wanted = self.watch.upstreams_to_probe(
+        wanted = self.probes.upstreams_to_probe(
             self.node.directory.views, members.live_incarnations(now), now
         )
-        for upstream in {*wanted, *self.orders.watched()}:
-            self.engines.probe(actions.ProbeUpstream(upstream))
+        for upstream in {*wanted, *self.orders.engines_to_probe()}:
+            self.engines.probe_upstream(actions.ProbeUpstream(upstream))
         self.orders.tick(members.live_incarnations(now))
 
-    def tell_peers(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send the regular heartbeats, with the loads known here."""
         now = self.reactor.seconds()
         self.peers.membership.loads = self.node.directory.own_loads(now)
         self.peers.tick()
 
     @defer.inlineCallbacks
-    def poll(self) -> object:
+    def poll_platform(self) -> object:
         """Fetch the configuration and the instance list from the platform."""
         try:
             configuration = yield self.plans.read_configuration(
@@ -214,29 +222,29 @@
                 self.dispatch(
                     events.ConfigurationOffered(configuration, 'platform')
                 )
-            yield self.poll_list()
+            yield self.poll_instance_list()
         except errors.GreengagelbError:
             return
 
     @defer.inlineCallbacks
-    def poll_list(self) -> object:
+    def poll_instance_list(self) -> object:
         """Fetch the platform's list of instances, if it is time to.
 
         The list grows with the fleet, and whoever sees something in it tells
         the others. So the instances of a data centre take turns: the more of
         them there are, the more seldom each one reads it.
         """
-        if self.reactor.seconds() < self.next_list_poll:
+        if self.reactor.seconds() < self.next_list_poll_at:
             return
         instances = yield self.platform.list_instances()
-        turns = self.peers.membership.count_live_instances(
+        live_instances = self.peers.membership.count_live_instances(
             self.reactor.seconds()
         )
-        seconds = self.settings.platform.poll_seconds * turns / 2
-        self.next_list_poll = self.reactor.seconds() + seconds * (
+        seconds = self.settings.platform.poll_seconds * live_instances / 2
+        self.next_list_poll_at = self.reactor.seconds() + seconds * (
             random.uniform(*LIST_POLL_JITTER)
         )
-        self.peers.listed(instances)
+        self.peers.apply_instance_list(instances)
 
     def running_by_upstream(self) -> dict[str, int]:
         """Return how many requests run on each upstream, as far as known."""
@@ -245,7 +253,7 @@
             for name, view in self.node.directory.views.items()
         }
 
-    def plan_confirmed(self, plan: plan_state.Plan) -> None:
+    def apply_confirmed_plan(self, plan: plan_state.Plan) -> None:
         """Apply what an operator has just confirmed here."""
         self.dispatch(events.ConfigurationOffered(plan.result, plan.plan_id))
 
@@ -274,14 +282,16 @@
 
     def sample(self) -> metrics.Sample:
         """Return what a scrape shows of this instance's state."""
-        place = self.settings.instance
+        own_settings = self.settings.instance
         return metrics.Sample(
-            identity=metrics.Identity(place.name, place.data_centre),
+            identity=metrics.Identity(
+                own_settings.name, own_settings.data_centre
+            ),
             stopping=self.node.is_stopping,
             settings_digest=settings_changes.digest(
                 self.settings, settings_changes.SERVE_EFFECTS
             ),
-            settings_seconds=self.reactor.seconds() - self.settings_since,
+            settings_seconds=self.reactor.seconds() - self.settings_applied_at,
             engines=len(self.node.directory.views),
             running=len(self.node.running),
             waiting=len(self.node.waiting_requests),
@@ -316,7 +326,7 @@
 
     def carry_out(self, action: actions.Action) -> None:
         """Carry out an action."""
-        self.recorder.metrics.count(action)
+        self.recorder.metrics.count_action(action)
         match action:
             case actions.SendTokens():
                 self.callers.send_tokens(action)
@@ -325,13 +335,13 @@
             case actions.ClearTimer(name):
                 self.loop.clear_timer(name)
             case actions.StartAttempt():
-                self.engines.start(action)
+                self.engines.start_attempt(action)
             case actions.AttachAttempt():
-                self.engines.attach(action)
+                self.engines.attach_attempt(action)
             case actions.CancelAttempt():
-                self.engines.cancel(action)
+                self.engines.cancel_attempt(action)
             case actions.ProbeUpstream():
-                self.engines.probe(action)
+                self.engines.probe_upstream(action)
             case actions.SendRestart():
                 self.callers.send_restart(action)
             case actions.SendEnd():
@@ -341,25 +351,25 @@
             case actions.SendAnswer():
                 self.callers.send_answer(action)
             case actions.WriteClaim():
-                self.claims.write(action)
+                self.claims.write_claim(action)
             case actions.DispatchCall():
-                self.services.call(action)
+                self.services.send_call(action)
             case actions.AbandonCall(exchange):
-                self.services.abandon(exchange)
+                self.services.abandon_call(exchange)
             case actions.SendPeerMessage():
-                self.peers.tell(action)
+                self.peers.send_limit_message(action)
             case actions.Record():
                 self.recorder.record(action)
             case actions.FinishStopping():
-                self.finish()
+                self.finish_stopping()
 
-    def finish(self) -> None:
+    def finish_stopping(self) -> None:
         """Let the process end once what was answered has been flushed."""
-        if self.finishing:
+        if self.is_finishing:
             return
-        self.finishing = True
-        self.peers.own_changed(self.own_state())
+        self.is_finishing = True
+        self.peers.update_own_state(self.own_state())
         self.peers.stop()
         drained = [site.drain(self.reactor) for site in self.sites]
-        closed = listening.close_all(self.ports, drained)
+        closed = listening.close_ports(self.ports, drained)
         closed.chainDeferred(self.stopped)
--- a/src/greengagelb/transport/listening.py
+++ b/src/greengagelb/transport/listening.py
@@ -4,10 +4,10 @@
 from twisted.internet import interfaces
 from twisted.protocols import policies
 
-FLUSH_SECONDS = 5.0
+DRAIN_TIMEOUT_SECONDS = 5.0
 
 
-def close_all(
+def close_ports(
     ports: list[interfaces.IListeningPort], drained: list[defer.Deferred]
 ) -> defer.Deferred:
     """Close ports; fire once that is done and all Deferreds have fired.
@@ -43,13 +43,15 @@
         """Answer what was asked, then close, within some time."""
         drained = self.drained = defer.Deferred()
         open_requests = self.wrappedFactory.open_requests
-        open_requests.take_no_more()
-        open_requests.answered().addCallback(lambda _: self.close())
+        open_requests.refuse_new_requests()
+        open_requests.wait_until_answered().addCallback(
+            lambda _: self.close_connections()
+        )
         return drained.addTimeout(
-            FLUSH_SECONDS, reactor, onTimeoutCancel=lambda *_: None
+            DRAIN_TIMEOUT_SECONDS, reactor, onTimeoutCancel=lambda *_: None
         )
 
-    def close(self) -> None:
+    def close_connections(self) -> None:
         """Close all connections once they are flushed."""
         for connection in list(self.protocols):
             connection.loseConnection()
--- a/src/greengagelb/transport/metrics.py
+++ b/src/greengagelb/transport/metrics.py
@@ -68,78 +68,82 @@
         self.decision_errors = 0
         self.sample: Callable[[], Sample] = Sample
         self.registry = aioprometheus.Registry()
-        self.token_counter = self.counter('tokens', 'Tokens given to callers')
-        self.outcome_counter = self.counter(
+        self.token_counter = self.new_counter(
+            'tokens', 'Tokens given to callers'
+        )
+        self.outcome_counter = self.new_counter(
             'requests', 'Final answers by outcome code'
         )
-        self.event_counter = self.counter('events', 'Time line events by kind')
-        self.resume_counter = self.counter(
+        self.event_counter = self.new_counter(
+            'events', 'Time line events by kind'
+        )
+        self.resume_counter = self.new_counter(
             'resumes', 'Steps taken after a loss, by kind of step'
         )
-        self.error_counter = self.counter(
+        self.error_counter = self.new_counter(
             'decision_errors', 'Errors of this program itself in decisions'
         )
-        self.stale_counter = self.counter(
+        self.stale_counter = self.new_counter(
             'stale_events', 'Events of replaced attempts that were dropped'
         )
-        self.dropped_counter = self.counter(
+        self.dropped_counter = self.new_counter(
             'timeline_dropped', 'Time line events that had to make room'
         )
-        self.running_gauge = self.gauge('running', 'Requests running now')
-        self.waiting_gauge = self.gauge('waiting', 'Requests waiting now')
-        self.version_gauge = self.gauge(
+        self.running_gauge = self.new_gauge('running', 'Requests running now')
+        self.waiting_gauge = self.new_gauge('waiting', 'Requests waiting now')
+        self.version_gauge = self.new_gauge(
             'configuration_version', 'Configuration version in force here'
         )
 
-        self.instance_gauge = self.gauge(
+        self.instance_gauge = self.new_gauge(
             'instance', 'This instance: its name, place and release'
         )
-        self.stopping_gauge = self.gauge(
+        self.stopping_gauge = self.new_gauge(
             'stopping', 'Whether this instance was asked to stop'
         )
-        self.digest_gauge = self.gauge(
+        self.digest_gauge = self.new_gauge(
             'settings_digest', 'Differs where settings of a fleet differ'
         )
-        self.settings_age_gauge = self.gauge(
+        self.settings_age_gauge = self.new_gauge(
             'settings_age_seconds', 'For how long the settings are in force'
         )
-        self.engines_gauge = self.gauge('engines', 'Engines known here')
-        self.store_age_gauge = self.gauge(
+        self.engines_gauge = self.new_gauge('engines', 'Engines known here')
+        self.store_age_gauge = self.new_gauge(
             'store_age_seconds', 'How old what is known of the store is'
         )
-        self.suspect_gauge = self.gauge(
+        self.suspect_gauge = self.new_gauge(
             'crash_suspects', 'Requests that were on an engine that crashed'
         )
-        self.blocked_gauge = self.gauge(
+        self.blocked_gauge = self.new_gauge(
             'blocked_requests', 'Requests refused because they crash engines'
         )
-        self.limit_gauge = self.gauge(
+        self.limit_gauge = self.new_gauge(
             'engine_limits', 'Engines that name a limit on their requests'
         )
-        self.limit_rate_gauge = self.gauge(
+        self.limit_rate_gauge = self.new_gauge(
             'engine_limit_rate', 'Sum of these limits, in requests a second'
         )
-        self.held_gauge = self.gauge(
+        self.held_gauge = self.new_gauge(
             'held_requests',
             'Requests that wait for a permit of such an engine',
         )
-        self.permit_counter = self.counter(
+        self.permit_counter = self.new_counter(
             'permits', 'Permits asked for here by what came of it'
         )
 
-    def counter(self, name: str, doc: str) -> aioprometheus.Counter:
+    def new_counter(self, name: str, doc: str) -> aioprometheus.Counter:
         """Return a new counter."""
         return aioprometheus.Counter(
             f'{PREFIX}_{name}', doc, registry=self.registry
         )
 
-    def gauge(self, name: str, doc: str) -> aioprometheus.Gauge:
+    def new_gauge(self, name: str, doc: str) -> aioprometheus.Gauge:
         """Return a new gauge."""
         return aioprometheus.Gauge(
             f'{PREFIX}_{name}', doc, registry=self.registry
         )
 
-    def count(self, action: actions.Action) -> None:
+    def count_action(self, action: actions.Action) -> None:
         """Count an action, if it is one that is counted."""
         match action:
             case actions.SendTokens(tokens=tokens):
@@ -163,7 +167,7 @@
 
     def render(self) -> bytes:
         """Return all figures in the text format that scrapers read."""
-        found = self.sample()
+        sample = self.sample()
         self.token_counter.set({}, self.tokens)
         for step, number in self.resumes.items():
             self.resume_counter.set({'step': step}, number)
@@ -172,34 +176,34 @@
         for kind, number in self.events.items():
             self.event_counter.set({'kind': kind}, number)
         self.error_counter.set({}, self.decision_errors)
-        self.stale_counter.set({}, found.stale_events)
-        self.dropped_counter.set({}, found.timeline_dropped)
-        self.running_gauge.set({}, found.running)
-        self.waiting_gauge.set({}, found.waiting)
-        self.version_gauge.set({}, found.configuration_version)
-        self.show_instance(found)
-        self.suspect_gauge.set({}, found.suspects)
-        self.blocked_gauge.set({}, found.blocked)
-        self.limit_gauge.set({}, found.limits.in_force)
-        self.limit_rate_gauge.set({}, found.limits.rate)
-        self.held_gauge.set({}, found.limits.held)
-        self.permit_counter.set({'outcome': 'granted'}, found.limits.granted)
-        self.permit_counter.set({'outcome': 'denied'}, found.limits.denied)
+        self.stale_counter.set({}, sample.stale_events)
+        self.dropped_counter.set({}, sample.timeline_dropped)
+        self.running_gauge.set({}, sample.running)
+        self.waiting_gauge.set({}, sample.waiting)
+        self.version_gauge.set({}, sample.configuration_version)
+        self.set_instance_gauges(sample)
+        self.suspect_gauge.set({}, sample.suspects)
+        self.blocked_gauge.set({}, sample.blocked)
+        self.limit_gauge.set({}, sample.limits.in_force)
+        self.limit_rate_gauge.set({}, sample.limits.rate)
+        self.held_gauge.set({}, sample.limits.held)
+        self.permit_counter.set({'outcome': 'granted'}, sample.limits.granted)
+        self.permit_counter.set({'outcome': 'denied'}, sample.limits.denied)
         text, _ = aioprometheus.render(self.registry, [])
         return text
 
-    def show_instance(self, found: Sample) -> None:
+    def set_instance_gauges(self, sample: Sample) -> None:
         """Put in which instance this is, and what is in force here."""
-        if found.identity is not None:
+        if sample.identity is not None:
             labels = {
-                'name': found.identity.name,
-                'data_centre': found.identity.data_centre,
+                'name': sample.identity.name,
+                'data_centre': sample.identity.data_centre,
                 'release': greengagelb.__version__,
             }
             self.instance_gauge.set(labels, 1)
-        self.stopping_gauge.set({}, int(found.stopping))
-        self.digest_gauge.set({}, found.settings_digest)
-        self.settings_age_gauge.set({}, found.settings_seconds)
-        self.engines_gauge.set({}, found.engines)
-        if found.store_seconds is not None:
-            self.store_age_gauge.set({}, found.store_seconds)
+        self.stopping_gauge.set({}, int(sample.stopping))
+        self.digest_gauge.set({}, sample.settings_digest)
+        self.settings_age_gauge.set({}, sample.settings_seconds)
+        self.engines_gauge.set({}, sample.engines)
+        if sample.store_seconds is not None:
+            self.store_age_gauge.set({}, sample.store_seconds)
--- a/src/greengagelb/transport/operator_app.py
+++ b/src/greengagelb/transport/operator_app.py
@@ -26,7 +26,7 @@
 from greengagelb.transport import problem_handlers
 from greengagelb.transport import recorder
 
-BEARER = 'Bearer '
+BEARER_PREFIX = 'Bearer '
 RETRY_AFTER_SECONDS = 1.0
 
 
@@ -39,52 +39,54 @@
         key_digest: str,
         status: Callable[[], operator_api.Status],
         events: recorder.Recorder,
-        confirmed: Callable[[plan_state.Plan], None],
-        running: Callable[[], Mapping[str, int]],
+        on_confirmed: Callable[[plan_state.Plan], None],
+        running_by_upstream: Callable[[], Mapping[str, int]],
     ) -> None:
         self.store = store
         self.key_digest = key_digest
         self.status = status
         self.recorder = events
-        self.confirmed = confirmed
-        self.running = running
+        self.on_confirmed = on_confirmed
+        self.running_by_upstream = running_by_upstream
         self.app = klein.Klein()
-        self.app.route('/v1/plans', methods=['POST'])(self.propose)
-        self.app.route('/v1/plans/<plan_id>', methods=['GET'])(self.show)
+        self.app.route('/v1/plans', methods=['POST'])(self.propose_plan)
+        self.app.route('/v1/plans/<plan_id>', methods=['GET'])(self.show_plan)
         self.app.route('/v1/plans/<plan_id>/confirm', methods=['POST'])(
-            self.confirm
+            self.confirm_plan
         )
         self.app.route('/v1/status', methods=['GET'])(self.show_status)
         self.app.route('/v1/timeline', methods=['GET'])(self.show_timeline)
-        self.app.handle_errors(errors.GreengagelbError)(self.failed)
-        problem_handlers.install(self.app)
+        self.app.handle_errors(errors.GreengagelbError)(self.answer_error)
+        problem_handlers.install_problem_handlers(self.app)
 
-    def failed(self, request: server.Request, why: failure.Failure) -> bytes:
+    def answer_error(
+        self, request: server.Request, why: failure.Failure
+    ) -> bytes:
         """Answer with the code of an error.
 
         While the platform is away, and for a moment after it is back, this
         instance asks it nothing. An operator who is not told when to come back
         would take what is about to end for an outage.
         """
-        away = why.check(errors.PlatformUnavailable)
-        refused = requests.Failure(
+        is_unavailable = why.check(errors.PlatformUnavailable)
+        error_answer = requests.Failure(
             why.value.code,
             requests.Ran.NO,
             str(why.value),
-            RETRY_AFTER_SECONDS if away else None,
+            RETRY_AFTER_SECONDS if is_unavailable else None,
         )
-        return http.problem_answer(request, problems.to_problem(refused))
+        return http.problem_answer(request, problems.to_problem(error_answer))
 
     def authenticate(self, request: server.Request) -> None:
         """Raise unless the request carries the operators' key."""
         header = request.getHeader('authorization') or ''
-        key = header.removeprefix(BEARER)
+        key = header.removeprefix(BEARER_PREFIX)
         digest = hashlib.sha256(key.encode()).hexdigest()
         if not hmac.compare_digest(digest, self.key_digest):
             raise errors.Unauthenticated('unknown operator key')
 
     @defer.inlineCallbacks
-    def propose(self, request: server.Request) -> Any:
+    def propose_plan(self, request: server.Request) -> Any:
         """Answer an intent with a plan."""
         self.authenticate(request)
         intent = operator_api.decode_intent(request.content.read())
@@ -96,46 +98,52 @@
                 f'is {applied}'
             )
         plan = plans.make_plan(
-            secrets.token_hex(8), intent, current, self.running()
+            secrets.token_hex(8), intent, current, self.running_by_upstream()
         )
-        yield self.store.keep(plan)
+        yield self.store.store_plan(plan)
         self.record('plan-proposed', plan)
         return http.json_answer(request, plan)
 
     @defer.inlineCallbacks
-    def show(self, request: server.Request, plan_id: str) -> Any:
+    def show_plan(self, request: server.Request, plan_id: str) -> Any:
         """Show a plan with its stage, which its row alone does not tell."""
         self.authenticate(request)
-        plan = yield self.find(plan_id)
-        outcome = yield self.store.settle(plan)
+        plan = yield self.find_plan(plan_id)
+        outcome = yield self.store.find_outcome(plan)
         match outcome:
             case confirming.Confirmed():
-                plan = plan_store.staged(plan, plan_state.PlanStage.CONFIRMED)
+                plan = plan_store.with_stage(
+                    plan, plan_state.PlanStage.CONFIRMED
+                )
             case confirming.Overtaken():
-                plan = plan_store.staged(plan, plan_state.PlanStage.OVERTAKEN)
+                plan = plan_store.with_stage(
+                    plan, plan_state.PlanStage.OVERTAKEN
+                )
             case confirming.Unsettled():
-                return self.unsettled(request, plan)
+                return self.unsettled_answer(request, plan)
         return http.json_answer(request, plan)
 
     @defer.inlineCallbacks
-    def confirm(self, request: server.Request, plan_id: str) -> Any:
+    def confirm_plan(self, request: server.Request, plan_id: str) -> Any:
         """Put a plan in force."""
         self.authenticate(request)
-        plan = yield self.find(plan_id)
-        outcome = yield self.store.confirm(plan)
+        plan = yield self.find_plan(plan_id)
+        outcome = yield self.store.confirm_plan(plan)
         match outcome:
             case confirming.Confirmed():
                 self.record('plan-confirmed', plan)
-                self.confirmed(plan)
-                plan = plan_store.staged(plan, plan_state.PlanStage.CONFIRMED)
+                self.on_confirmed(plan)
+                plan = plan_store.with_stage(
+                    plan, plan_state.PlanStage.CONFIRMED
+                )
                 return http.json_answer(request, plan)
             case confirming.Overtaken():
                 self.record('plan-overtaken', plan)
-                return self.conflict(request, plan, outcome)
+                return self.conflict_answer(request, plan, outcome)
         self.record('confirm-unsettled', plan)
-        return self.unsettled(request, plan)
+        return self.unsettled_answer(request, plan)
 
-    def conflict(
+    def conflict_answer(
         self,
         request: server.Request,
         plan: plan_state.Plan,
@@ -157,7 +165,7 @@
         )
         return http.json_answer(request, answer, answer.status)
 
-    def unsettled(
+    def unsettled_answer(
         self, request: server.Request, plan: plan_state.Plan
     ) -> bytes:
         """Answer that nobody can tell now what became of a plan.
@@ -165,13 +173,13 @@
         Said instead of a plain failure, after which an operator would take
         it that nothing has happened.
         """
-        failure_state = requests.Failure(
+        refusal = requests.Failure(
             errors.ConfirmUnsettled.code,
             requests.Ran.UNKNOWN,
             f'ask for /v1/plans/{plan.plan_id}, or confirm it again',
             RETRY_AFTER_SECONDS,
         )
-        return http.problem_answer(request, problems.to_problem(failure_state))
+        return http.problem_answer(request, problems.to_problem(refusal))
 
     def record(self, kind: str, plan: plan_state.Plan) -> None:
         """Put what became of a plan on the time line."""
@@ -179,9 +187,9 @@
         self.recorder.record(actions.Record(kind, reason))
 
     @defer.inlineCallbacks
-    def find(self, plan_id: str) -> Any:
+    def find_plan(self, plan_id: str) -> Any:
         """Return a plan, or raise that there is none of that id."""
-        plan = yield self.store.read(plan_id)
+        plan = yield self.store.read_plan(plan_id)
         if plan is None:
             raise errors.UnknownPlan(plan_id)
         return plan
--- a/src/greengagelb/transport/operator_client.py
+++ b/src/greengagelb/transport/operator_client.py
@@ -21,7 +21,7 @@
 from greengagelb.transport import http
 
 T = TypeVar('T')
-ANSWER_SECONDS = 10.0
+ANSWER_TIMEOUT_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,52 +52,52 @@
         self.headers = {'Authorization': f'Bearer {key}'}
         self.treq = http.direct_client(http.fresh_connection_agent(reactor))
 
-    def url(self, path: str) -> str:
+    def url_of(self, path: str) -> str:
         """Return the URL of a path at the instance."""
         return f'http://{self.address}{path}'
 
-    async def propose(self, intent: plan_state.Intent) -> plan_state.Plan:
+    async def propose_plan(self, intent: plan_state.Intent) -> plan_state.Plan:
         """Return the plan that answers an intent."""
         answer = self.treq.post(
-            self.url('/v1/plans'),
+            self.url_of('/v1/plans'),
             data=operator_api.encode_intent(intent),
             headers=self.headers,
         )
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def confirm(self, plan_id: str) -> plan_state.Plan:
+    async def confirm_plan(self, plan_id: str) -> plan_state.Plan:
         """Put a plan in force and return it as confirmed."""
-        url = self.url(f'/v1/plans/{quoted(plan_id)}/confirm')
+        url = self.url_of(f'/v1/plans/{quote_path_segment(plan_id)}/confirm')
         answer = self.treq.post(url, headers=self.headers)
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def show(self, plan_id: str) -> plan_state.Plan:
+    async def show_plan(self, plan_id: str) -> plan_state.Plan:
         """Return a plan."""
-        url = self.url(f'/v1/plans/{quoted(plan_id)}')
+        url = self.url_of(f'/v1/plans/{quote_path_segment(plan_id)}')
         answer = self.treq.get(url, headers=self.headers)
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def status(self) -> operator_api.Status:
+    async def fetch_status(self) -> operator_api.Status:
         """Return what the instance says of itself."""
-        answer = self.treq.get(self.url('/v1/status'), headers=self.headers)
-        return await self.receive(answer, operator_api.Status)
+        answer = self.treq.get(self.url_of('/v1/status'), headers=self.headers)
+        return await self.decode_answer(answer, operator_api.Status)
 
     async def timeline(
         self, wanted: timeline.Selection
     ) -> timeline_api.TimelinePart:
         """Return the selected events that the instance still has."""
         answer = self.treq.get(
-            self.url('/v1/timeline'),
+            self.url_of('/v1/timeline'),
             params=timeline_api.to_parameters(wanted),
             headers=self.headers,
         )
-        return await self.receive(answer, timeline_api.TimelinePart)
+        return await self.decode_answer(answer, timeline_api.TimelinePart)
 
-    async def receive(
+    async def decode_answer(
         self, answer: 'defer.Deferred[iweb.IResponse]', kind: type[T]
     ) -> T:
         """Return the decoded answer, or raise what went wrong."""
-        answer.addTimeout(ANSWER_SECONDS, self.reactor)
+        answer.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
         try:
             response = await answer
             raw = await self.read_body(response)
@@ -122,10 +122,10 @@
     def read_body(self, response: iweb.IResponse) -> 'defer.Deferred[bytes]':
         """Return the whole body of an answer, within its time."""
         body = http.read_whole_body(response)
-        return body.addTimeout(ANSWER_SECONDS, self.reactor)
+        return body.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
 
 
-def quoted(word: str) -> str:
+def quote_path_segment(word: str) -> str:
     """Return a word as one segment of a path."""
     return urllib.parse.quote(word, safe='')
 
--- a/src/greengagelb/transport/order_keeper.py
+++ b/src/greengagelb/transport/order_keeper.py
@@ -46,15 +46,15 @@
         self.treq = http.direct_client(http.fresh_connection_agent(reactor))
         self.pools: dict[str, orders.PoolOrders] = {}
         self.version = 0
-        self.held: frozenset[str] = frozenset()
+        self.held_engines: frozenset[str] = frozenset()
 
     # -- from the instance --------------------------------------------------
 
     def tick(self, live: set[str]) -> None:
         """Go on with all pools; ``live`` are the incarnations here."""
-        self.adopt()
+        self.adopt_targets()
         for name, pool in self.pools.items():
-            self.report_all(pool)
+            self.forward_engine_reports(pool)
             chosen = rendezvous.highest_scoring(f'orders {name}', live)
             pool.is_lease_candidate = (
                 chosen == [self.node.incarnation] and not self.node.is_stopping
@@ -63,12 +63,12 @@
         held = frozenset().union(
             *(p.held_engines for p in self.pools.values())
         )
-        if held or self.held:
-            self.held = held
+        if held or self.held_engines:
+            self.held_engines = held
             source = self.node.incarnation
             self.dispatch(events.UpstreamsHeld(source, held))
 
-    def adopt(self) -> None:
+    def adopt_targets(self) -> None:
         """Take over the targets of the configuration in force."""
         applied = self.node.configuration
         if applied.version == self.version:
@@ -76,14 +76,14 @@
         self.version = applied.version
         engine_pools = {p.name: p for p in applied.pools if p.version}
         for name, pool in engine_pools.items():
-            kept = self.pools.setdefault(
+            pool_orders = self.pools.setdefault(
                 name, orders.PoolOrders(self.node.incarnation)
             )
-            kept.set_targets(self.wanted(pool))
+            pool_orders.set_targets(self.targets_of_pool(pool))
         for name in set(self.pools) - set(engine_pools):
             del self.pools[name]
 
-    def wanted(
+    def targets_of_pool(
         self, pool: configuration_state.Pool
     ) -> list[order_state.RequiredTarget]:
         """Return the targets of a pool's engines in this data centre."""
@@ -98,14 +98,14 @@
             if upstream.data_centre == self.data_centre
         ]
 
-    def report_all(self, pool: orders.PoolOrders) -> None:
+    def forward_engine_reports(self, pool: orders.PoolOrders) -> None:
         """Pass on what the engines of a pool say of themselves."""
         for name in pool.targets:
             view = self.node.directory.views.get(name)
             if view is not None and view.incarnation:
-                pool.update_report(name, seen_of(view))
+                pool.update_report(name, last_engine_seen(view))
 
-    def watched(self) -> list[configuration_state.Upstream]:
+    def engines_to_probe(self) -> list[configuration_state.Upstream]:
         """Return the engines whose reports the orders wait for.
 
         Few instances ask an engine for its report as a rule; whoever orders
@@ -118,7 +118,7 @@
             if name in pool.targets
         ]
 
-    def pause_noticed(self) -> None:
+    def handle_own_pause(self) -> None:
         """Drop all leases: they may have lapsed meanwhile."""
         for name, pool in self.pools.items():
             self.carry_out(name, pool.handle_own_pause())
@@ -136,7 +136,7 @@
                 case orders.RequestLoad():
                     self.ask_to_load(name, action)
                 case orders.SendOrder():
-                    self.send(name, action)
+                    self.send_order(name, action)
                 case orders.Explain(kind, reason, upstream):
                     text = f'pool {name}: {reason}'
                     self.record(actions.Record(kind, text, upstream=upstream))
@@ -150,7 +150,9 @@
         """Read the row of a pool's lease."""
         pool = self.pools[name]
         try:
-            row = yield self.platform.read(LEASE_TABLE, self.lease_key(name))
+            row = yield self.platform.read_row(
+                LEASE_TABLE, self.lease_key(name)
+            )
         except errors.GreengagelbError:
             pool.handle_lease_failure()
             return
@@ -167,7 +169,7 @@
         pool = self.pools[name]
         value = codec.encode(action.lease).decode()
         try:
-            row = yield self.platform.write(
+            row = yield self.platform.write_row(
                 LEASE_TABLE, self.lease_key(name), action.expected, value
             )
         except errors.GreengagelbError:
@@ -195,7 +197,7 @@
         )
 
     @defer.inlineCallbacks
-    def send(self, name: str, action: orders.SendOrder) -> Any:
+    def send_order(self, name: str, action: orders.SendOrder) -> Any:
         """Send an order, unless its lease has lapsed by now.
 
         The answer tells only of a refusal; whether the engine has reached
@@ -228,7 +230,7 @@
             self.carry_out(name, pool.handle_fenced_order(upstream))
 
 
-def seen_of(
+def last_engine_seen(
     view: upstream_state.UpstreamView,
 ) -> order_state.EngineObservation:
     """Return what an engine has said of itself last."""
--- a/src/greengagelb/transport/page_reader.py
+++ b/src/greengagelb/transport/page_reader.py
@@ -13,11 +13,11 @@
 from greengagelb.transport import operator_client
 
 # So many connections are open at a time.
-MOST_AT_ONCE = 64
+MAX_CONCURRENT_READS = 64
 # What an instance may take for its whole page, in seconds.
-PAGE_SECONDS = 1.0
-MOST_PAGE_BYTES = 1 << 20
-PATH = '/metrics'
+PAGE_TIMEOUT_SECONDS = 1.0
+MAX_PAGE_BYTES = 1 << 20
+METRICS_PATH = '/metrics'
 
 
 class PageReader:
@@ -25,32 +25,34 @@
 
     def __init__(self, reactor: interfaces.IReactorTime) -> None:
         self.reactor = reactor
-        agent = http.fresh_connection_agent(reactor, PAGE_SECONDS)
+        agent = http.fresh_connection_agent(reactor, PAGE_TIMEOUT_SECONDS)
         self.treq = http.direct_client(agent)
-        self.turns = defer.DeferredSemaphore(MOST_AT_ONCE)
+        self.read_slots = defer.DeferredSemaphore(MAX_CONCURRENT_READS)
 
-    async def read_all(
+    async def read_all_pages(
         self, addresses: Sequence[operator_client.Address]
     ) -> list[
         tuple[str, in_force.InstanceReport | in_force.ReportUnavailable]
     ]:
         """Return what is in force at each address, in their order."""
-        asked = [
-            self.turns.run(
-                lambda a=address: defer.Deferred.fromCoroutine(self.read(a))
+        pages = [
+            self.read_slots.run(
+                lambda a=address: defer.Deferred.fromCoroutine(
+                    self.read_page(a)
+                )
             )
             for address in addresses
         ]
-        found = await defer.gatherResults(asked)
+        found = await defer.gatherResults(pages)
         names = map(str, addresses)
         return list(zip(names, found, strict=True))
 
-    async def read(
+    async def read_page(
         self, address: operator_client.Address
     ) -> in_force.InstanceReport | in_force.ReportUnavailable:
         """Return what is in force at an address."""
-        page = defer.Deferred.fromCoroutine(self.fetch(address))
-        page.addTimeout(PAGE_SECONDS, self.reactor)
+        page = defer.Deferred.fromCoroutine(self.fetch_page(address))
+        page.addTimeout(PAGE_TIMEOUT_SECONDS, self.reactor)
         try:
             return metrics_page.parse_page(await page)
         except errors.ProtocolError as exc:
@@ -62,10 +64,10 @@
                 f'no answer: {type(exc).__name__}'
             )
 
-    async def fetch(self, address: operator_client.Address) -> bytes:
+    async def fetch_page(self, address: operator_client.Address) -> bytes:
         """Return the bytes of a page."""
-        response = await self.treq.get(f'http://{address}{PATH}')
+        response = await self.treq.get(f'http://{address}{METRICS_PATH}')
         if response.code != web_http.OK:
             http.discard_body(response)
             raise errors.TransportError(f'status {response.code}')
-        return await http.read_whole_body(response, MOST_PAGE_BYTES)
+        return await http.read_whole_body(response, MAX_PAGE_BYTES)
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -27,13 +27,13 @@
 from greengagelb.state import fleet
 from greengagelb.transport import recorder
 
-UNACKNOWLEDGED_MILLISECONDS = 10_000
-PING_MILLISECONDS = 30_000
-LEAST_RECONNECT_MILLISECONDS = 100
-MOST_RECONNECT_MILLISECONDS = 2_000
-MOST_WAITING_MESSAGES = 64
-LAST_WORDS_MILLISECONDS = 200
-FRAMES = 2
+UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 10_000
+PING_INTERVAL_MILLISECONDS = 30_000
+MIN_RECONNECT_MILLISECONDS = 100
+MAX_RECONNECT_MILLISECONDS = 2_000
+MAX_QUEUED_MESSAGES = 64
+LINGER_MILLISECONDS = 200
+FRAMES_PER_MESSAGE = 2
 
 
 @interface.implementer(interfaces.IReadDescriptor)
@@ -43,13 +43,13 @@
     def __init__(
         self,
         reactor: interfaces.IReactorFDSet,
-        receive: Callable[[bytes], None],
+        receive_frame: Callable[[bytes], None],
     ) -> None:
         self.reactor = reactor
-        self.receive = receive
+        self.receive_frame = receive_frame
         self.context = zmq.Context()
         self.socket = self.context.socket(zmq.ROUTER)
-        self.connected: set[fleet.PeerAddress] = set()
+        self.connected_addresses: set[fleet.PeerAddress] = set()
         self.set_options()
 
     def set_options(self) -> None:
@@ -61,14 +61,14 @@
         bytes without passing them on; either way zmq connects afresh.
         """
         options = {
-            zmq.LINGER: LAST_WORDS_MILLISECONDS,
-            zmq.SNDHWM: MOST_WAITING_MESSAGES,
+            zmq.LINGER: LINGER_MILLISECONDS,
+            zmq.SNDHWM: MAX_QUEUED_MESSAGES,
             zmq.MAXMSGSIZE: peer_api.MAX_MESSAGE_BYTES,
-            zmq.TCP_MAXRT: UNACKNOWLEDGED_MILLISECONDS,
-            zmq.HEARTBEAT_IVL: PING_MILLISECONDS,
-            zmq.HEARTBEAT_TIMEOUT: PING_MILLISECONDS,
-            zmq.RECONNECT_IVL: LEAST_RECONNECT_MILLISECONDS,
-            zmq.RECONNECT_IVL_MAX: MOST_RECONNECT_MILLISECONDS,
+            zmq.TCP_MAXRT: UNACKNOWLEDGED_TIMEOUT_MILLISECONDS,
+            zmq.HEARTBEAT_IVL: PING_INTERVAL_MILLISECONDS,
+            zmq.HEARTBEAT_TIMEOUT: PING_INTERVAL_MILLISECONDS,
+            zmq.RECONNECT_IVL: MIN_RECONNECT_MILLISECONDS,
+            zmq.RECONNECT_IVL_MAX: MAX_RECONNECT_MILLISECONDS,
         }
         for option, value in options.items():
             self.socket.setsockopt(option, value)
@@ -96,7 +96,7 @@
         """Send a frame to an address, or drop it where too many wait."""
         if self.socket.closed:
             return
-        if address not in self.connected:
+        if address not in self.connected_addresses:
             self.connect(address)
         route = endpoint_of(address).encode()
         try:
@@ -112,12 +112,12 @@
         endpoint = endpoint_of(address)
         self.socket.setsockopt(zmq.CONNECT_ROUTING_ID, endpoint.encode())
         self.socket.connect(endpoint)
-        self.connected.add(address)
+        self.connected_addresses.add(address)
 
     def disconnect(self, address: fleet.PeerAddress) -> None:
         """Close the connection to an address, if there is one."""
-        if address in self.connected:
-            self.connected.remove(address)
+        if address in self.connected_addresses:
+            self.connected_addresses.remove(address)
             self.socket.disconnect(endpoint_of(address))
 
     # -- names that the event loop calls ------------------------------------
@@ -144,8 +144,8 @@
                 frames = self.socket.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            if len(frames) == FRAMES:
-                self.receive(frames[1])
+            if len(frames) == FRAMES_PER_MESSAGE:
+                self.receive_frame(frames[1])
 
 
 def endpoint_of(address: fleet.PeerAddress) -> str:
@@ -165,7 +165,7 @@
         configuration: Callable[[], configuration_state.Configuration],
         events_recorder: recorder.Recorder,
     ) -> None:
-        place = instance_settings.instance
+        own_settings = instance_settings.instance
         self.reactor = reactor
         self.dispatch = dispatch
         self.configuration = configuration
@@ -173,15 +173,15 @@
         self.codec = peer_api.PeerCodec(
             instance_settings.secrets.cursor_secret
         )
-        self.socket = PeerSocket(reactor, self.receive)
-        self.me = fleet.PeerId(
-            place.name,
+        self.socket = PeerSocket(reactor, self.receive_frame)
+        self.own_peer = fleet.PeerId(
+            own_settings.name,
             incarnation,
-            place.data_centre,
-            fleet.PeerAddress(place.host, place.peer_port),
+            own_settings.data_centre,
+            fleet.PeerAddress(own_settings.host, own_settings.peer_port),
         )
         self.membership = membership.Membership(
-            self.me,
+            self.own_peer,
             instance_settings.peers.addresses,
             instance_settings.peers.heartbeat_seconds,
         )
@@ -191,7 +191,7 @@
 
     def start(self) -> None:
         """Listen and send the first heartbeats."""
-        self.socket.bind(self.me.address)
+        self.socket.bind(self.own_peer.address)
         self.tick()
 
     def stop(self) -> None:
@@ -207,19 +207,21 @@
         )
         self.carry_out(self.membership.tick(self.reactor.seconds()))
 
-    def own_changed(self, own: fleet.OwnState) -> None:
+    def update_own_state(self, own: fleet.OwnState) -> None:
         """Tell others what has changed here."""
         self.carry_out(
             self.membership.update_own_state(own, self.reactor.seconds())
         )
 
-    def pause_noticed(self, seconds: float) -> None:
+    def handle_own_pause(self, seconds: float) -> None:
         """Read what has come in meanwhile before anybody is judged."""
         now = self.reactor.seconds()
         self.membership.handle_own_pause(seconds, now)
         self.socket.doRead()
 
-    def listed(self, instances: Iterable[platform_api.Instance]) -> None:
+    def apply_instance_list(
+        self, instances: Iterable[platform_api.Instance]
+    ) -> None:
         """Take in the platform's list.
 
         It may show upstreams as well; those have no peer port, and matter
@@ -236,15 +238,15 @@
         now = self.reactor.seconds()
         self.carry_out(self.membership.apply_instance_list(found, now))
 
-    def receive(self, frame: bytes) -> None:
+    def receive_frame(self, frame: bytes) -> None:
         """Take in a message; one that can't be understood is dropped."""
         try:
             message = self.codec.open_frame(frame)
-            self.take(message)
+            self.handle_message(message)
         except errors.ProtocolError as exc:
             self.record('peer-message-dropped', str(exc))
 
-    def take(self, message: peer_api.Message) -> None:
+    def handle_message(self, message: peer_api.Message) -> None:
         """Pass a message to whom it concerns."""
         now = self.reactor.seconds()
         match message:
@@ -255,7 +257,7 @@
                     self.membership.handle_heartbeat(heartbeat, now)
                 )
             case peer_api.ConfigurationQuery(host, port):
-                self.answer_query(fleet.PeerAddress(host, port))
+                self.send_configuration(fleet.PeerAddress(host, port))
             case peer_api.ConfigurationCopy(name, document):
                 offered = codec.decompress(
                     document, configuration_state.Configuration
@@ -274,7 +276,7 @@
 
     def observe_clock(self, heartbeat: fleet.Heartbeat) -> None:
         """Keep this instance's stamps behind no other's."""
-        if self.recorder.follow(heartbeat.stamp):
+        if self.recorder.observe_stamp(heartbeat.stamp):
             return
         if heartbeat.sender.incarnation not in self.clocks_ahead:
             self.clocks_ahead.add(heartbeat.sender.incarnation)
@@ -282,14 +284,15 @@
             lead = heartbeat.stamp.milliseconds - wall
             self.record('clock-ahead', f'{heartbeat.sender.name} by {lead} ms')
 
-    def answer_query(self, address: fleet.PeerAddress) -> None:
+    def send_configuration(self, address: fleet.PeerAddress) -> None:
         """Send the configuration in force here."""
         applied = self.configuration()
         if applied.version:
             self.membership.mark_contacted(address)
             document = codec.compress(applied)
             self.send(
-                address, peer_api.ConfigurationCopy(self.me.name, document)
+                address,
+                peer_api.ConfigurationCopy(self.own_peer.name, document),
             )
 
     # -- what goes out ------------------------------------------------------
@@ -301,7 +304,7 @@
                 case membership.SendHeartbeat(address, heartbeat):
                     self.send(address, peer_api.to_message(heartbeat))
                 case membership.AskForConfiguration(address):
-                    own = self.me.address
+                    own = self.own_peer.address
                     query = peer_api.ConfigurationQuery(own.host, own.port)
                     self.send(address, query)
                 case membership.IntroducePeers(address, peers):
@@ -314,7 +317,7 @@
                 case membership.Explain(kind, reason):
                     self.record(kind, reason)
 
-    def tell(self, action: actions.SendPeerMessage) -> None:
+    def send_limit_message(self, action: actions.SendPeerMessage) -> None:
         """Send what is said about limits to one instance, or to all here."""
         members = self.membership
         addresses = {members.address_of(action.incarnation)}
@@ -322,7 +325,7 @@
             addresses = members.local_addresses()
         wire = limit_messages.to_wire(action.message)
         for address in addresses - {None}:
-            message = peer_api.LimitMessage(self.me.incarnation, wire)
+            message = peer_api.LimitMessage(self.own_peer.incarnation, wire)
             self.send(address, message)
 
     def send(
--- a/src/greengagelb/transport/plan_store.py
+++ b/src/greengagelb/transport/plan_store.py
@@ -32,7 +32,7 @@
     @defer.inlineCallbacks
     def read_current(self) -> Any:
         """Return the confirmation in force; version 0 if there is none."""
-        row = yield self.platform.read(CONFIRMATION_TABLE, CURRENT_KEY)
+        row = yield self.platform.read_row(CONFIRMATION_TABLE, CURRENT_KEY)
         if row is None:
             return plan_state.Confirmation(0, '')
         return codec.decode(row.value, plan_state.Confirmation)
@@ -49,67 +49,69 @@
             return None
         if not current.version:
             return configuration_state.Configuration()
-        plan = yield self.read(current.plan_id)
+        plan = yield self.read_plan(current.plan_id)
         if plan is None:
             raise errors.UnknownPlan(current.plan_id)
         return plan.result
 
     @defer.inlineCallbacks
-    def keep(self, plan: plan_state.Plan) -> Any:
+    def store_plan(self, plan: plan_state.Plan) -> Any:
         """Keep a new plan.
 
         Its id is new, so a row of that id after a lost answer is its own.
         """
         value = codec.compress_to_text(plan)
         try:
-            yield self.platform.write(PLAN_TABLE, plan.plan_id, 0, value)
+            yield self.platform.write_row(PLAN_TABLE, plan.plan_id, 0, value)
         except errors.PlatformUnavailable:
-            found = yield self.read(plan.plan_id)
+            found = yield self.read_plan(plan.plan_id)
             if found is None:
                 raise
 
     @defer.inlineCallbacks
-    def read(self, plan_id: str) -> Any:
+    def read_plan(self, plan_id: str) -> Any:
         """Return a plan as proposed, or None where there is none."""
-        row = yield self.platform.read(PLAN_TABLE, plan_id)
+        row = yield self.platform.read_row(PLAN_TABLE, plan_id)
         if row is None:
             return None
         return codec.decompress_from_text(row.value, plan_state.Plan)
 
-    def confirm(self, plan: plan_state.Plan) -> 'defer.Deferred':
+    def confirm_plan(self, plan: plan_state.Plan) -> 'defer.Deferred':
         """Put a plan in force; returns the outcome of confirming."""
-        return self.run(confirming.confirm(plan))
+        return self.run_steps(confirming.confirm(plan))
 
-    def settle(self, plan: plan_state.Plan) -> 'defer.Deferred':
+    def find_outcome(self, plan: plan_state.Plan) -> 'defer.Deferred':
         """Return the outcome of a plan without changing anything."""
-        return self.run(confirming.find_outcome(plan))
+        return self.run_steps(confirming.find_outcome(plan))
 
     @defer.inlineCallbacks
-    def run(self, steps: confirming.Steps) -> Any:
+    def run_steps(self, steps: confirming.Steps) -> Any:
         """Carry out requests to the store until the steps come to an end."""
         answer = None
         try:
             while True:
                 request = steps.send(answer)
-                answer = yield self.carry_out(request)
+                answer = yield self.execute_request(request)
         except StopIteration as done:
             return done.value
 
     @defer.inlineCallbacks
-    def carry_out(self, request: confirming.Request) -> Any:
+    def execute_request(self, request: confirming.Request) -> Any:
         """Carry out one request; errors of the platform become answers."""
         try:
             match request:
                 case confirming.ReadCurrent():
                     return (yield self.read_current())
                 case confirming.ReadArchived(version):
-                    return (yield self.read_past(version))
+                    return (yield self.read_archived(version))
                 case confirming.ArchiveConfirmation(confirmation):
                     key = str(confirmation.version)
-                    yield self.write(key, 0, confirmation)
+                    yield self.write_confirmation(key, 0, confirmation)
                 case confirming.ReplaceCurrent(confirmation):
                     expected = confirmation.version - 1
-                    yield self.write(CURRENT_KEY, expected, confirmation)
+                    yield self.write_confirmation(
+                        CURRENT_KEY, expected, confirmation
+                    )
         except errors.VersionConflict:
             return confirming.WriteConflict()
         except (errors.PlatformUnavailable, errors.ProtocolError):
@@ -117,22 +119,24 @@
         return confirming.Written()
 
     @defer.inlineCallbacks
-    def read_past(self, version: int) -> Any:
+    def read_archived(self, version: int) -> Any:
         """Return the confirmation of an earlier version, or None."""
-        row = yield self.platform.read(CONFIRMATION_TABLE, str(version))
+        row = yield self.platform.read_row(CONFIRMATION_TABLE, str(version))
         if row is None:
             return None
         return codec.decode(row.value, plan_state.Confirmation)
 
-    def write(
+    def write_confirmation(
         self, key: str, expected: int, confirmation: plan_state.Confirmation
     ) -> 'defer.Deferred':
         """Write a confirmation on top of an expected version of its row."""
         value = codec.encode(confirmation).decode()
-        return self.platform.write(CONFIRMATION_TABLE, key, expected, value)
+        return self.platform.write_row(
+            CONFIRMATION_TABLE, key, expected, value
+        )
 
 
-def staged(
+def with_stage(
     plan: plan_state.Plan, stage: plan_state.PlanStage
 ) -> plan_state.Plan:
     """Return a plan with the stage that it has now."""
--- a/src/greengagelb/transport/platform_client.py
+++ b/src/greengagelb/transport/platform_client.py
@@ -19,8 +19,8 @@
 from greengagelb.protocol import platform_api
 from greengagelb.transport import http
 
-Recorder = Callable[[actions.Record], None]
-Asking = Callable[[], 'defer.Deferred[iweb.IResponse]']
+RecordAction = Callable[[actions.Record], None]
+StartRequest = Callable[[], 'defer.Deferred[iweb.IResponse]']
 
 
 LOAD_RETRY_SECONDS = 1.0
@@ -37,7 +37,7 @@
         self,
         reactor: interfaces.IReactorTime,
         platform: settings.PlatformSettings,
-        record: Recorder = lambda _: None,
+        record: RecordAction = lambda _: None,
     ) -> None:
         self.reactor = reactor
         self.settings = platform
@@ -51,21 +51,23 @@
         agent = http.fresh_connection_agent(reactor)
         self.treq = http.direct_client(agent)
 
-    def url(self, path: str) -> str:
+    def url_of(self, path: str) -> str:
         """Return the URL of a path at the platform."""
         return f'http://{self.settings.host}:{self.settings.port}{path}'
 
     def row_url(self, table: str, key: str) -> str:
         """Return the URL of a row."""
-        return self.url(f'/tables/{table}/row?key={urllib.parse.quote(key)}')
+        return self.url_of(
+            f'/tables/{table}/row?key={urllib.parse.quote(key)}'
+        )
 
     @defer.inlineCallbacks
-    def read(self, table: str, key: str) -> Any:
+    def read_row(self, table: str, key: str) -> Any:
         """Return a :class:`~.platform_api.Row`, or None if there is none.
 
         Raises :class:`~greengagelb.errors.PlatformUnavailable`.
         """
-        status, body = yield self.ask(
+        status, body = yield self.send_request(
             store_budget.RequestKind.READ,
             lambda: self.treq.get(self.row_url(table, key)),
         )
@@ -76,14 +78,14 @@
     @defer.inlineCallbacks
     def list_rows(self, table: str) -> Any:
         """Return all rows of a table."""
-        _, body = yield self.ask(
+        _, body = yield self.send_request(
             store_budget.RequestKind.READ,
-            lambda: self.treq.get(self.url(f'/tables/{table}/rows')),
+            lambda: self.treq.get(self.url_of(f'/tables/{table}/rows')),
         )
         return codec.decode(body, list[platform_api.Row])
 
     @defer.inlineCallbacks
-    def write(
+    def write_row(
         self,
         table: str,
         key: str,
@@ -100,7 +102,7 @@
         """
         write = platform_api.Write(expected_version, value)
         data = codec.encode(write)
-        status, body = yield self.ask(
+        status, body = yield self.send_request(
             kind,
             lambda: self.treq.put(self.row_url(table, key), data=data),
             account,
@@ -113,9 +115,9 @@
     @defer.inlineCallbacks
     def list_instances(self) -> Any:
         """Return the platform's list of instances, which lags."""
-        _, body = yield self.ask(
+        _, body = yield self.send_request(
             store_budget.RequestKind.READ,
-            lambda: self.treq.get(self.url('/instances')),
+            lambda: self.treq.get(self.url_of('/instances')),
         )
         return codec.decode(body, list[platform_api.Instance])
 
@@ -126,7 +128,7 @@
         Not counted with the requests to the tables: a busy weight store must
         not keep this instance from claims.
         """
-        url = self.url(f'/weights/{model}/{version}')
+        url = self.url_of(f'/weights/{model}/{version}')
         answer = self.treq.post(url)
         answer.addTimeout(self.settings.timeout_seconds, self.reactor)
         try:
@@ -138,10 +140,10 @@
             return None
         return LOAD_RETRY_SECONDS
 
-    def ask(
+    def send_request(
         self,
         kind: store_budget.RequestKind,
-        start: Asking,
+        start: StartRequest,
         account: str = '',
     ) -> 'defer.Deferred[tuple[int, bytes]]':
         """Return status and body, or raise that the platform is away."""
@@ -153,11 +155,11 @@
         # What raises here instead of failing would be counted as under way
         # for good, and as the one probe of a half-open circuit.
         answer = defer.maybeDeferred(start)
-        answer.addCallback(self.read_answer)
+        answer.addCallback(self.read_response)
         answer.addTimeout(self.settings.timeout_seconds, self.reactor)
-        return answer.addCallbacks(self.available, self.unavailable)
+        return answer.addCallbacks(self.handle_success, self.handle_failure)
 
-    def read_answer(self, response: iweb.IResponse) -> defer.Deferred:
+    def read_response(self, response: iweb.IResponse) -> defer.Deferred:
         """Read an answer; an error of the platform's own is none."""
         code = response.code
         busy = code == http.TOO_MANY_REQUESTS
@@ -167,13 +169,13 @@
         body = http.read_whole_body(response)
         return body.addCallback(lambda raw: (code, raw))
 
-    def available(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
+    def handle_success(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
         """Note that the platform answers."""
         for action in self.budget.record_success():
             self.record(action)
         return answer
 
-    def unavailable(self, why: failure.Failure) -> None:
+    def handle_failure(self, why: failure.Failure) -> None:
         """Note that the platform is away, and raise it."""
         for action in self.budget.record_failure(self.reactor.seconds()):
             self.record(action)
--- a/src/greengagelb/transport/problem_handlers.py
+++ b/src/greengagelb/transport/problem_handlers.py
@@ -21,8 +21,8 @@
 log = structlog.get_logger()
 
 
-def install(
-    app: klein.Klein, count: Callable[[str], None] = lambda code: None
+def install_problem_handlers(
+    app: klein.Klein, on_problem: Callable[[str], None] = lambda code: None
 ) -> None:
     """Have an app answer all errors with problem documents.
 
@@ -30,16 +30,16 @@
     """
 
     def bad_message(request: server.Request, why: failure.Failure) -> bytes:
-        count(why.value.code)
-        return http.refuse(request, why.value.code, str(why.value))
+        on_problem(why.value.code)
+        return http.refusal_answer(request, why.value.code, str(why.value))
 
     def unknown_path(request: server.Request, why: failure.Failure) -> bytes:
         code = code_of_path_error(why.value)
-        count(code)
-        return http.refuse(request, code, 'see docs/api.md')
+        on_problem(code)
+        return http.refusal_answer(request, code, 'see docs/api.md')
 
     def internal(request: server.Request, why: failure.Failure) -> bytes:
-        count(errors.GreengagelbError.code)
+        on_problem(errors.GreengagelbError.code)
         return internal_error(request, why)
 
     app.handle_errors(errors.ProtocolError)(bad_message)
--- a/src/greengagelb/transport/recorder.py
+++ b/src/greengagelb/transport/recorder.py
@@ -10,7 +10,7 @@
 from greengagelb.state import timeline
 from greengagelb.transport import metrics
 
-MOST_CLOCK_LEAD_MILLISECONDS = 60_000
+MAX_CLOCK_LEAD_MILLISECONDS = 60_000
 
 log = structlog.get_logger()
 
@@ -50,12 +50,12 @@
     def __init__(
         self,
         process: str,
-        most_events: int,
+        max_events: int,
         figures: metrics.Metrics | None = None,
     ) -> None:
         self.process = process
         self.clock = timeline.HybridClock()
-        self.timeline = timeline.Timeline(most_events)
+        self.timeline = timeline.Timeline(max_events)
         self.metrics = figures or metrics.Metrics()
 
     def record(self, action: actions.Record) -> None:
@@ -76,7 +76,7 @@
         self.metrics.events[action.kind] += 1
         log_event(event)
 
-    def follow(self, stamp: timeline.Stamp) -> bool:
+    def observe_stamp(self, stamp: timeline.Stamp) -> bool:
         """Let later events here sort behind a stamp that came in.
 
         Returns False for a stamp far ahead of this clock. That is not
@@ -84,7 +84,7 @@
         good.
         """
         wall = wall_milliseconds()
-        if stamp.milliseconds - wall > MOST_CLOCK_LEAD_MILLISECONDS:
+        if stamp.milliseconds - wall > MAX_CLOCK_LEAD_MILLISECONDS:
             return False
         self.clock.observe(stamp, wall)
         return True
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -157,8 +157,12 @@
             engines.Address(host, instance_settings.metrics_port),
             pages.PageFactory(self.metrics_page),
         )
-        self.loop.repeat(PAUSE_CHECK_SECONDS, self.check_pause_and_heartbeat)
-        self.loop.repeat(IDLE_SWEEP_SECONDS, self.pool.close_expired)
+        self.loop.call_periodically(
+            PAUSE_CHECK_SECONDS, self.check_pause_and_heartbeat
+        )
+        self.loop.call_periodically(
+            IDLE_SWEEP_SECONDS, self.pool.close_expired
+        )
         self.peers.open_socket(self.reactor)
         self.watch.start()
         self.recorder.record(actions.Record('started', instance_settings.name))
@@ -277,7 +281,9 @@
         self.serve_until = asked_at + min(READINESS_LAG_SECONDS, grace / 2)
         self.callers.is_closing = True
         self.loop.dispatch(relay_events.StopRequested(self.abort_at, asked_at))
-        self.loop.repeat(STOP_POLL_SECONDS, self.end_serving_if_done)
+        self.loop.call_periodically(
+            STOP_POLL_SECONDS, self.end_serving_if_done
+        )
 
     def end_serving_if_done(self) -> None:
         """End serving once no caller is connected or at ``abort_at``."""
@@ -300,9 +306,9 @@
         wait = self.kill_at - STORE_MARGIN_SECONDS - self.reactor.seconds()
         removed.addTimeout(max(0.0, wait), self.reactor, raise_store_timeout)
         removed.addErrback(self.watch.record_entry_left_behind)
-        removed.addErrback(self.loop.failed)
+        removed.addErrback(self.loop.log_unhandled_error)
         removed.addBoth(lambda _: self.close_callers())
-        removed.addErrback(self.loop.failed)
+        removed.addErrback(self.loop.log_unhandled_error)
         removed.addBoth(lambda _: self.end_process())
 
     def leave_fleet(self) -> defer.Deferred:
@@ -317,7 +323,7 @@
         wait = self.kill_at - END_MARGIN_SECONDS - self.reactor.seconds()
         drained = self.callers.drain()
         drained.addTimeout(max(0.0, wait), self.reactor)
-        return listening.close_all(self.ports, [drained])
+        return listening.close_ports(self.ports, [drained])
 
     def end_process(self) -> None:
         """Record the summary of store calls and let the process end."""
@@ -328,7 +334,7 @@
 
     def carry_out(self, action: relay_actions.RelayAction) -> None:
         """Carry out an action of the decisions."""
-        self.metrics.count(action)
+        self.metrics.count_action(action)
         match action:
             case relay_actions.ObserveDuration():
                 pass
--- a/src/greengagelb/transport/relay/relay_metrics.py
+++ b/src/greengagelb/transport/relay/relay_metrics.py
@@ -47,25 +47,25 @@
         self.answer_counts: dict[str, int] = {}
         self.send_count = 0
         self.passed_event_count = 0
-        self.answer_counter = self.counter(
+        self.answer_counter = self.new_counter(
             'answers', 'Final answers by kind and status'
         )
-        self.send_counter = self.counter(
+        self.send_counter = self.new_counter(
             'sends', 'Requests sent to engines, repeats included'
         )
-        self.passed_counter = self.counter(
+        self.passed_counter = self.new_counter(
             'stream_events', 'Events of streams given to callers'
         )
-        self.connection_counter = self.counter(
+        self.connection_counter = self.new_counter(
             'engine_connections', 'Connections opened to engines and store'
         )
-        self.store_call_counter = self.counter(
+        self.store_call_counter = self.new_counter(
             'store_calls', 'Calls to the store by what they ask, and why'
         )
-        self.unusable_gauge = self.gauge(
+        self.unusable_gauge = self.new_gauge(
             'unusable_entries', 'Entries in the store that can not be used now'
         )
-        self.unusable_counter = self.counter(
+        self.unusable_counter = self.new_counter(
             'unusable_entries_told', 'Mistakes in entries that were logged'
         )
         self.duration_histograms = {
@@ -90,7 +90,7 @@
             buckets=list(HISTOGRAM_BOUNDS_SECONDS),
         )
 
-    def count(self, action: relay_actions.RelayAction) -> None:
+    def count_action(self, action: relay_actions.RelayAction) -> None:
         """Count an action, if there is a metric for it."""
         match action:
             case relay_actions.Send():
--- a/src/greengagelb/transport/service_client.py
+++ b/src/greengagelb/transport/service_client.py
@@ -26,9 +26,9 @@
         self.dispatch = dispatch
         agent = http.fresh_connection_agent(reactor)
         self.treq = http.direct_client(agent)
-        self.under_way: dict[int, dict[int, defer.Deferred]] = {}
+        self.tries_in_flight: dict[int, dict[int, defer.Deferred]] = {}
 
-    def call(self, action: actions.DispatchCall) -> None:
+    def send_call(self, action: actions.DispatchCall) -> None:
         """Hand a call to a plain service."""
         request = action.request
         path = f'/call/{request.operation}'
@@ -43,24 +43,24 @@
             headers=headers,
             unbuffered=True,
         )
-        tries = self.under_way.setdefault(action.exchange, {})
+        tries = self.tries_in_flight.setdefault(action.exchange, {})
         tries[action.try_number] = answer
-        answer.addCallback(self.read, action)
-        answer.addErrback(self.failed, action)
+        answer.addCallback(self.read_response, action)
+        answer.addErrback(self.report_failure, action)
 
-    def read(
+    def read_response(
         self, response: iweb.IResponse, action: actions.DispatchCall
     ) -> defer.Deferred:
         """Read an answer, if it is the one to this call."""
         try:
-            self.check(response.headers, action)
+            self.check_echo(response.headers, action)
         except errors.ProtocolError:
             http.discard_body(response)
             raise
         body = http.read_whole_body(response)
-        return body.addCallback(self.answered, response, action)
+        return body.addCallback(self.report_answer, response, action)
 
-    def check(
+    def check_echo(
         self,
         headers: http_headers.Headers,
         action: actions.DispatchCall,
@@ -78,17 +78,17 @@
         if echoed != (request.account, request.request):
             raise errors.ProtocolError('answer to another request')
 
-    def answered(
+    def report_answer(
         self,
         body: bytes,
         response: iweb.IResponse,
         action: actions.DispatchCall,
     ) -> None:
         """Report an answer, or that the service refused before running."""
-        if not self.end(action):
+        if not self.forget_try(action):
             return
         exchange, number = action.exchange, action.try_number
-        said = answer_limits.read_answer(response.headers)
+        said = answer_limits.read_limit_headers(response.headers)
         if first_header(response.headers, service_api.NOT_RUN_HEADER) == '1':
             self.dispatch(
                 events.CallBroken(exchange, 'refused', False, number, said)
@@ -98,11 +98,11 @@
             events.CallAnswered(exchange, response.code, body, number, said)
         )
 
-    def failed(
+    def report_failure(
         self, why: failure.Failure, action: actions.DispatchCall
     ) -> None:
         """Report a try that ended without an answer."""
-        if not self.end(action):
+        if not self.forget_try(action):
             return
         self.dispatch(
             events.CallBroken(
@@ -113,17 +113,17 @@
             )
         )
 
-    def end(self, action: actions.DispatchCall) -> bool:
+    def forget_try(self, action: actions.DispatchCall) -> bool:
         """Forget a try; return false where it was abandoned before."""
-        tries = self.under_way.get(action.exchange, {})
-        known = tries.pop(action.try_number, None) is not None
+        tries = self.tries_in_flight.get(action.exchange, {})
+        was_known = tries.pop(action.try_number, None) is not None
         if not tries:
-            self.under_way.pop(action.exchange, None)
-        return known
+            self.tries_in_flight.pop(action.exchange, None)
+        return was_known
 
-    def abandon(self, exchange: int) -> None:
+    def abandon_call(self, exchange: int) -> None:
         """Close the connections of a call that nobody waits for."""
-        for answer in self.under_way.pop(exchange, {}).values():
+        for answer in self.tries_in_flight.pop(exchange, {}).values():
             answer.cancel()
 
 
--- a/src/greengagelb/transport/serving.py
+++ b/src/greengagelb/transport/serving.py
@@ -23,17 +23,17 @@
 from greengagelb.state import requests
 from greengagelb.transport import body_budget
 
-MOST_BODY_BYTES = 4 << 20
-RECEIVE_SECONDS = 10.0
-IDLE_SECONDS = 60.0
+MAX_BODY_BYTES = 4 << 20
+RECEIVE_TIMEOUT_SECONDS = 10.0
+IDLE_TIMEOUT_SECONDS = 60.0
 LINGER_SECONDS = 2.0
-SLOW_CODE = 'request-too-slow'
-SLOW_RETRY_SECONDS = 1.0
-FULL_RETRY_SECONDS = 1.0
+TOO_SLOW_CODE = 'request-too-slow'
+TOO_SLOW_RETRY_SECONDS = 1.0
+BODIES_FULL_RETRY_SECONDS = 1.0
 STOPPING_CODE = 'stopping'
 # Another instance takes the request as soon as its sender connects again.
 STOPPING_RETRY_SECONDS = 1.0
-UNKNOWN_PATH = ('not-found', requests.Ran.NO, 'see docs/api.md')
+UNKNOWN_PATH_FAILURE = ('not-found', requests.Ran.NO, 'see docs/api.md')
 
 
 class OpenRequests:
@@ -45,38 +45,38 @@
     """
 
     def __init__(self) -> None:
-        self.ending = False
+        self.is_stopping = False
         self.requests: set[BoundedRequest] = set()
-        self.waiting: list[defer.Deferred] = []
+        self.waiters: list[defer.Deferred] = []
 
-    def begin(self, request: 'BoundedRequest') -> None:
+    def add_request(self, request: 'BoundedRequest') -> None:
         """Note a request that has begun to come in."""
         self.requests.add(request)
 
-    def end(self, request: 'BoundedRequest') -> None:
+    def remove_request(self, request: 'BoundedRequest') -> None:
         """Note a request that is answered, or whose sender is gone."""
         self.requests.discard(request)
         if not self.requests:
-            waiting, self.waiting = self.waiting, []
-            for answered in waiting:
+            waiters, self.waiters = self.waiters, []
+            for answered in waiters:
                 answered.callback(None)
 
-    def take_no_more(self) -> None:
+    def refuse_new_requests(self) -> None:
         """Refuse the requests that are not whole, and all that come later.
 
         Taken, they would put off the end, and be cut by it in the end.
         """
-        self.ending = True
+        self.is_stopping = True
         for request in list(self.requests):
-            if not request.whole:
-                request.stop()
+            if not request.is_complete:
+                request.refuse_stopping()
 
-    def answered(self) -> defer.Deferred:
+    def wait_until_answered(self) -> defer.Deferred:
         """Return a Deferred that fires once none is open."""
         if not self.requests:
             return defer.succeed(None)
         answered = defer.Deferred()
-        self.waiting.append(answered)
+        self.waiters.append(answered)
         return answered
 
 
@@ -98,111 +98,114 @@
         super().__init__(*args, **kwargs)
         self.budget = budget
         self.open_requests = open_requests
-        self.open_requests.begin(self)
-        self.whole = False
+        self.open_requests.add_request(self)
+        self.is_complete = False
         self.account = ''
-        self.received = 0
-        self.refused = False
-        self.pending: interfaces.IDelayedCall | None = self.channel.callLater(
-            RECEIVE_SECONDS, self.too_slow
+        self.received_bytes = 0
+        self.is_refused = False
+        self.connection_timer: interfaces.IDelayedCall | None = (
+            self.channel.callLater(
+                RECEIVE_TIMEOUT_SECONDS, self.refuse_too_slow
+            )
         )
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
         """Prepare for a body; its length is None if it comes in chunks."""
         self.content = io.BytesIO()
         if length != 0 and self.budget is not None:
-            self.identify(self.budget)
-        if length is not None and length > MOST_BODY_BYTES:
-            self.too_large()
-        if self.refused:
+            self.identify_account(self.budget)
+        if length is not None and length > MAX_BODY_BYTES:
+            self.refuse_too_large()
+        if self.is_refused:
             # A sender that waits for "100 Continue" must not be told to go on.
             self.requestHeaders.removeHeader(b'expect')
 
-    def identify(self, budget: body_budget.BodyBudget) -> None:
+    def identify_account(self, budget: body_budget.BodyBudget) -> None:
         """Learn whose body this is, before any of it is kept."""
         try:
             self.account = budget.account_of(self)
         except errors.ProtocolError as exc:
-            self.refuse(failure_of(exc))
+            self.write_refusal(refusal_of(exc))
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
         """Keep a piece of the body, unless the request is refused."""
-        if self.refused:
+        if self.is_refused:
             return
-        if self.received + len(data) > MOST_BODY_BYTES:
-            self.too_large()
+        if self.received_bytes + len(data) > MAX_BODY_BYTES:
+            self.refuse_too_large()
             return
         if self.budget is not None:
             try:
-                self.budget.take(self.account, len(data))
+                self.budget.reserve_bytes(self.account, len(data))
             except errors.ProtocolError as exc:
-                self.refuse(failure_of(exc))
+                self.write_refusal(refusal_of(exc))
                 return
-        self.received += len(data)
+        self.received_bytes += len(data)
         super().handleContentChunk(data)
 
-    def give_back(self) -> None:
+    def release_body(self) -> None:
         """Let go of the body, once."""
         self.content = None
-        if self.budget is not None and self.received:
-            self.budget.give_back(self.account, self.received)
-        self.received = 0
+        if self.budget is not None and self.received_bytes:
+            self.budget.release_bytes(self.account, self.received_bytes)
+        self.received_bytes = 0
 
     def finish(self) -> None:
         """End the answer."""
         super().finish()
-        self.give_back()
-        self.open_requests.end(self)
+        self.release_body()
+        self.open_requests.remove_request(self)
 
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
         """Handle a request that has come in whole."""
-        self.whole = True
-        self.stop_waiting()
-        if self.open_requests.ending:
-            self.stop()
-        if not self.refused and not is_text(path):
+        self.is_complete = True
+        self.cancel_timer()
+        if self.open_requests.is_stopping:
+            self.refuse_stopping()
+        if not self.is_refused and not is_utf8_path(path):
             # Routing would fail on it outside any handler of ours.
-            self.refuse(requests.Failure(*UNKNOWN_PATH))
-        if self.refused:
-            self.stop_waiting()
+            self.write_refusal(requests.Failure(*UNKNOWN_PATH_FAILURE))
+        if self.is_refused:
+            self.cancel_timer()
             self.channel.loseConnection()
             return
         super().requestReceived(command, path, version)
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         """Forget a request whose sender is gone."""
-        self.stop_waiting()
-        self.give_back()
+        self.cancel_timer()
+        self.release_body()
         super().connectionLost(reason)
-        self.open_requests.end(self)
+        self.open_requests.remove_request(self)
 
-    def too_large(self) -> None:
+    def refuse_too_large(self) -> None:
         """Refuse a request with too long a body."""
-        self.refuse(
+        self.write_refusal(
             requests.Failure(
                 errors.BodyTooLarge.code,
                 requests.Ran.NO,
-                f'write at most {MOST_BODY_BYTES} bytes',
+                f'write at most {MAX_BODY_BYTES} bytes',
             )
         )
 
-    def too_slow(self) -> None:
+    def refuse_too_slow(self) -> None:
         """Refuse a request that does not come in within its time."""
-        self.pending = None
-        self.refuse(
+        self.connection_timer = None
+        self.write_refusal(
             requests.Failure(
-                SLOW_CODE,
+                TOO_SLOW_CODE,
                 requests.Ran.NO,
-                f'the request did not come in within {RECEIVE_SECONDS:.0f} s',
-                SLOW_RETRY_SECONDS,
+                'the request did not come in within '
+                f'{RECEIVE_TIMEOUT_SECONDS:.0f} s',
+                TOO_SLOW_RETRY_SECONDS,
             )
         )
 
-    def stop(self) -> None:
+    def refuse_stopping(self) -> None:
         """Refuse a request that comes in while the instance ends."""
-        self.refuse(
+        self.write_refusal(
             requests.Failure(
                 STOPPING_CODE,
                 requests.Ran.NO,
@@ -211,13 +214,13 @@
             )
         )
 
-    def refuse(self, failure: requests.Failure) -> None:
+    def write_refusal(self, failure: requests.Failure) -> None:
         """Write the refusal and close the connection soon."""
-        if self.refused:
+        if self.is_refused:
             return
-        self.refused = True
-        self.stop_waiting()
-        self.give_back()
+        self.is_refused = True
+        self.cancel_timer()
+        self.release_body()
         problem = problems.to_problem(failure)
         body = codec.encode(problem)
         phrase = web_http.RESPONSES.get(problem.status, b'')
@@ -230,18 +233,21 @@
         if failure.retry_after is not None:
             lines.append(b'Retry-After: %d' % max(1, failure.retry_after))
         self.channel.transport.write(b'\r\n'.join(lines) + b'\r\n\r\n' + body)
-        self.pending = self.channel.callLater(
+        self.connection_timer = self.channel.callLater(
             LINGER_SECONDS, self.channel.loseConnection
         )
 
-    def stop_waiting(self) -> None:
+    def cancel_timer(self) -> None:
         """Clear the timer of this request."""
-        if self.pending is not None and self.pending.active():
-            self.pending.cancel()
-        self.pending = None
+        if (
+            self.connection_timer is not None
+            and self.connection_timer.active()
+        ):
+            self.connection_timer.cancel()
+        self.connection_timer = None
 
 
-def is_text(path: bytes) -> bool:
+def is_utf8_path(path: bytes) -> bool:
     """Return whether a path is UTF-8 once its escapes are resolved."""
     try:
         urllib.parse.unquote_to_bytes(path).decode()
@@ -250,11 +256,11 @@
     return True
 
 
-def failure_of(error: errors.ProtocolError) -> requests.Failure:
+def refusal_of(error: errors.ProtocolError) -> requests.Failure:
     """Return the refusal that an error stands for."""
     wait = None
     if isinstance(error, errors.AccountBodiesFull):
-        wait = FULL_RETRY_SECONDS
+        wait = BODIES_FULL_RETRY_SECONDS
     return requests.Failure(error.code, requests.Ran.NO, str(error), wait)
 
 
@@ -280,7 +286,7 @@
             BoundedRequest, budget, open_requests
         ),
         parsePOSTFormSubmission=False,
-        timeout=IDLE_SECONDS,
+        timeout=IDLE_TIMEOUT_SECONDS,
         reactor=reactor,
     )
     site.open_requests = open_requests
--- a/src/greengagelb/transport/settings_file.py
+++ b/src/greengagelb/transport/settings_file.py
@@ -13,13 +13,13 @@
     """
 
     def __init__(
-        self, path: pathlib.Path, call_back: Callable[[], None]
+        self, path: pathlib.Path, on_change: Callable[[], None]
     ) -> None:
         self.path = path
-        self.call_back = call_back
-        self.known = self.stamp()
+        self.on_change = on_change
+        self.last_stamp = self.read_stamp()
 
-    def stamp(self) -> tuple[int, int, int] | None:
+    def read_stamp(self) -> tuple[int, int, int] | None:
         """Return what differs once the file was written, or None."""
         try:
             found = self.path.stat()
@@ -27,17 +27,17 @@
             return None
         return found.st_ino, found.st_size, found.st_mtime_ns
 
-    def look(self) -> None:
+    def check_for_change(self) -> None:
         """Call back if the file is another one than before.
 
         A file that is missing just now is being replaced.
         """
-        stamp = self.stamp()
-        if stamp is not None and stamp != self.known:
-            self.known = stamp
-            self.call_back()
+        stamp = self.read_stamp()
+        if stamp is not None and stamp != self.last_stamp:
+            self.last_stamp = stamp
+            self.on_change()
 
-    def changed(self) -> None:
+    def handle_change_notice(self) -> None:
         """Call back, as somebody says that the file has changed."""
-        self.known = self.stamp()
-        self.call_back()
+        self.last_stamp = self.read_stamp()
+        self.on_change()
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -120,7 +120,7 @@
     assert site.events == []
 
 
-def test_right_request_becomes_an_event():
+def test_valid_request_becomes_an_event():
     site = caller_sites.CallerSite()
     assert answer_to(caller_sites.request(), site) is None
     assert [type(event) for event in site.events] == [
@@ -128,7 +128,7 @@
     ]
 
 
-def test_cursor_of_another_account_is_answered_like_one_that_never_was():
+def test_cursor_of_another_account_is_answered_like_a_forged_one():
     """A caller guesses or steals the cursor of another client account.
 
     The answer must not tell whether that account's request exists.
@@ -156,7 +156,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(cursor=strategies.binary(max_size=120))
-def test_no_cursor_that_was_not_sealed_is_opened(cursor):
+def test_forged_cursor_is_rejected(cursor):
     clean = bytes(byte for byte in cursor if byte not in b'\r\n\0')
     site = caller_sites.CallerSite()
     answer = answer_to(
@@ -178,7 +178,7 @@
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
-    size = serving.MOST_BODY_BYTES
+    size = serving.MAX_BODY_BYTES
     key = b'Authorization: Bearer ' + fleet.ACCOUNT_KEY.encode()
     if chunked:
         connection.send(
@@ -206,7 +206,7 @@
     assert site.events == []
 
 
-def test_body_of_many_bytes_makes_no_file(monkeypatch):
+def test_large_body_creates_no_temporary_file(monkeypatch):
     """The library keeps a long body in a file; instances have no disks."""
     monkeypatch.setattr(
         'tempfile.TemporaryFile', lambda *_: pytest.fail('opened a file')
@@ -220,7 +220,7 @@
     assert content in site.events[0].request.prompt
 
 
-def test_slow_sender_is_told_so_and_cut():
+def test_slow_sender_is_refused_and_disconnected():
     """A sender gives a byte now and then, and never ends.
 
     The connection is answered and closed after some time, however steadily
@@ -235,13 +235,13 @@
         connection.send(bytes([byte]))
     answer = connection.answer()
     assert answer.status == 408
-    assert answer.problem()['code'] == serving.SLOW_CODE
+    assert answer.problem()['code'] == serving.TOO_SLOW_CODE
     assert answer.headers['retry-after'] == '1'
     assert not connection.transport.connected
     assert site.events == []
 
 
-def test_half_a_request_leads_to_nothing():
+def test_incomplete_request_causes_no_event():
     """A caller dies while it sends; no request must come of the half."""
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -251,13 +251,13 @@
     assert not site.clock.getDelayedCalls()
 
 
-def test_error_of_the_program_says_that_the_outcome_is_unknown(monkeypatch):
+def test_internal_error_reports_an_unknown_outcome(monkeypatch):
     """A fault in the program itself hits a request.
 
     The caller is not told "not run", since nobody knows.
     """
     site = caller_sites.CallerSite()
-    monkeypatch.setattr(site.app, 'arrival', None)
+    monkeypatch.setattr(site.app, 'event_of_submission', None)
     answer = answer_to(caller_sites.request(), site)
     assert answer.status == 500
     assert answer.problem()['ran'] == 'outcome-unknown'
@@ -278,7 +278,7 @@
     ]
 
 
-def test_body_of_nobody_is_not_taken_in():
+def test_body_without_a_valid_key_is_not_read():
     """A sender without a key announces a body.
 
     It is refused before it has sent any of it, and fills no memory.
@@ -291,17 +291,17 @@
     assert connection.answer().problem()['code'] == 'unauthenticated'
     connection.send(body)
     assert not connection.transport.connected
-    assert not site.app.budget.held
+    assert not site.app.budget.held_bytes
 
 
-def test_large_bodies_of_one_account_leave_the_others_alone():
+def test_body_memory_is_bounded_per_account():
     """One account keeps many large requests open.
 
     Its next one is refused, while another account's is taken, and what was
     held is given back as its callers leave.
     """
     site = caller_sites.CallerSite()
-    size = serving.MOST_BODY_BYTES - 1000
+    size = serving.MAX_BODY_BYTES - 1000
     message = {'role': 'user', 'content': 'x' * size}
     large = caller_sites.request(body=caller_sites.chat(messages=[message]))
     opened = []
@@ -313,9 +313,9 @@
     refused = opened[-1].answer()
     assert refused.problem()['code'] == 'account-bodies-full'
     assert refused.headers['retry-after'] == '1'
-    assert len(opened) == body_budget.MOST_ACCOUNT_BYTES // size + 1
+    assert len(opened) == body_budget.MAX_ACCOUNT_BODY_BYTES // size + 1
     other = caller_sites.request(key=fleet.OTHER_KEY.encode())
     assert answer_to(other, site) is None
     for connection in opened:
         connection.transport.loseConnection()
-    assert set(site.app.budget.held) == {'karri'}
+    assert set(site.app.budget.held_bytes) == {'karri'}
--- a/tests/calls/test_platform_client.py
+++ b/tests/calls/test_platform_client.py
@@ -20,14 +20,16 @@
         self.network = wires.Network()
         self.events = []
         self.records = []
-        place = settings.PlatformSettings(wires.ADDRESS, wires.PORT)
+        platform_settings = settings.PlatformSettings(
+            wires.ADDRESS, wires.PORT
+        )
         self.platform = platform_client.PlatformClient(
-            self.network.reactor, place, self.records.append
+            self.network.reactor, platform_settings, self.records.append
         )
         self.claims = claim_store.ClaimStore(self.platform, self.events.append)
 
     def write(self):
-        self.claims.write(actions.WriteClaim('i.1', 'key', 0, RECORD))
+        self.claims.write_claim(actions.WriteClaim('i.1', 'key', 0, RECORD))
 
     def only_event(self):
         (found,) = self.events
@@ -60,7 +62,7 @@
     assert not store.only_event().handed_over
 
 
-def test_silent_store_proves_nothing_and_its_connection_is_closed():
+def test_store_timeout_leaves_the_outcome_unknown_and_closes_the_connection():
     """The store takes a claim and says nothing.
 
     Taken for "not written", the claim could land later and be in the way.
@@ -73,7 +75,7 @@
     assert wire.closed or wire.transport.disconnected
 
 
-def test_answer_that_makes_no_sense_still_ends_the_wait():
+def test_malformed_store_answer_fails_the_write():
     """Something between answers in the store's place with a page of HTML.
 
     The caller would wait for its answer until its deadline.
@@ -102,14 +104,14 @@
 def test_busy_store_counts_as_a_failure():
     store = Store()
     failed = []
-    store.platform.read('t', 'k').addErrback(failed.append)
+    store.platform.read_row('t', 'k').addErrback(failed.append)
     store.network.accept().answer(b'', status='429 Busy', length=5)
     (why,) = failed
     assert why.check(errors.PlatformUnavailable)
     assert store.platform.budget.consecutive_failures == 1
 
 
-def test_request_that_can_not_be_built_is_not_counted_as_under_way():
+def test_request_that_can_not_be_built_is_not_counted_as_in_flight():
     """A bug of this program raises while a request is put together.
 
     Counted as under way for good, 64 of them would shut the store off.
@@ -117,6 +119,6 @@
     store = Store()
     failed = []
     kind = store_budget.RequestKind.READ
-    store.platform.ask(kind, lambda: 1 // 0).addErrback(failed.append)
+    store.platform.send_request(kind, lambda: 1 // 0).addErrback(failed.append)
     assert len(failed) == 1
     assert store.platform.budget.in_flight == 0
--- a/tests/calls/test_service_client.py
+++ b/tests/calls/test_service_client.py
@@ -37,7 +37,9 @@
             deadline=60.0,
             has_idempotency_key=True,
         )
-        self.client.call(actions.DispatchCall(exchange, upstream, request))
+        self.client.send_call(
+            actions.DispatchCall(exchange, upstream, request)
+        )
 
 
 def test_answer_is_passed_on_as_it_came():
@@ -47,7 +49,7 @@
     assert caller.events == [events.CallAnswered(1, 200, b'done')]
 
 
-def test_dead_connection_is_not_asked_again_by_a_library():
+def test_library_does_not_retry_on_a_lost_connection():
     """The service runs a charge and its connection breaks off.
 
     An HTTP library that repeats the request by itself charges the owner
@@ -66,7 +68,7 @@
 
 
 @pytest.mark.parametrize('method', [b'GET', b'DELETE', b'POST'])
-def test_agent_repeats_no_method_by_itself(method):
+def test_agent_does_not_retry_any_method(method):
     """A connection dies just as a request goes out on it.
 
     Twisted's pool repeats the methods that HTTP calls idempotent unless it
@@ -107,7 +109,7 @@
     assert not broken.handed_over
 
 
-def test_crossed_answer_is_not_shown_and_its_connection_is_closed():
+def test_answer_to_another_request_is_rejected_and_its_connection_closed():
     """A service sends the answer to another account's charge.
 
     The caller would see somebody else's booking.
@@ -124,7 +126,7 @@
     assert wire.closed
 
 
-def test_body_that_breaks_off_is_no_answer():
+def test_truncated_body_is_not_an_answer():
     """A service dies halfway through its answer."""
     caller = Caller()
     caller.call()
@@ -136,7 +138,7 @@
     assert broken.handed_over
 
 
-def test_refusal_that_breaks_off_proves_nothing():
+def test_truncated_refusal_leaves_the_outcome_unknown():
     """The header of a refusal arrives, its body never does whole."""
     caller = Caller()
     caller.call()
@@ -146,14 +148,14 @@
     assert caller.events[0].handed_over
 
 
-def test_endless_body_is_cut_at_the_bound():
+def test_endless_body_is_aborted_at_the_limit():
     """A service sends without end; the instance must not run out of memory."""
     caller = Caller()
     caller.call()
     wire = caller.network.accept()
-    wire.answer(b'', *ECHO, length=http.MOST_BODY_BYTES * 9)
+    wire.answer(b'', *ECHO, length=http.MAX_BODY_BYTES * 9)
     for _ in range(3):
-        wire.protocol.dataReceived(bytes(http.MOST_BODY_BYTES // 2))
+        wire.protocol.dataReceived(bytes(http.MAX_BODY_BYTES // 2))
     assert isinstance(caller.events[0], events.CallBroken)
     assert wire.closed
 
@@ -168,7 +170,7 @@
     caller.call()
     wire = caller.network.accept()
     wire.answer(b'half', *ECHO, length=8)
-    caller.client.abandon(1)
+    caller.client.abandon_call(1)
     assert wire.closed
     assert caller.events == []
 
@@ -177,7 +179,7 @@
     caller = Caller()
     caller.call()
     wire = caller.network.accept()
-    caller.client.abandon(1)
+    caller.client.abandon_call(1)
     assert wire.transport.disconnected or wire.closed
     assert caller.events == []
 
--- a/tests/logs/test_bounded_log.py
+++ b/tests/logs/test_bounded_log.py
@@ -46,7 +46,7 @@
             found += part
 
 
-def test_reader_that_stops_reading_holds_nobody_up():
+def test_stalled_log_reader_does_not_block_writes():
     """The process that collects the logs hangs.
 
     A write that waits for it would stop every caller's stream. What is left
@@ -55,9 +55,9 @@
     with Pipe() as pipe:
         for number in range(1_900):
             pipe.log.write('x' * 400 + f' {number}\n')
-        assert len(pipe.log.waiting) <= bounded_log.MOST_WAITING_BYTES
-        assert pipe.log.dropped > 0
-        dropped = pipe.log.dropped
+        assert len(pipe.log.pending) <= bounded_log.MAX_PENDING_BYTES
+        assert pipe.log.unreported_drops > 0
+        dropped = pipe.log.unreported_drops
         rest = pipe.read_all()
         pipe.now += 10.0
         pipe.log.write('after\n')
@@ -80,16 +80,16 @@
                 pipe.log.write('line\n')
             lines += len(pipe.read())
             pipe.now += 0.01
-        most = bounded_log.MOST_LINES_AT_ONCE + bounded_log.LINES_PER_SECOND
+        most = bounded_log.MAX_BURST_LINES + bounded_log.LINES_PER_SECOND
         assert lines <= most + 1
-        assert pipe.log.dropped_in_all >= 10_000 - most - 1
+        assert pipe.log.total_dropped >= 10_000 - most - 1
 
 
-def test_reader_that_is_gone_costs_nothing():
+def test_closed_log_pipe_discards_lines():
     pipe = Pipe()
     os.close(pipe.out)
     pipe.log.write('line\n')
-    assert not pipe.log.waiting
+    assert not pipe.log.pending
     os.close(pipe.descriptor)
     with pytest.raises(OSError, match='descriptor'):
         os.write(pipe.descriptor, b'')
--- a/tests/logs/test_crash_evidence.py
+++ b/tests/logs/test_crash_evidence.py
@@ -23,7 +23,7 @@
     return found
 
 
-def test_a_request_that_comes_again_is_told_as_the_same():
+def test_repeated_request_has_the_same_fingerprint():
     """Guards against repeats that the log can't connect.
 
     A caller sends what failed again, with a new id and at another instance.
@@ -35,7 +35,7 @@
     assert fingerprint_sent(there, body=BODY) == first
 
 
-def test_other_requests_are_told_apart():
+def test_different_requests_have_different_fingerprints():
     """Guards against a log that takes two requests for one."""
     world = relay_world.RelayWorld()
     told = {
@@ -48,7 +48,7 @@
     assert len(told) == 5
 
 
-def test_a_lost_send_tells_whether_its_engine_had_begun_to_answer():
+def test_lost_send_records_whether_the_answer_had_begun():
     """Guards against losses of which the log hides what the engine did."""
     world = relay_world.RelayWorld()
     waiting = world.last_send(world.ask())
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -26,7 +26,7 @@
     return world
 
 
-def test_a_limit_that_an_answer_names_is_told_once_until_it_changes():
+def test_limit_is_recorded_once_until_it_changes():
     """Guards against a log that hides from when on an instance knew it."""
     world = lone_world()
     for rate in (2.1, 2.1, 4.0, None):
@@ -42,7 +42,7 @@
     ]
 
 
-def test_a_send_tells_which_limit_was_known_and_for_how_long():
+def test_send_records_the_known_limit_and_its_age():
     """Guards against sends of which nobody can say why they were made."""
     world = lone_world()
     first = world.last_send(world.call())
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize('kind', ['stream', 'refused', 'error'])
-def test_each_kind_of_answer_names_a_limit(kind):
+def test_limit_is_read_from_each_kind_of_answer(kind):
     """Guards against limits in refusals, errors or heads of streams."""
     world = relay_world.RelayWorld()
     exchange = world.ask() if kind == 'stream' else world.query()
@@ -73,7 +73,7 @@
     assert reasons(world, 'engine-limit') == ['3 a second, version 1']
 
 
-def test_an_unusable_limit_is_told_and_changes_nothing():
+def test_invalid_limit_is_recorded_and_ignored():
     """Guards against a bad header that hides an answer, or the last limit."""
     world = lone_world()
     first = world.last_send(world.call())
@@ -88,7 +88,7 @@
     assert len(world.answered()) == 2
 
 
-def test_the_own_interface_tells_of_limits_too():
+def test_limits_of_the_native_interface_are_recorded():
     """Guards against limits of engines that only one interface tells of."""
     said = limits.UpstreamAdvertisement(2.5, 'life-1')
     node = loaded_node.new_node([loaded_node.account('one')], engines=1)
@@ -109,7 +109,7 @@
     assert node.limits.rate('e0') is None
 
 
-def test_metrics_tell_of_limits_and_of_what_they_hold():
+def test_metrics_show_limits_and_held_requests():
     """Guards against limits whose use and whose price nobody can see."""
     world = lone_world()
     first = world.last_send(world.call())
--- a/tests/process/test_calls_across_instances.py
+++ b/tests/process/test_calls_across_instances.py
@@ -81,7 +81,7 @@
         assert runs_of(running) == 1
 
 
-def test_claimant_that_wakes_late_gives_its_charge_up(tmp_path):
+def test_claimant_resumed_after_the_deadline_abandons_its_charge(tmp_path):
     """An instance is stopped while it claims, and wakes after the deadline.
 
     It must not run a charge that nobody waits for any more, and the retry
@@ -104,7 +104,7 @@
         assert runs_of(running) == 1
 
 
-def test_store_outage_is_answered_and_leaves_other_calls_alone(tmp_path):
+def test_store_outage_is_answered_and_does_not_affect_other_calls(tmp_path):
     """The platform's store is away.
 
     Lookups go on. A charge gets its final answer, which says "not run" only
@@ -127,7 +127,7 @@
         assert runs_of(running) == 1
 
 
-def test_lookups_are_answered_while_one_service_stands_still(tmp_path):
+def test_lookups_are_answered_while_one_service_is_paused(tmp_path):
     """A plain service's process is paused; its connections stay open.
 
     Lookups that went there would show no availability until their deadline.
--- a/tests/process/test_crashing_requests.py
+++ b/tests/process/test_crashing_requests.py
@@ -21,7 +21,7 @@
 
 
 @pytest.fixture
-def fragile(tmp_path):
+def crash_prone_fleet(tmp_path):
     """Run two instances, with engines and services that die of a text."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(UPSTREAMS):
@@ -36,7 +36,7 @@
         yield running
 
 
-def dead(processes):
+def dead_processes(processes):
     return sum(p.popen.poll() is not None for p in processes.values())
 
 
@@ -79,28 +79,28 @@
     return [ask(router, number + n) for n, router in enumerate(routers)]
 
 
-def test_a_deadly_prompt_ends_three_engines_and_no_more(fragile):
+def test_crashing_prompt_crashes_at_most_three_engines(crash_prone_fleet):
     """Guards against a prompt that takes a pool down, engine by engine."""
-    routers = list(fragile.instances.values())
+    routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(routers, ask_for_stream)
     assert codes == ['request-crashes-engines'] * 2
-    assert dead(fragile.engines) == MOST_CRASHES
+    assert dead_processes(crash_prone_fleet.engines) == MOST_CRASHES
     other = callers.StreamCaller('hello', 20)
     other.read_all(routers[0].port)
     assert other.tokens == other.right_answer()
 
 
 @pytest.mark.parametrize('service', ['lookup', 'charge'])
-def test_a_deadly_call_is_refused_by_instances_that_share_the_crashes(
-    fragile, service
+def test_crashing_call_is_refused_by_instances_that_share_crash_counts(
+    crash_prone_fleet, service
 ):
     """Guards against a call that ends upstreams, with a new key each time.
 
     Of a charge each instance alone sees every second crash only.
     """
-    routers = list(fragile.instances.values())
+    routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(
         routers, functools.partial(ask_for_call, service=service)
     )
     assert codes == ['request-crashes-engines'] * 2
-    assert dead(fragile.services) < UPSTREAMS
+    assert dead_processes(crash_prone_fleet.services) < UPSTREAMS
--- a/tests/process/test_fleet_membership.py
+++ b/tests/process/test_fleet_membership.py
@@ -54,7 +54,9 @@
     fleet.ask(running.platform.port, '/standin/faults', faults)
 
 
-def test_instance_that_starts_in_an_outage_serves_by_its_peers(tmp_path):
+def test_instance_started_in_an_outage_gets_its_configuration_from_a_peer(
+    tmp_path,
+):
     """The store is down and the platform replaces an instance.
 
     The new one takes the configuration from an instance that its settings
@@ -132,7 +134,7 @@
             )
 
 
-def test_restart_of_everything_in_an_outage_is_not_ready(tmp_path):
+def test_instances_all_restarted_in_an_outage_are_not_ready(tmp_path):
     """All instances restart while the store is down.
 
     Nobody has a configuration any more. Guessing one could bring back what
@@ -157,7 +159,7 @@
             )
 
 
-def test_message_of_a_stranger_changes_nothing(tmp_path):
+def test_unauthenticated_peer_message_is_dropped(tmp_path):
     """Somebody who reaches the peer port sends messages of their own."""
     with fleet.small_fleet(tmp_path, instances=1) as running:
         router = running.instances['router-0']
--- a/tests/process/test_fleet_orders.py
+++ b/tests/process/test_fleet_orders.py
@@ -19,7 +19,7 @@
     }
 
 
-def test_rollout_cuts_no_stream_and_reaches_a_restarted_engine(tmp_path):
+def test_rollout_interrupts_no_stream_and_reaches_a_restarted_engine(tmp_path):
     """An operator changes a pool's version while drafts are streamed.
 
     Each draft ends on the version it began with. Then an engine dies and
--- a/tests/process/test_fleet_plans.py
+++ b/tests/process/test_fleet_plans.py
@@ -40,7 +40,7 @@
     fleet.ask(running.platform.port, '/standin/faults', faults)
 
 
-def test_of_many_operators_at_once_one_wins_and_all_learn_it(tmp_path):
+def test_concurrent_confirmations_have_one_winner_known_to_all(tmp_path):
     """Eight operators confirm plans of one version at two instances at once.
 
     The store takes writes and loses the answers meanwhile. Whoever is told
@@ -73,7 +73,7 @@
         assert confirm(routers[1], winner).status == 200
 
 
-def test_confirm_at_a_slow_store_is_unsettled_and_found_out_later(tmp_path):
+def test_confirm_at_a_slow_store_is_unsettled_and_resolved_later(tmp_path):
     """The store takes longer than an instance waits for it.
 
     The operator is told that nobody knows, never that nothing happened, and
@@ -92,7 +92,7 @@
         assert stage(router, plan_id) == 'confirmed'
 
 
-def test_operator_is_told_when_to_come_back_to_a_store_that_was_late(
+def test_operator_is_told_when_to_retry_after_a_late_store_start(
     tmp_path,
 ):
     """The platform comes up seconds after the instances.
@@ -121,7 +121,7 @@
         running.configure(running.configuration())
 
 
-def test_plan_is_had_after_the_store_stood_still(tmp_path):
+def test_plan_can_be_made_after_a_store_pause(tmp_path):
     """The platform stands still for some seconds and goes on."""
     with fleet.small_fleet(tmp_path, engines=1, instances=1) as running:
         running.platform.send_signal(signal.SIGSTOP)
--- a/tests/process/test_fleet_stops.py
+++ b/tests/process/test_fleet_stops.py
@@ -94,7 +94,7 @@
                     self.unclear.append(answer)
 
 
-def test_rolling_restart_under_load_cuts_nothing(tmp_path):
+def test_rolling_restart_under_load_interrupts_no_answer(tmp_path):
     """The platform replaces all instances, one after the other.
 
     Guests' drafts and owners' charges go on meanwhile, and one long digest
@@ -134,7 +134,7 @@
         assert set(load.charged) == {1}
 
 
-def test_engine_drain_cuts_nothing(tmp_path):
+def test_engine_drain_interrupts_no_answer(tmp_path):
     """An operator drains an engine in the middle of long drafts."""
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
--- a/tests/process/test_in_force.py
+++ b/tests/process/test_in_force.py
@@ -62,7 +62,7 @@
         return what in self.log.read_text()
 
 
-class Stranger(http.server.BaseHTTPRequestHandler):
+class ForeignServer(http.server.BaseHTTPRequestHandler):
     """Answers with something that is no page of an instance."""
 
     def do_GET(self):
@@ -75,9 +75,9 @@
 
 
 @contextlib.contextmanager
-def stranger():
+def foreign_server():
     """Serve a stranger's page; give its address."""
-    server = http.server.HTTPServer(('127.0.0.1', 0), Stranger)
+    server = http.server.HTTPServer(('127.0.0.1', 0), ForeignServer)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
     try:
@@ -119,7 +119,7 @@
     return '--pages=' + ','.join([r.page for r in relays.values()] + [*others])
 
 
-def test_those_without_the_change_are_named(relays, tmp_path):
+def test_instances_without_the_change_are_listed(relays, tmp_path):
     """Guards against a change of which nobody can tell who has it.
 
     One instance is frozen, one keeps an old file, one address is a stranger's
@@ -134,7 +134,7 @@
         fleet.wait_until(lambda n=name: relays[n].logged('settings-reloaded'))
     relays['frozen'].process.send_signal(signal.SIGSTOP)
     nobody = f'127.0.0.1:{fleet.free_port()}'
-    with stranger() as address:
+    with foreign_server() as address:
         code, lines, _ = ask(pages(relays, address, nobody))
     assert code == Code.UNREACHABLE
     silent = {line['address'] for line in lines if 'name' not in line}
@@ -146,7 +146,7 @@
     relays['frozen'].process.send_signal(signal.SIGCONT)
 
 
-def test_a_wait_ends_once_all_have_the_change(relays):
+def test_wait_ends_once_all_instances_have_the_change(relays):
     """Guards against a script that goes on too early, or never."""
     wanted = relays['first']
     wanted.write(grace=3.0)
--- a/tests/process/test_limited_upstreams.py
+++ b/tests/process/test_limited_upstreams.py
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize('service', ['lookup', 'charge'])
-def test_two_instances_keep_to_the_limit_of_a_service(limited, service):
+def test_two_instances_share_the_limit_of_a_service(limited, service):
     """Guards against a limit that is read, told or kept by no process."""
     routers = list(limited.instances.values())
     with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
--- a/tests/process/test_product_archive.py
+++ b/tests/process/test_product_archive.py
@@ -25,7 +25,7 @@
     shutil.rmtree(folder)
 
 
-def test_archive_serves_as_one_process_and_writes_only_to_memory(
+def test_archive_runs_as_one_process_and_writes_only_to_memory(
     tmp_path, memory_folder
 ):
     archive = archives.build_archive(tmp_path)
--- a/tests/process/test_product_commands.py
+++ b/tests/process/test_product_commands.py
@@ -49,7 +49,7 @@
         assert 'unauthenticated' in wrong.output
 
 
-def test_time_line_tells_which_process_is_missing(tmp_path):
+def test_timeline_reports_which_process_is_missing(tmp_path):
     """One instance is down when the operator asks what happened.
 
     The time line shows what the other one knows, and says what is missing.
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize('taken_port', ['caller', 'operator', 'peer'])
-def test_serve_says_that_its_port_is_taken(tmp_path, taken_port):
+def test_serve_reports_a_port_in_use(tmp_path, taken_port):
     """Another process already listens on one of an instance's ports.
 
     The instance says so and exits, rather than running unreachable.
@@ -103,7 +103,7 @@
     assert 'instance-unreachable' in unreachable.complaint
 
 
-def test_demonstration_shows_that_everything_holds():
+def test_demonstration_passes_all_its_checks():
     shown = commands.run_process('demo', '--demo_tokens=40', timeout=120)
     assert shown.code == Code.SUCCESS, shown.output + shown.complaint
     assert '(SIGKILL)' in shown.output
--- a/tests/process/test_slow_caller.py
+++ b/tests/process/test_slow_caller.py
@@ -49,7 +49,7 @@
     return answer.json()['running']
 
 
-def test_caller_that_does_not_read_loses_its_own_stream_only(tmp_path):
+def test_caller_that_does_not_read_loses_only_its_own_stream(tmp_path):
     """A caller asks for a long draft and then stops reading.
 
     Were the instance to keep all that is unread, one account could fill its
--- a/tests/process/test_streams_under_failures.py
+++ b/tests/process/test_streams_under_failures.py
@@ -58,7 +58,7 @@
     assert 'attempt-replaced' not in kinds
 
 
-def test_paused_engine_is_replaced_and_stopped_when_it_is_back(sampling):
+def test_paused_engine_is_replaced_and_stopped_when_it_resumes(sampling):
     """An engine is paused, replaced and comes back as if nothing happened.
 
     The caller sees one answer. The engine must not go on for nobody.
@@ -82,7 +82,7 @@
     )
 
 
-def test_paused_instance_takes_no_engine_for_dead(sampling):
+def test_paused_instance_does_not_suspect_engines(sampling):
     """An instance is stopped for longer than any stall deadline.
 
     When it goes on all its timers are due and all its tokens unread. Judged
--- a/tests/process/test_whole_path.py
+++ b/tests/process/test_whole_path.py
@@ -50,7 +50,7 @@
         assert other.json()['run'] == 1
 
 
-def test_stream_goes_on_after_the_kill_of_its_instance(tmp_path):
+def test_stream_resumes_after_its_instance_is_killed(tmp_path):
     """The instance that serves a draft is killed.
 
     The caller's connection breaks. It comes back through the balancer to the
@@ -68,7 +68,7 @@
         assert caller.finish_reason == 'length'
 
 
-def test_stream_goes_on_after_the_kill_of_instance_and_engine(tmp_path):
+def test_stream_resumes_after_instance_and_engine_are_killed(tmp_path):
     """The machine room loses the instance and the engine at once."""
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
@@ -84,7 +84,7 @@
         assert caller.tokens == caller.right_answer()
 
 
-def test_engine_kill_under_an_open_connection(tmp_path):
+def test_stream_continues_after_its_engine_is_killed(tmp_path):
     """The engine dies while the caller's connection stays open."""
     with fleet.small_fleet(tmp_path) as running:
         caller = callers.StreamCaller('hello', 400)
@@ -96,7 +96,7 @@
         assert caller.finish_reason == 'length'
 
 
-def test_stop_request_cuts_no_stream(tmp_path):
+def test_stop_request_interrupts_no_stream(tmp_path):
     """An instance is replaced while it streams a draft."""
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
--- a/tests/timeline/test_order.py
+++ b/tests/timeline/test_order.py
@@ -24,7 +24,7 @@
         max_size=60,
     )
 )
-def test_stamps_rise_in_each_process_and_along_each_message(history):
+def test_stamps_increase_in_each_process_and_along_each_message(history):
     clocks = [timeline.HybridClock() for _ in range(3)]
     for sender, receiver, wall in history:
         before = clocks[receiver].latest
@@ -55,13 +55,13 @@
     assert site.recorder.timeline.events[-1].stamp > ahead
 
 
-def test_clock_far_ahead_is_not_followed():
+def test_stamp_far_ahead_is_not_adopted():
     """Guards against one wrong clock that shifts the stamps of all instances.
 
     The clock of one machine is an hour ahead.
     """
     found = recorder.Recorder('instance-0', 10)
     wall = recorder.wall_milliseconds()
-    assert not found.follow(timeline.Stamp(wall + HOUR, 0))
+    assert not found.observe_stamp(timeline.Stamp(wall + HOUR, 0))
     found.record(actions.Record('stopping', 'stop requested'))
     assert found.timeline.events[-1].stamp.milliseconds < wall + HOUR
--- a/tests/transport/test_decision_loop.py
+++ b/tests/transport/test_decision_loop.py
@@ -19,7 +19,7 @@
     )
 
 
-def test_poll_that_fails_once_is_called_again():
+def test_periodic_call_continues_after_an_error():
     """The platform answers with something that nobody foresaw.
 
     An instance that stopped polling there would serve on with an old
@@ -33,13 +33,13 @@
             raise KeyError('unforeseen')
 
     loop = new_loop(lambda action: None)
-    loop.repeat(1.0, poll)
+    loop.call_periodically(1.0, poll)
     loop.reactor.pump([1.0, 1.0])
     assert calls == [0, 1, 2]
     assert loop.recorder.metrics.decision_errors == 1
 
 
-def test_event_that_comes_up_meanwhile_waits_its_turn():
+def test_event_dispatched_during_an_action_is_queued():
     seen = []
 
     def carry_out(action):
@@ -53,7 +53,7 @@
     assert seen == ['own-pause', 'first action done', 'own-pause']
 
 
-def test_error_of_a_decision_does_not_reach_who_brought_the_event():
+def test_decision_error_does_not_propagate_to_the_dispatcher():
     """An action can't be carried out, within a callback of a connection.
 
     Let out, the error would count as that engine's broken connection.
--- a/tests/transport/test_draining.py
+++ b/tests/transport/test_draining.py
@@ -42,7 +42,7 @@
         return connection
 
 
-def test_answer_that_waits_for_the_store_is_given_before_the_end():
+def test_drain_waits_for_a_pending_answer():
     """An operator confirms a plan while the instance stops.
 
     No caller is served any more, so the instance is about to end, but the
@@ -63,7 +63,7 @@
     assert ended
 
 
-def test_half_read_request_is_told_that_it_has_not_run():
+def test_incomplete_request_is_refused_as_not_run_on_drain():
     """A request is still coming in when the instance ends.
 
     Closed without a word, its sender could not know whether it has run.
@@ -78,7 +78,7 @@
     assert not operators.asked
 
 
-def test_end_does_not_wait_for_an_answer_that_never_comes():
+def test_drain_times_out_when_an_answer_never_comes():
     """The store is silent; the platform would kill the process in the end."""
     operators = Operators()
     connection = operators.connect()
@@ -86,11 +86,11 @@
     drained = operators.factory.drain(operators.clock)
     ended = []
     drained.addBoth(ended.append)
-    operators.clock.advance(listening.FLUSH_SECONDS)
+    operators.clock.advance(listening.DRAIN_TIMEOUT_SECONDS)
     assert ended
 
 
-def test_request_that_comes_while_answers_are_waited_for_is_refused():
+def test_new_request_during_drain_is_refused():
     """Another operator confirms on a connection that was open already.
 
     Taken, it would be cut when the time is over, with its plan perhaps in
--- a/tests/transport/test_engine_control.py
+++ b/tests/transport/test_engine_control.py
@@ -28,7 +28,7 @@
     """
     network = wires.Network()
     client, found = create_client(network)
-    client.probe(actions.ProbeUpstream(UPSTREAM))
+    client.probe_upstream(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
     wire.answer(b'', 'Location: http://10.0.0.2:1/', status='302 Found')
     assert network.connections == 1
@@ -43,7 +43,7 @@
     """
     network = wires.Network()
     client, found = create_client(network)
-    client.cancel(actions.CancelAttempt(ATTEMPT, UPSTREAM))
+    client.cancel_attempt(actions.CancelAttempt(ATTEMPT, UPSTREAM))
     wire = network.accept()
     wire.answer(b'no', status='500 Internal Server Error', length=1000)
     assert found == [events.CancelFailed(ATTEMPT)]
@@ -57,9 +57,9 @@
     """
     network = wires.Network()
     client, found = create_client(network)
-    client.probe(actions.ProbeUpstream(UPSTREAM))
+    client.probe_upstream(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
-    wire.answer(bytes(http.MOST_BODY_BYTES + 1), length=1 << 40)
+    wire.answer(bytes(http.MAX_BODY_BYTES + 1), length=1 << 40)
     assert found == [events.UpstreamUnreachable('e0')]
     assert wire.closed
 
@@ -72,7 +72,7 @@
     """
     network = wires.Network()
     client, found = create_client(network)
-    client.start(
+    client.start_attempt(
         actions.StartAttempt(
             ATTEMPT,
             UPSTREAM,
--- a/tests/transport/test_reactors.py
+++ b/tests/transport/test_reactors.py
@@ -8,7 +8,7 @@
 from greengagelb.transport import reactors
 
 
-def test_timers_do_not_follow_the_time_of_day(monkeypatch):
+def test_timers_ignore_wall_clock_changes(monkeypatch):
     """The machine's clock is set forward.
 
     Timers that follow it all fire at once: every engine looks silent, every
@@ -23,7 +23,7 @@
     assert not fired
 
 
-def test_timers_that_were_set_by_the_other_clock_are_noticed():
+def test_clock_change_after_setting_timers_is_rejected():
     """They would fire years late, or at once."""
     reactor = epollreactor.EPollReactor()
     reactor.callLater(10.0, print)
--- a/tests/transport/test_relay.py
+++ b/tests/transport/test_relay.py
@@ -20,16 +20,23 @@
         self.events = []
         client = engine_client.EngineClient(self.clock, self.events.append)
         self.stream = engine_client.EngineStream(
-            ATTEMPT, self.events.append, client.gather, client.forget
+            ATTEMPT,
+            self.events.append,
+            client.delay_relay,
+            client.forget_stream,
         )
 
     def receive(self, position, *tokens):
         batch = engine_api.TokenBatch(1, 'i.1', position, list(tokens))
-        self.stream.receive(sse.encode_event(codec.encode(batch), 'tokens'))
+        self.stream.receive_bytes(
+            sse.encode_event(codec.encode(batch), 'tokens')
+        )
 
     def receive_end(self, position):
         ended = engine_api.AttemptEnded(1, 'i.1', position, 'stop')
-        self.stream.receive(sse.encode_event(codec.encode(ended), 'ended'))
+        self.stream.receive_bytes(
+            sse.encode_event(codec.encode(ended), 'ended')
+        )
 
     def tokens(self):
         return [
@@ -49,7 +56,7 @@
     gathered = GatheredStream()
     for position, token in enumerate('abc'):
         gathered.receive(position, token)
-    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
     assert gathered.tokens() == [(0, ('a',)), (1, ('b', 'c'))]
 
 
@@ -76,7 +83,7 @@
     gathered.receive(0, 'a')
     gathered.receive(1, 'b')
     gathered.receive(3, 'd')
-    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
     assert gathered.tokens() == [(0, ('a',)), (1, ('b',)), (3, ('d',))]
 
 
@@ -86,5 +93,5 @@
     gathered.receive(0, 'a')
     gathered.receive(1, 'b')
     gathered.stream.close()
-    gathered.clock.pump([engine_client.RELAY_SECONDS, 0.0])
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
     assert gathered.tokens() == [(0, ('a',))]
