--- a/src/greengagelb/cli/demo.py
+++ b/src/greengagelb/cli/demo.py
@@ -317,7 +317,7 @@
     async def show_timeline(self) -> None:
         """Print what the instances recorded of the draft."""
         wanted = timeline_state.Selection(request=DRAFT_KEY)
-        parts = await operator_client.ask_all(
+        parts = await operator_client.query_instances(
             self.operators, lambda client: client.timeline(wanted)
         )
         say(f'time line of request {DRAFT_KEY}, as "greengagelb timeline"')
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -85,7 +85,7 @@
             operator_client.OperatorClient(reactor, address, key)
             for address in addresses
         ]
-        return await operator_client.ask_all(
+        return await operator_client.query_instances(
             clients, lambda client: client.fetch_status()
         )
 
--- a/src/greengagelb/transport/engine_client.py
+++ b/src/greengagelb/transport/engine_client.py
@@ -71,8 +71,8 @@
             return http.read_whole_body(response).addCallback(
                 self.report_refusal, response
             )
-        said = answer_limits.read_limit_headers(response.headers)
-        self.report_event(events.AttemptAccepted(self.attempt, said))
+        limit = answer_limits.read_limit_headers(response.headers)
+        self.report_event(events.AttemptAccepted(self.attempt, limit))
         self.collector = http.BodyCollector(
             self.receive_bytes, self.report_broken
         )
--- a/src/greengagelb/transport/operator_app.py
+++ b/src/greengagelb/transport/operator_app.py
@@ -69,13 +69,13 @@
         would take what is about to end for an outage.
         """
         is_unavailable = why.check(errors.PlatformUnavailable)
-        error_answer = requests.Failure(
+        refusal = requests.Failure(
             why.value.code,
             requests.Ran.NO,
             str(why.value),
             RETRY_AFTER_SECONDS if is_unavailable else None,
         )
-        return http.problem_answer(request, problems.to_problem(error_answer))
+        return http.problem_answer(request, problems.to_problem(refusal))
 
     def authenticate(self, request: server.Request) -> None:
         """Raise unless the request carries the operators' key."""
--- a/src/greengagelb/transport/operator_client.py
+++ b/src/greengagelb/transport/operator_client.py
@@ -139,9 +139,9 @@
     reason: str
 
 
-async def ask_all(
+async def query_instances(
     clients: list[OperatorClient],
-    question: Any,
+    query: Any,
 ) -> list[Any]:
     """Ask all instances at once; an :class:`NoAnswer` stands for none.
 
@@ -149,16 +149,16 @@
     the moment at which an operator asks.
     """
     answers = [
-        defer.Deferred.fromCoroutine(answer_or_unreachable(client, question))
+        defer.Deferred.fromCoroutine(answer_or_unreachable(client, query))
         for client in clients
     ]
     return await defer.gatherResults(answers)
 
 
-async def answer_or_unreachable(client: OperatorClient, question: Any) -> Any:
+async def answer_or_unreachable(client: OperatorClient, query: Any) -> Any:
     """Return an instance's answer, or why there is none."""
-    asked: Coroutine = question(client)
+    answer: Coroutine = query(client)
     try:
-        return await asked
+        return await answer
     except errors.TransportError as exc:
         return NoAnswer(client.address, exc.code, str(exc))
--- a/src/greengagelb/transport/service_client.py
+++ b/src/greengagelb/transport/service_client.py
@@ -88,14 +88,14 @@
         if not self.forget_try(action):
             return
         exchange, number = action.exchange, action.try_number
-        said = answer_limits.read_limit_headers(response.headers)
+        limit = answer_limits.read_limit_headers(response.headers)
         if first_header(response.headers, service_api.NOT_RUN_HEADER) == '1':
             self.dispatch(
-                events.CallBroken(exchange, 'refused', False, number, said)
+                events.CallBroken(exchange, 'refused', False, number, limit)
             )
             return
         self.dispatch(
-            events.CallAnswered(exchange, response.code, body, number, said)
+            events.CallAnswered(exchange, response.code, body, number, limit)
         )
 
     def report_failure(
--- a/tests/logs/test_bounded_log.py
+++ b/tests/logs/test_bounded_log.py
@@ -58,14 +58,14 @@
         assert len(pipe.log.pending) <= bounded_log.MAX_PENDING_BYTES
         assert pipe.log.unreported_drops > 0
         dropped = pipe.log.unreported_drops
-        rest = pipe.read_all()
+        lines = pipe.read_all()
         pipe.now += 10.0
         pipe.log.write('after\n')
-        rest += pipe.read_all()
-        told = [json.loads(line) for line in rest if line.startswith('{')]
-        assert told == [{'event': 'log-lines-dropped', 'count': dropped}]
-        assert len(rest) == 1_900 - dropped + 2
-        assert rest[-1] == 'after'
+        lines += pipe.read_all()
+        reports = [json.loads(line) for line in lines if line.startswith('{')]
+        assert reports == [{'event': 'log-lines-dropped', 'count': dropped}]
+        assert len(lines) == 1_900 - dropped + 2
+        assert lines[-1] == 'after'
 
 
 def test_burst_of_lines_is_bounded():
@@ -80,9 +80,9 @@
                 pipe.log.write('line\n')
             lines += len(pipe.read())
             pipe.now += 0.01
-        most = bounded_log.MAX_BURST_LINES + bounded_log.LINES_PER_SECOND
-        assert lines <= most + 1
-        assert pipe.log.total_dropped >= 10_000 - most - 1
+        max_lines = bounded_log.MAX_BURST_LINES + bounded_log.LINES_PER_SECOND
+        assert lines <= max_lines + 1
+        assert pipe.log.total_dropped >= 10_000 - max_lines - 1
 
 
 def test_closed_log_pipe_discards_lines():
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -18,7 +18,7 @@
     return [record.reason for record in records if record.kind == kind]
 
 
-def lone_world():
+def single_instance_world():
     """Return the only instance, before one engine."""
     world = relay_world.RelayWorld([relay_world.fleet()[-1]])
     world.handle(relay_events.MembersListed(()))
@@ -28,7 +28,7 @@
 
 def test_limit_is_recorded_once_until_it_changes():
     """Guards against a log that hides from when on an instance knew it."""
-    world = lone_world()
+    world = single_instance_world()
     for rate in (2.1, 2.1, 4.0, None):
         exchange = world.call()
         world.now += 1.0
@@ -44,7 +44,7 @@
 
 def test_send_records_the_known_limit_and_its_age():
     """Guards against sends of which nobody can say why they were made."""
-    world = lone_world()
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
     world.answer(first, limit=2.5)
@@ -75,7 +75,7 @@
 
 def test_invalid_limit_is_recorded_and_ignored():
     """Guards against a bad header that hides an answer, or the last limit."""
-    world = lone_world()
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.answer(first, limit=2.5)
     world.advance(4.0)
@@ -111,7 +111,7 @@
 
 def test_metrics_show_limits_and_held_requests():
     """Guards against limits whose use and whose price nobody can see."""
-    world = lone_world()
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
     world.answer(first, limit=20.0)
--- a/tests/process/test_calls_across_instances.py
+++ b/tests/process/test_calls_across_instances.py
@@ -14,8 +14,14 @@
 
 
 def charge(process, key='k1', **headers):
-    named = {name.replace('_', '-'): text for name, text in headers.items()}
-    sent = fleet.bearer(fleet.ACCOUNT_KEY) | {'Idempotency-Key': key} | named
+    extra_headers = {
+        name.replace('_', '-'): text for name, text in headers.items()
+    }
+    sent = (
+        fleet.bearer(fleet.ACCOUNT_KEY)
+        | {'Idempotency-Key': key}
+        | extra_headers
+    )
     return fleet.ask(process.port, CHARGE, {'amount': 1}, headers=sent)
 
 
@@ -54,10 +60,10 @@
         set_faults(running.platform, lose_write_answers=True)
         first = charge(running.instances['router-0'])
         assert first.status == 200
-        again = fleet.ask_until_known(
+        retry = fleet.ask_until_known(
             lambda: charge(running.instances['router-1'])
         )
-        assert again.body == first.body
+        assert retry.body == first.body
         assert runs_of(running) == 1
 
 
@@ -74,10 +80,10 @@
         fleet.wait_until(lambda: runs_of(running) == 1)
         running.instances['router-0'].send_signal(signal.SIGKILL)
         thread.join(20.0)
-        again = charge(running.instances['router-1'])
-        assert again.json()['ran'] == 'outcome-unknown'
-        assert again.json()['code'] == 'twin-outcome-unknown'
-        assert int(again.headers['Retry-After']) >= 1
+        retry = charge(running.instances['router-1'])
+        assert retry.json()['ran'] == 'outcome-unknown'
+        assert retry.json()['code'] == 'twin-outcome-unknown'
+        assert int(retry.headers['Retry-After']) >= 1
         assert runs_of(running) == 1
 
 
--- a/tests/process/test_crashing_requests.py
+++ b/tests/process/test_crashing_requests.py
@@ -13,11 +13,11 @@
 
 pytestmark = pytest.mark.slow
 
-DEADLY = 'a deadly prompt'
+CRASHING_TEXT = 'a deadly prompt'
 UPSTREAMS = 5
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 # After so long the same request comes again.
-PAUSE_SECONDS = 0.3
+RESEND_INTERVAL_SECONDS = 0.3
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
         running.instance('router-1', peers=(first,))
         running.configure(running.configuration())
         for process in (*running.engines.values(), *running.services.values()):
-            faults = {'dies_of': DEADLY}
+            faults = {'dies_of': CRASHING_TEXT}
             fleet.ask(process.port, '/standin/faults', faults)
         yield running
 
@@ -42,7 +42,7 @@
 
 def ask_for_stream(router, number):
     """Ask for a deadly generation; return the code of the answer."""
-    caller = callers.StreamCaller(DEADLY, 50)
+    caller = callers.StreamCaller(CRASHING_TEXT, 50)
     caller.read_all(router.port)
     return caller.error['code']
 
@@ -52,7 +52,9 @@
     headers = fleet.bearer(fleet.ACCOUNT_KEY)
     headers['Idempotency-Key'] = f'key-{number}'
     path = f'/v1/services/{service}/book'
-    answer = fleet.ask(router.port, path, {'text': DEADLY}, headers=headers)
+    answer = fleet.ask(
+        router.port, path, {'text': CRASHING_TEXT}, headers=headers
+    )
     return answer.json()['code']
 
 
@@ -73,7 +75,7 @@
     while not any(map(has_blocked, routers)):
         ask(routers[number % 2], number)
         number += 1
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RESEND_INTERVAL_SECONDS)
     for router in routers:
         fleet.wait_until(lambda r=router: has_blocked(r))
     return [ask(router, number + n) for n, router in enumerate(routers)]
@@ -84,7 +86,7 @@
     routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(routers, ask_for_stream)
     assert codes == ['request-crashes-engines'] * 2
-    assert dead_processes(crash_prone_fleet.engines) == MOST_CRASHES
+    assert dead_processes(crash_prone_fleet.engines) == MAX_CRASHES
     other = callers.StreamCaller('hello', 20)
     other.read_all(routers[0].port)
     assert other.tokens == other.right_answer()
--- a/tests/process/test_fleet_membership.py
+++ b/tests/process/test_fleet_membership.py
@@ -38,7 +38,7 @@
     )
 
 
-def introduce(running):
+def list_all_instances(running):
     routers = list(running.instances.values())
     show_instances(running, *routers)
     for router in routers:
@@ -64,55 +64,59 @@
     caller is sent to it.
     """
     with fleet.small_fleet(tmp_path) as running:
-        introduce(running)
+        list_all_instances(running)
         first = running.instances['router-0']
         set_faults(running, outage=True)
         seeded = running.instance('router-8', peers=[first])
-        alone = running.instance('router-9')
+        unseeded = running.instance('router-9')
         running.wait_for_all()
         fleet.wait_until(
             lambda: fleet.ask(seeded.port, '/readyz').status == 200
         )
         assert status(seeded)['configuration_version'] == 1
         fleet.wait_until(lambda: status(first)['in_force_on'] == 3)
-        assert fleet.ask(alone.port, '/readyz').status == 503
-        assert status(alone)['configuration_version'] == 0
+        assert fleet.ask(unseeded.port, '/readyz').status == 503
+        assert status(unseeded)['configuration_version'] == 0
 
 
-def instance_cut_from_the_platform(running):
-    cut = running.instance(
+def start_isolated_instance(running):
+    isolated = running.instance(
         'router-cut',
         peers=[running.instances['router-0']],
         platform_port=fleet.free_port(),
     )
     running.wait_for_all()
-    fleet.wait_until(lambda: status(cut)['configuration_version'] == 1)
-    return cut
+    fleet.wait_until(lambda: status(isolated)['configuration_version'] == 1)
+    return isolated
 
 
-def test_confirmed_plan_reaches_an_instance_cut_from_the_platform(tmp_path):
+def test_confirmed_plan_reaches_an_instance_isolated_from_the_platform(
+    tmp_path,
+):
     """One instance can't reach the platform, the others can.
 
     It hears of the new version from its peers and applies it; the operator
     sees it in force on all.
     """
     with fleet.small_fleet(tmp_path) as running:
-        cut = instance_cut_from_the_platform(running)
+        isolated = start_isolated_instance(running)
         running.configure(running.configuration())
-        fleet.wait_until(lambda: status(cut)['configuration_version'] == 2)
+        fleet.wait_until(
+            lambda: status(isolated)['configuration_version'] == 2
+        )
         router = running.instances['router-0']
         fleet.wait_until(lambda: status(router)['missing'] == [])
         assert status(router)['in_force_on'] >= 2
 
 
-def test_upstream_shown_as_leaving_gets_no_new_work_anywhere(tmp_path):
+def test_leaving_upstream_gets_no_new_requests_from_any_instance(tmp_path):
     """The platform's list shows an engine as leaving to one instance only.
 
     The engine itself does not know yet. The other instance, which can't
     reach the platform, must not give it work either.
     """
     with fleet.small_fleet(tmp_path) as running:
-        cut = instance_cut_from_the_platform(running)
+        isolated = start_isolated_instance(running)
         engine = running.engines['engine-0']
         report = fleet.ask(engine.port, '/v1/report').json()
         entry = {
@@ -126,7 +130,7 @@
             'state': 'leaving',
         }
         show_instances(running, more=[entry])
-        for process in (running.instances['router-0'], cut):
+        for process in (running.instances['router-0'], isolated):
             fleet.wait_until(
                 lambda p=process: (
                     status(p)['leaving_upstreams'] == ['engine-0']
@@ -163,16 +167,16 @@
     """Somebody who reaches the peer port sends messages of their own."""
     with fleet.small_fleet(tmp_path, instances=1) as running:
         router = running.instances['router-0']
-        with zmq.Context() as context, context.socket(zmq.DEALER) as stranger:
-            stranger.connect(f'tcp://{fleet.HOST}:{router.peer_port}')
-            stranger.send(json.dumps({'version': 99}).encode())
-            stranger.send(b'x' * 100)
-            fleet.wait_until(lambda: dropped(router) >= 2)
+        with zmq.Context() as context, context.socket(zmq.DEALER) as client:
+            client.connect(f'tcp://{fleet.HOST}:{router.peer_port}')
+            client.send(json.dumps({'version': 99}).encode())
+            client.send(b'x' * 100)
+            fleet.wait_until(lambda: count_dropped_messages(router) >= 2)
         assert status(router)['configuration_version'] == 1
         assert status(router)['instances'] == []
 
 
-def dropped(process):
+def count_dropped_messages(process):
     found = fleet.ask(process.operator_port, '/v1/timeline', headers=HEADERS)
     kinds = [event['kind'] for event in found.json()['events']]
     return kinds.count('peer-message-dropped')
--- a/tests/process/test_fleet_plans.py
+++ b/tests/process/test_fleet_plans.py
@@ -59,17 +59,19 @@
                 )
             )
         set_faults(running)
-        won = [n // 2 for n, a in enumerate(answers) if a.status == 200]
-        assert len(set(won)) == 1
-        winner = plans[won[0]]
+        winning_numbers = [
+            n // 2 for n, a in enumerate(answers) if a.status == 200
+        ]
+        assert len(set(winning_numbers)) == 1
+        winner = plans[winning_numbers[0]]
         for answer in answers:
             if answer.status != 200:
                 assert answer.status == 409
                 assert answer.json()['code'] == 'version-conflict'
                 assert answer.json()['changes'][0]['plan_id'] == winner
         for plan_id in plans:
-            wanted = 'confirmed' if plan_id == winner else 'overtaken'
-            assert stage(routers[1], plan_id) == wanted
+            expected = 'confirmed' if plan_id == winner else 'overtaken'
+            assert stage(routers[1], plan_id) == expected
         assert confirm(routers[1], winner).status == 200
 
 
--- a/tests/process/test_fleet_stops.py
+++ b/tests/process/test_fleet_stops.py
@@ -13,9 +13,9 @@
 pytestmark = pytest.mark.slow
 STREAM_TOKENS = 500
 LONG_TOKENS = 2500
-WORKERS = 6
+STREAM_CALLERS = 6
 CHARGE_PAUSE_SECONDS = 0.05
-STOPPING_SECONDS = 60.0
+STOP_TIMEOUT_SECONDS = 60.0
 
 
 class Load:
@@ -27,34 +27,34 @@
 
     def __init__(self, running):
         self.running = running
-        self.over = threading.Event()
+        self.test_is_over = threading.Event()
         self.lock = threading.Lock()
-        self.turns = itertools.count()
-        self.whole = 0
-        self.cut = []
+        self.counter = itertools.count()
+        self.complete = 0
+        self.broken_off = []
         self.refused = 0
-        self.charged = []
-        self.unclear = []
+        self.run_counts = []
+        self.unknown_outcomes = []
 
     def ready_port(self):
         """Return the port of an instance that says it is ready."""
         while True:
             ports = [p.port for p in list(self.running.instances.values())]
-            port = ports[next(self.turns) % len(ports)]
+            port = ports[next(self.counter) % len(ports)]
             try:
                 if fleet.ask(port, '/readyz').status == 200:
                     return port
             except OSError:
                 continue
 
-    def stream_on(self):
+    def stream_until_over(self):
         """Ask for drafts until the test is over."""
-        while not self.over.is_set():
-            number = next(self.turns)
+        while not self.test_is_over.is_set():
+            number = next(self.counter)
             caller = callers.StreamCaller(f'draft {number}', STREAM_TOKENS)
-            self.stream(caller)
+            self.stream_once(caller)
 
-    def stream(self, caller):
+    def stream_once(self, caller):
         """Ask for one draft, and see how it ends."""
         try:
             caller.read_all(self.ready_port())
@@ -64,23 +64,23 @@
             if caller.error is not None and not caller.tokens:
                 self.refused += 1
                 if caller.error['ran'] != 'not-run':
-                    self.cut.append(caller)
+                    self.broken_off.append(caller)
             elif caller.tokens == caller.right_answer():
-                self.whole += 1
+                self.complete += 1
             else:
-                self.cut.append(caller)
+                self.broken_off.append(caller)
 
-    def charge_on(self):
+    def charge_until_over(self):
         """Charge until the test is over, and note how often each one ran."""
-        while not self.over.is_set():
-            key = f'charge-{next(self.turns)}'
+        while not self.test_is_over.is_set():
+            key = f'charge-{next(self.counter)}'
             headers = fleet.bearer(fleet.ACCOUNT_KEY) | {
                 'Idempotency-Key': key,
                 'X-First-Send': '1',
             }
             path = '/v1/services/charge/book'
             # The store's budget of an instance is 40 writes a second.
-            self.over.wait(CHARGE_PAUSE_SECONDS)
+            self.test_is_over.wait(CHARGE_PAUSE_SECONDS)
             try:
                 answer = fleet.ask(
                     self.ready_port(), path, {'amount': 1}, headers=headers
@@ -89,9 +89,9 @@
                 continue
             with self.lock:
                 if answer.status == 200:
-                    self.charged.append(answer.json()['run'])
+                    self.run_counts.append(answer.json()['run'])
                 elif answer.json()['ran'] != 'not-run':
-                    self.unclear.append(answer)
+                    self.unknown_outcomes.append(answer)
 
 
 def test_rolling_restart_under_load_interrupts_no_answer(tmp_path):
@@ -103,16 +103,21 @@
     """
     with fleet.small_fleet(tmp_path, engines=3, instances=3) as running:
         load = Load(running)
-        long = callers.StreamCaller('digest', LONG_TOKENS)
+        digest_caller = callers.StreamCaller('digest', LONG_TOKENS)
         first = running.instances['router-0'].port
-        threads = [threading.Thread(target=long.read_all, args=(first,))]
+        threads = [
+            threading.Thread(target=digest_caller.read_all, args=(first,))
+        ]
         threads += [
-            threading.Thread(target=load.stream_on) for _ in range(WORKERS)
+            threading.Thread(target=load.stream_until_over)
+            for _ in range(STREAM_CALLERS)
         ]
-        threads.append(threading.Thread(target=load.charge_on))
+        threads.append(threading.Thread(target=load.charge_until_over))
         for thread in threads:
             thread.start()
-        fleet.wait_until(lambda: load.whole >= WORKERS and long.tokens)
+        fleet.wait_until(
+            lambda: load.complete >= STREAM_CALLERS and digest_caller.tokens
+        )
         for number in range(3):
             old = running.instances[f'router-{number}']
             new = running.instance(f'router-{number + 3}')
@@ -122,16 +127,16 @@
             )
             del running.instances[f'router-{number}']
             old.send_signal(signal.SIGTERM)
-            assert old.popen.wait(timeout=STOPPING_SECONDS) == 0
-        load.over.set()
+            assert old.popen.wait(timeout=STOP_TIMEOUT_SECONDS) == 0
+        load.test_is_over.set()
         for thread in threads:
             thread.join()
-        assert long.tokens == long.right_answer()
-        assert load.cut == []
-        assert load.unclear == []
-        assert load.whole > 2 * WORKERS
-        assert load.charged
-        assert set(load.charged) == {1}
+        assert digest_caller.tokens == digest_caller.right_answer()
+        assert load.broken_off == []
+        assert load.unknown_outcomes == []
+        assert load.complete > 2 * STREAM_CALLERS
+        assert load.run_counts
+        assert set(load.run_counts) == {1}
 
 
 def test_engine_drain_interrupts_no_answer(tmp_path):
--- a/tests/process/test_in_force.py
+++ b/tests/process/test_in_force.py
@@ -48,7 +48,7 @@
             )
 
     @property
-    def page(self):
+    def page_address(self):
         return f'127.0.0.1:{self.fields["metrics"]}'
 
     def write(self, grace):
@@ -58,7 +58,7 @@
         new.write_text(text)
         new.replace(self.path)
 
-    def logged(self, what):
+    def has_logged(self, what):
         return what in self.log.read_text()
 
 
@@ -93,7 +93,7 @@
     running = {name: Relay(tmp_path, name) for name in NAMES}
     try:
         for relay in running.values():
-            fleet.wait_until(lambda r=relay: r.logged('started'))
+            fleet.wait_until(lambda r=relay: r.has_logged('started'))
         yield running
     finally:
         for relay in running.values():
@@ -116,7 +116,9 @@
 
 
 def pages(relays, *others):
-    return '--pages=' + ','.join([r.page for r in relays.values()] + [*others])
+    return '--pages=' + ','.join(
+        [r.page_address for r in relays.values()] + [*others]
+    )
 
 
 def test_instances_without_the_change_are_listed(relays, tmp_path):
@@ -131,33 +133,35 @@
     before = lines[0]['settings_digest']
     for name in ('first', 'second'):
         relays[name].write(grace=3.0)
-        fleet.wait_until(lambda n=name: relays[n].logged('settings-reloaded'))
+        fleet.wait_until(
+            lambda n=name: relays[n].has_logged('settings-reloaded')
+        )
     relays['frozen'].process.send_signal(signal.SIGSTOP)
-    nobody = f'127.0.0.1:{fleet.free_port()}'
+    unused_address = f'127.0.0.1:{fleet.free_port()}'
     with foreign_server() as address:
-        code, lines, _ = ask(pages(relays, address, nobody))
+        code, lines, _ = ask(pages(relays, address, unused_address))
     assert code == Code.UNREACHABLE
     silent = {line['address'] for line in lines if 'name' not in line}
-    assert silent == {relays['frozen'].page, address, nobody}
-    named = {line['name']: line for line in lines if 'name' in line}
-    assert named['third']['settings_digest'] == before
-    assert named['third']['differences']
-    assert not named['first']['differences']
+    assert silent == {relays['frozen'].page_address, address, unused_address}
+    by_name = {line['name']: line for line in lines if 'name' in line}
+    assert by_name['third']['settings_digest'] == before
+    assert by_name['third']['differences']
+    assert not by_name['first']['differences']
     relays['frozen'].process.send_signal(signal.SIGCONT)
 
 
 def test_wait_ends_once_all_instances_have_the_change(relays):
     """Guards against a script that goes on too early, or never."""
-    wanted = relays['first']
-    wanted.write(grace=3.0)
-    fleet.wait_until(lambda: wanted.logged('settings-reloaded'))
-    _, [line], _ = ask(f'--pages={wanted.page}')
+    updated = relays['first']
+    updated.write(grace=3.0)
+    fleet.wait_until(lambda: updated.has_logged('settings-reloaded'))
+    _, [line], _ = ask(f'--pages={updated.page_address}')
     digest = f'--wait_for_digest={line["settings_digest"]:08x}'
-    code, lines, told = ask(pages(relays), digest, '--deadline_seconds=0.2')
+    code, lines, notes = ask(pages(relays), digest, '--deadline_seconds=0.2')
     assert code == Code.DIFFERENT
-    assert f'1 of {len(NAMES)} have it' in told
+    assert f'1 of {len(NAMES)} have it' in notes
     for relay in relays.values():
         relay.write(grace=3.0)
-    code, lines, told = ask(pages(relays), digest, '--deadline_seconds=20')
+    code, lines, notes = ask(pages(relays), digest, '--deadline_seconds=20')
     assert code == Code.SUCCESS
-    assert f'{len(NAMES)} of {len(NAMES)} have it' in told
+    assert f'{len(NAMES)} of {len(NAMES)} have it' in notes
--- a/tests/process/test_limited_upstreams.py
+++ b/tests/process/test_limited_upstreams.py
@@ -12,15 +12,15 @@
 
 LIMIT = 2.0
 # Instances count each other, and have parts of a limit, by then.
-JOIN_SECONDS = 4.0
+STARTUP_SECONDS = 4.0
 LEARN_SECONDS = 3.0
-SECONDS = 8.0
+MEASURED_SECONDS = 8.0
 CALLERS = 6
-PAUSE_SECONDS = 0.1
+CALL_INTERVAL_SECONDS = 0.1
 
 
 @pytest.fixture
-def limited(tmp_path):
+def limited_fleet(tmp_path):
     """Run two instances before one service that names a limit."""
     with fleet.Fleet(tmp_path) as running:
         service = running.service('plain-0')
@@ -28,20 +28,20 @@
         first = running.instance('router-0')
         running.instance('router-1', peers=(first,))
         running.configure(running.configuration())
-        time.sleep(JOIN_SECONDS)
+        time.sleep(STARTUP_SECONDS)
         faults = {'limit': str(LIMIT)}
         fleet.ask(service.port, '/standin/faults', faults)
         yield running
 
 
-def runs(running):
+def count_runs(running):
     """Return how many calls the service has run."""
     [service] = running.services.values()
     counts = fleet.ask(service.port, '/standin/runs').json()
     return sum(counts.values())
 
 
-def call(router, service, until):
+def call_until(router, service, until):
     """Call again and again; return the codes of all answers."""
     codes = collections.Counter()
     while time.monotonic() < until:
@@ -55,25 +55,29 @@
         codes[code] += 1
         if code:
             assert float(answer.headers['Retry-After']) > 0.0
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(CALL_INTERVAL_SECONDS)
     return codes
 
 
 @pytest.mark.parametrize('service', ['lookup', 'charge'])
-def test_two_instances_share_the_limit_of_a_service(limited, service):
+def test_two_instances_share_the_limit_of_a_service(limited_fleet, service):
     """Guards against a limit that is read, told or kept by no process."""
-    routers = list(limited.instances.values())
+    routers = list(limited_fleet.instances.values())
     with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
         began = time.monotonic()
-        until = began + LEARN_SECONDS + SECONDS
-        asked = [
-            pool.submit(call, routers[n % 2], service, until)
+        until = began + LEARN_SECONDS + MEASURED_SECONDS
+        futures = [
+            pool.submit(call_until, routers[n % 2], service, until)
             for n in range(CALLERS)
         ]
         time.sleep(LEARN_SECONDS)
-        before = runs(limited)
-        time.sleep(SECONDS)
-        ran = runs(limited) - before
-        codes = sum((a.result() for a in asked), collections.Counter())
-    assert 0.7 * LIMIT * SECONDS <= ran <= 1.5 * LIMIT * SECONDS + 5
+        before = count_runs(limited_fleet)
+        time.sleep(MEASURED_SECONDS)
+        ran = count_runs(limited_fleet) - before
+        codes = sum((a.result() for a in futures), collections.Counter())
+    assert (
+        0.7 * LIMIT * MEASURED_SECONDS
+        <= ran
+        <= 1.5 * LIMIT * MEASURED_SECONDS + 5
+    )
     assert set(codes) <= {'', 'upstreams-limited'}
--- a/tests/process/test_planned_stops.py
+++ b/tests/process/test_planned_stops.py
@@ -28,13 +28,13 @@
 ENGINE = 'engine-1'
 # An engine works on a call for so long, in seconds; one that is cut with the
 # process is then seen as one that ran without an answer.
-WORK_SECONDS = 0.05
+CALL_SECONDS = 0.05
 # The store holds the removal of the instance's entry for so long.
-HOLD_SECONDS = 0.4
+REMOVAL_DELAY_SECONDS = 0.4
 # Long enough for an instance without callers to end before calls that may
 # take their time limit would be refused for want of time.
 GRACE_SECONDS = 8.0
-OFFER_SECONDS = 0.001
+CALL_INTERVAL_SECONDS = 0.001
 TABLES = {
     'op': {
         'config': {
@@ -72,7 +72,7 @@
         change = json.loads(self.rfile.read(length))
         if change['remove']:
             self.removing.set()
-            time.sleep(HOLD_SECONDS)
+            time.sleep(REMOVAL_DELAY_SECONDS)
         self.reply({'rows': [], 'ver': 2, 'has_more': False})
 
     def reply(self, body):
@@ -95,7 +95,7 @@
     def do_POST(self):
         self.ran.append(self.headers['Request-Id'])
         self.rfile.read(int(self.headers['Content-Length']))
-        time.sleep(WORK_SECONDS)
+        time.sleep(CALL_SECONDS)
         self.send_response(200)
         self.send_header('Request-Id', self.headers['Request-Id'])
         self.send_header('Engine-Seal', 'seal')
@@ -114,7 +114,7 @@
 
 
 @dataclasses.dataclass
-class Offer:
+class SentCall:
     """A call that was offered; ``status`` is None where none came."""
 
     call: str
@@ -126,32 +126,34 @@
 
     def __init__(self, port):
         self.port = port
-        self.offers = []
+        self.sent_calls = []
         self.threads = []
 
-    def offer(self, connection=None):
+    def send_call(self, connection=None):
         """Offer one call, on a new connection or on a kept one."""
-        offer = Offer(f'call{len(self.offers)}')
-        self.offers.append(offer)
-        thread = threading.Thread(target=self.ask, args=(offer, connection))
+        sent_call = SentCall(f'call{len(self.sent_calls)}')
+        self.sent_calls.append(sent_call)
+        thread = threading.Thread(
+            target=self.receive_answer, args=(sent_call, connection)
+        )
         self.threads.append(thread)
         thread.start()
 
-    def ask(self, offer, connection):
+    def receive_answer(self, sent_call, connection):
         """Send a call and wait for its answer, if one comes."""
-        connection = connection or self.connection()
+        connection = connection or self.new_connection()
         headers = {
             'Host': world.callers.HOST,
-            'Request-Id': offer.call,
+            'Request-Id': sent_call.call,
             'Request-Deadline': '900',
         }
         with contextlib.suppress(OSError, http.client.HTTPException):
             connection.request('POST', '/call/a', b'hi', headers)
             answer = connection.getresponse()
             answer.read()
-            offer.status = answer.status
+            sent_call.status = answer.status
 
-    def connection(self):
+    def new_connection(self):
         """Return a connection that opens with its first call."""
         return http.client.HTTPConnection(HOST, self.port, timeout=5.0)
 
@@ -215,30 +217,32 @@
         with running_instance(tmp_path, store_port) as (process, port):
             callers = Callers(port)
 
-            def serves():
-                callers.offer()
+            def is_served():
+                callers.send_call()
                 callers.join()
-                return callers.offers[-1].status == 200
+                return callers.sent_calls[-1].status == 200
 
-            fleet.wait_until(serves)
-            kept = [callers.connection() for _ in range(20)]
-            for connection in kept:
+            fleet.wait_until(is_served)
+            idle_connections = [callers.new_connection() for _ in range(20)]
+            for connection in idle_connections:
                 connection.connect()
             process.send_signal(signal.SIGTERM)
             while not Store.removing.wait(0.1):
-                callers.offer(kept.pop() if kept else None)
+                callers.send_call(
+                    idle_connections.pop() if idle_connections else None
+                )
                 callers.join()
-            removed_by = time.monotonic() + HOLD_SECONDS + 0.3
-            while time.monotonic() < removed_by:
-                callers.offer()
-                time.sleep(OFFER_SECONDS)
+            removal_ends_at = time.monotonic() + REMOVAL_DELAY_SECONDS + 0.3
+            while time.monotonic() < removal_ends_at:
+                callers.send_call()
+                time.sleep(CALL_INTERVAL_SECONDS)
             assert process.wait(timeout=10) == 0
             callers.join()
-    answered = {o.call for o in callers.offers if o.status == 200}
-    refused = {o.call for o in callers.offers if o.status == 503}
+    answered = {o.call for o in callers.sent_calls if o.status == 200}
+    refused = {o.call for o in callers.sent_calls if o.status == 503}
     ran = set(Engine.ran)
     assert len(ran) == len(Engine.ran)
     assert ran == answered
     assert refused
     assert not ran & refused
-    assert {o.status for o in callers.offers} <= {200, 503, None}
+    assert {o.status for o in callers.sent_calls} <= {200, 503, None}
--- a/tests/process/test_slow_caller.py
+++ b/tests/process/test_slow_caller.py
@@ -14,7 +14,7 @@
 LONG_NAME = 'x' * 2000
 
 
-def read_a_little(port, caller):
+def read_some_events(port, caller):
     """Read some events over a connection with a small buffer, then stop.
 
     The long name of its service is part of every event, which makes the
@@ -43,7 +43,7 @@
     return configuration
 
 
-def running(process):
+def count_running(process):
     headers = fleet.bearer(fleet.OPERATOR_KEY)
     answer = fleet.ask(process.operator_port, '/v1/status', headers=headers)
     return answer.json()['running']
@@ -61,15 +61,15 @@
         alive.configure(with_long_name(alive.configuration()))
         router = alive.instances['router-0']
         slow = callers.StreamCaller('slow', 30_000, service=LONG_NAME)
-        reading = read_a_little(router.port, slow)
+        slow_connection = read_some_events(router.port, slow)
         other = callers.StreamCaller('other', 300, key=fleet.OTHER_KEY)
         other.read_all(router.port)
         assert other.tokens == other.right_answer()
-        fleet.wait_until(lambda: running(router) == 0)
-        held = len(slow.tokens)
+        fleet.wait_until(lambda: count_running(router) == 0)
+        tokens_before = len(slow.tokens)
         stream = slow.read(alive.instances['router-1'].port)
-        while len(slow.tokens) < held + 100:
+        while len(slow.tokens) < tokens_before + 100:
             next(stream)
         stream.close()
         assert slow.tokens == slow.right_answer()[: len(slow.tokens)]
-        reading.close()
+        slow_connection.close()
--- a/tests/process/test_streams_under_failures.py
+++ b/tests/process/test_streams_under_failures.py
@@ -10,13 +10,13 @@
 
 pytestmark = pytest.mark.slow
 
-LEAST_STALL = 1.0
+MIN_STALL_SECONDS = 1.0
 """Seconds; large enough that a busy machine makes no engine seem dead."""
-STILL_SECONDS = 1.6
+PAUSE_SECONDS = 1.6
 
 
 @pytest.fixture
-def sampling(tmp_path):
+def sampling_fleet(tmp_path):
     """Run a fleet whose engines give each attempt its own tokens."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(3):
@@ -25,7 +25,7 @@
         for number in range(2):
             running.instance(f'router-{number}')
         wanted = running.configuration()
-        wanted['services'][0]['recovery'] = {'least_stall': LEAST_STALL}
+        wanted['services'][0]['recovery'] = {'least_stall': MIN_STALL_SECONDS}
         running.configure(wanted)
         yield running
 
@@ -39,15 +39,15 @@
     return [event['kind'] for event in answer.json()['events']]
 
 
-def test_connection_that_goes_silent_is_replaced(sampling):
+def test_connection_that_goes_silent_is_replaced(sampling_fleet):
     """A middlebox forgets the connection to an engine; new ones work.
 
     The draft stands still for a moment and goes on from the same attempt.
     """
-    router = sampling.instances['router-0']
+    router = sampling_fleet.instances['router-0']
 
     def silence():
-        engine = sampling.engines[sampling.busy_engine()]
+        engine = sampling_fleet.engines[sampling_fleet.busy_engine()]
         faults = {'silent': True}
         assert fleet.ask(engine.port, '/standin/faults', faults).status == 200
 
@@ -58,16 +58,16 @@
     assert 'attempt-replaced' not in kinds
 
 
-def test_paused_engine_is_replaced_and_stopped_when_it_resumes(sampling):
+def test_paused_engine_is_replaced_and_stopped_when_it_resumes(sampling_fleet):
     """An engine is paused, replaced and comes back as if nothing happened.
 
     The caller sees one answer. The engine must not go on for nobody.
     """
-    router = sampling.instances['router-0']
+    router = sampling_fleet.instances['router-0']
     paused = []
 
     def pause():
-        paused.append(sampling.engines[sampling.busy_engine()])
+        paused.append(sampling_fleet.engines[sampling_fleet.busy_engine()])
         paused[0].send_signal(signal.SIGSTOP)
 
     caller = callers.StreamCaller('hello', 3000)
@@ -82,26 +82,26 @@
     )
 
 
-def test_paused_instance_does_not_suspect_engines(sampling):
+def test_paused_instance_does_not_suspect_engines(sampling_fleet):
     """An instance is stopped for longer than any stall deadline.
 
     When it goes on all its timers are due and all its tokens unread. Judged
     by the timers, every draft would move to another engine.
     """
-    router = sampling.instances['router-0']
-    seen = [
+    router = sampling_fleet.instances['router-0']
+    stream_callers = [
         callers.StreamCaller(f'draft {number}', 900) for number in range(4)
     ]
-    reading = [caller.read(router.port) for caller in seen]
-    for events in reading:
+    readers = [caller.read(router.port) for caller in stream_callers]
+    for events in readers:
         next(events)
     for _ in range(3):
         router.send_signal(signal.SIGSTOP)
-        time.sleep(STILL_SECONDS)
+        time.sleep(PAUSE_SECONDS)
         router.send_signal(signal.SIGCONT)
-        for events in reading:
+        for events in readers:
             next(events, None)
-    for caller, events in zip(seen, reading, strict=True):
+    for caller, events in zip(stream_callers, readers, strict=True):
         for _ in events:
             pass
         assert caller.error is None
@@ -111,27 +111,27 @@
     assert 'attempt-replaced' not in kinds
 
 
-def test_engine_and_instance_lost_twice_in_one_generation(sampling):
+def test_engine_and_instance_lost_twice_in_one_generation(sampling_fleet):
     """Instance and engine go together, and then the next engine too.
 
     The caller comes back each time with what it holds. Its answer is one
     generation: engines here sample, and a glued one would be refused by the
     digest in its own cursor.
     """
-    first, second = sampling.instances.values()
+    first, second = sampling_fleet.instances.values()
     caller = callers.StreamCaller('hello', 400)
     for _ in caller.read(first.port):
         if len(caller.tokens) > 50 and first.popen.poll() is None:
-            name = sampling.busy_engine()
-            sampling.engines.pop(name).send_signal(signal.SIGKILL)
+            name = sampling_fleet.busy_engine()
+            sampling_fleet.engines.pop(name).send_signal(signal.SIGKILL)
             first.send_signal(signal.SIGKILL)
             first.popen.wait()
 
     def kill_next():
-        name = sampling.busy_engine()
-        sampling.engines.pop(name).send_signal(signal.SIGKILL)
+        name = sampling_fleet.busy_engine()
+        sampling_fleet.engines.pop(name).send_signal(signal.SIGKILL)
 
-    held = list(caller.tokens)
+    tokens_before = list(caller.tokens)
     caller.read_and_act(second.port, kill_next, at=200)
-    assert caller.tokens[: len(held)] == held
+    assert caller.tokens[: len(tokens_before)] == tokens_before
     assert caller.finish_reason == 'length'
--- a/tests/transport/test_draining.py
+++ b/tests/transport/test_draining.py
@@ -12,16 +12,16 @@
 from greengagelb.transport import serving
 
 CONFIRM = b'POST /plans/1/confirm HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n'
-WHOLE = CONFIRM + b'\r\n{}'
-HALF = CONFIRM + b'\r\n{'
+COMPLETE_REQUEST = CONFIRM + b'\r\n{}'
+INCOMPLETE_REQUEST = CONFIRM + b'\r\n{'
 
 
-class Operators:
+class OperatorSite:
     """An interface whose answers come when the test says so."""
 
     def __init__(self):
         self.clock = task.Clock()
-        self.asked = []
+        self.pending_answers = []
         app = klein.Klein()
         app.route('/plans/<plan>/confirm', methods=['POST'])(self.confirm)
         site = serving.bounded_site(app.resource(), self.clock)
@@ -30,9 +30,9 @@
 
     def confirm(self, request, plan):
         """Answer later, as one does who waits for the store."""
-        asked = defer.Deferred()
-        self.asked.append(asked)
-        return asked
+        answer = defer.Deferred()
+        self.pending_answers.append(answer)
+        return answer
 
     def connect(self):
         transport = testing.StringTransportWithDisconnection()
@@ -49,15 +49,15 @@
     store has not answered yet. With the connection closed the operator would
     not know whether the plan is in force.
     """
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(WHOLE)
+    connection.dataReceived(COMPLETE_REQUEST)
     drained = operators.factory.drain(operators.clock)
     ended = []
     drained.addCallback(ended.append)
     assert connection.transport.connected
     assert not ended
-    operators.asked[0].callback(b'confirmed')
+    operators.pending_answers[0].callback(b'confirmed')
     assert b'confirmed' in connection.transport.value()
     assert not connection.transport.connected
     assert ended
@@ -68,21 +68,21 @@
 
     Closed without a word, its sender could not know whether it has run.
     """
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(HALF)
+    connection.dataReceived(INCOMPLETE_REQUEST)
     operators.factory.drain(operators.clock)
     head, _, body = connection.transport.value().partition(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 503')
     assert json.loads(body)['ran'] == requests.Ran.NO.value
-    assert not operators.asked
+    assert not operators.pending_answers
 
 
 def test_drain_times_out_when_an_answer_never_comes():
     """The store is silent; the platform would kill the process in the end."""
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(WHOLE)
+    connection.dataReceived(COMPLETE_REQUEST)
     drained = operators.factory.drain(operators.clock)
     ended = []
     drained.addBoth(ended.append)
@@ -96,17 +96,17 @@
     Taken, it would be cut when the time is over, with its plan perhaps in
     force; and each one taken would put off the end.
     """
-    operators = Operators()
+    operators = OperatorSite()
     waiting, late = operators.connect(), operators.connect()
-    waiting.dataReceived(WHOLE)
+    waiting.dataReceived(COMPLETE_REQUEST)
     operators.factory.drain(operators.clock)
-    late.dataReceived(WHOLE)
+    late.dataReceived(COMPLETE_REQUEST)
     assert late.transport.value().startswith(b'HTTP/1.1 503')
-    assert len(operators.asked) == 1
+    assert len(operators.pending_answers) == 1
 
 
 def test_idle_connection_is_closed_at_once():
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
     drained = operators.factory.drain(operators.clock)
     ended = []
