--- a/src/greengagelb/transport/__init__.py
+++ b/src/greengagelb/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets, timers and HTTP: carries out what the decisions ask for."""
+"""Sockets, timers and HTTP: carries out the actions of the decisions."""
--- a/src/greengagelb/transport/answer_limits.py
+++ b/src/greengagelb/transport/answer_limits.py
@@ -1,4 +1,4 @@
-"""What answers by the product's own interface say of limits."""
+"""Reads and writes the request limits in headers of the native interface."""
 
 from twisted.web import http_headers
 from twisted.web import server
@@ -10,7 +10,7 @@
 def read_limit_headers(
     headers: http_headers.Headers,
 ) -> limits.UpstreamAdvertisement:
-    """Return what an answer says of its upstream."""
+    """Return the upstream's incarnation and limit from an answer's headers."""
     limit_values = headers.getRawHeaders(
         limit_header.LIMIT_HEADER.encode(), []
     )
@@ -24,7 +24,7 @@
 def set_limit_headers(
     request: server.Request, limit: str, incarnation: str
 ) -> None:
-    """Have an answer name an upstream, and its limit if it has one."""
+    """Set the headers that name an upstream and its limit, if any."""
     request.setHeader(limit_header.INCARNATION_HEADER, incarnation)
     if limit:
         request.setHeader(limit_header.LIMIT_HEADER, limit)
--- a/src/greengagelb/transport/body_budget.py
+++ b/src/greengagelb/transport/body_budget.py
@@ -1,8 +1,8 @@
-"""Bounds what the bodies of one client account may take of the memory.
+"""Bounds the memory that the request bodies of one client account use.
 
-Bodies are held from their first byte until the answer is given. Bounds on
-the number of requests alone would let one account, with few large bodies,
-fill the memory of an instance; it would end, and with it the streams of all
+Bodies are held from their first byte until the answer is sent. A limit on the
+number of requests alone would let one account fill the memory of an instance
+with a few large bodies; the process would end, and with it the streams of all
 other accounts.
 """
 
@@ -17,11 +17,11 @@
 
 
 class BodyBudget:
-    """Counts the bytes that are held for each client account.
+    """Counts the body bytes that are held for each client account.
 
-    ``account_of`` returns the account's name for the key of a request, and
-    raises :class:`~greengagelb.errors.ProtocolError` for an unknown key: a
-    body from nobody is not taken in at all.
+    ``account_of`` returns the name of the account that a request's key belongs
+    to, and raises :class:`~greengagelb.errors.ProtocolError` for an unknown
+    key: a body without a known account is not read at all.
     """
 
     def __init__(self, account_of: Callable[[server.Request], str]) -> None:
@@ -29,11 +29,11 @@
         self.held_bytes: collections.Counter[str] = collections.Counter()
 
     def reserve_bytes(self, account: str, length: int) -> None:
-        """Count bytes as held; raise where the account holds too many."""
+        """Count bytes as held; raise if the account would exceed its limit."""
         if self.held_bytes[account] + length > MAX_ACCOUNT_BODY_BYTES:
             raise errors.AccountBodiesFull(
-                f'{MAX_ACCOUNT_BODY_BYTES} bytes of this account are held '
-                'already'
+                'request bodies of this account already hold up to '
+                f'{MAX_ACCOUNT_BODY_BYTES} bytes'
             )
         self.held_bytes[account] += length
 
@@ -41,6 +41,8 @@
         """Count bytes as no longer held."""
         self.held_bytes[account] -= length
         if self.held_bytes[account] < 0:
-            raise errors.InvariantViolated(f'{account} holds less than none')
+            raise errors.InvariantViolated(
+                f'{account} holds a negative number of bytes'
+            )
         if not self.held_bytes[account]:
             del self.held_bytes[account]
--- a/src/greengagelb/transport/bounded_log.py
+++ b/src/greengagelb/transport/bounded_log.py
@@ -1,8 +1,8 @@
-"""Writes log lines without ever waiting for whoever reads them.
+"""Writes log lines without blocking on the reader.
 
-A reader that stops reading fills the pipe, and a plain write would then hold
-up the whole process, with all its callers. Lines that find no room are left
-out and counted; the count is written as soon as there is room again.
+When the reader stops, the pipe fills up, and a plain write would then block
+the whole process with all its callers. Lines that do not fit are dropped and
+counted; the count is written as soon as there is room again.
 """
 
 from collections.abc import Callable
@@ -10,18 +10,19 @@
 import os
 
 MAX_PENDING_BYTES = 256 * 1024
-# Lines a second that are written for long, and how many may come at once.
-# Beyond that a burst of failures would spend the processor on its own report.
+# The sustained rate of lines, and the size of a burst. Without a limit, a
+# burst of failures would use up the processor for logging.
 LINES_PER_SECOND = 200.0
 MAX_BURST_LINES = 2_000.0
-# The count of lines that were left out is written this often at the most.
+# The minimum interval between two reports of dropped lines.
 DROP_REPORT_INTERVAL_SECONDS = 1.0
 
 
 class BoundedLog:
-    """A stream for log lines; ``flush`` is to be called now and then.
+    """A stream for log lines; ``flush`` must be called periodically.
 
-    Invariant: at most ``MOST_WAITING_BYTES`` wait to be written.
+    ``seconds`` returns the monotonic time. A token bucket limits the rate of
+    lines. Invariant: at most ``MAX_PENDING_BYTES`` are pending.
     """
 
     def __init__(self, descriptor: int, seconds: Callable[[], float]) -> None:
@@ -36,7 +37,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Write a line, or leave it out."""
+        """Write a line, or drop it."""
         if text == '\n':
             return
         raw = text.rstrip('\n').encode('utf-8', 'replace') + b'\n'
@@ -53,7 +54,7 @@
         self.flush()
 
     def take_line_token(self, size: int) -> bool:
-        """Return whether a line of that size is let through now."""
+        """Return whether a line of this size may be written, and count it."""
         now = self.seconds()
         refill = (now - self.refilled_at) * LINES_PER_SECOND
         self.line_tokens = min(MAX_BURST_LINES, self.line_tokens + refill)
@@ -66,7 +67,7 @@
         return True
 
     def report_dropped_lines(self) -> None:
-        """Add a line that says how many were left out."""
+        """Add a line with the number of dropped lines since the last one."""
         line = {'event': 'log-lines-dropped', 'count': self.unreported_drops}
         self.unreported_drops = 0
         self.next_drop_report_at = (
@@ -75,14 +76,15 @@
         self.pending += json.dumps(line).encode() + b'\n'
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many pending bytes as the reader accepts now."""
         while self.pending:
             try:
                 written = os.write(self.descriptor, self.pending)
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone. What nobody reads need not be kept.
+                # The reader has closed its end of the pipe; there is no use in
+                # keeping the lines.
                 self.total_dropped += self.pending.count(b'\n')
                 self.pending.clear()
                 return
--- a/src/greengagelb/transport/caller_app.py
+++ b/src/greengagelb/transport/caller_app.py
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A caller's connection that waits for its answer."""
+    """A caller's connection that is waiting for its final answer."""
 
     request: server.Request
     final_answer: defer.Deferred
@@ -44,7 +44,7 @@
 
 
 class CallerApp:
-    """Turns callers' requests into events and actions into answers."""
+    """Turns callers' requests into events, and actions into answers."""
 
     def __init__(
         self,
@@ -75,15 +75,15 @@
             self.app, events_recorder.metrics.count_refusal
         )
 
-    # -- requests -----------------------------------------------------------
-
     def handle_chat(self, request: server.Request) -> object:
         """Handle a request for a streamed generation."""
         account = self.authenticate(request)
         headers = caller_headers.read_headers(request)
         body = codec.decode(request.content.read(), caller_api.ChatCompletion)
         if not body.stream:
-            raise errors.BadValue('stream: write true; every answer streams')
+            raise errors.BadValue(
+                'stream: must be true; every answer is streamed'
+            )
         prompt = '\n'.join(
             f'{message.role}: {message.content}' for message in body.messages
         )
@@ -109,14 +109,16 @@
         generation: requests.GenerationRequest,
         received: tuple[str, ...],
     ) -> events.Event:
-        """Return the event of a new or a returning caller.
+        """Return the event of a new or a resuming request.
 
-        A cursor of another account is treated like one that was never
-        sealed, so that nobody learns of another account's requests.
+        A cursor of another account is rejected like one that was never sealed,
+        so that nobody can probe for another account's requests.
         """
         if not cursor:
             if received:
-                raise errors.BadCursor('received: write Last-Event-ID with it')
+                raise errors.BadCursor(
+                    'received: requires the header Last-Event-ID'
+                )
             return events.GenerationSubmitted(generation)
         sealed = self.seal.open_cursor(cursor)
         point = sealed.point
@@ -152,7 +154,7 @@
         submitted: requests.GenerationRequest | requests.CallRequest,
         event: events.Event,
     ) -> defer.Deferred:
-        """Keep the connection until its final answer."""
+        """Dispatch a request, and return the Deferred of its final answer."""
         number = submitted.exchange
         final_answer: defer.Deferred = defer.Deferred()
         self.exchanges[number] = Exchange(
@@ -165,7 +167,7 @@
         return final_answer
 
     def report_caller_gone(self, number: int) -> None:
-        """Tell that a caller's connection is lost."""
+        """Report that a caller's connection was lost."""
         if self.exchanges.pop(number, None) is not None:
             self.dispatch(events.CallerGone(number))
 
@@ -174,8 +176,8 @@
     ) -> configuration_state.ClientAccount:
         """Return the client account of the request's API key.
 
-        Every account's digest is compared, in constant time, so that the time
-        taken tells nothing about the keys. Raises
+        The key's digest is compared with every account's, in constant time, so
+        that the time taken reveals nothing about the keys. Raises
         :class:`~greengagelb.errors.Unauthenticated`.
         """
         key = caller_headers.api_key_of(request)
@@ -184,22 +186,20 @@
         for account in self.configuration().accounts:
             if hmac.compare_digest(account.key_digest.encode(), digest):
                 found = account
-        # An account that was given the digest of an empty key would be open
-        # to everybody; no key is nobody's key.
+        # An account with the digest of the empty key would otherwise accept
+        # requests without a key.
         if found is None or not key:
             raise errors.Unauthenticated('unknown API key')
         return found
 
     def choose_request_id(self, headers: caller_headers.CallerHeaders) -> str:
-        """Return the request's id: the caller's own, or a fresh one."""
+        """Return the caller's idempotency key, or a new random id."""
         return headers.idempotency_key or secrets.token_urlsafe(12)
 
     def deadline_of(self, headers: caller_headers.CallerHeaders) -> float:
-        """Return the monotonic time by which the caller wants its answer."""
+        """Return the monotonic time of the caller's deadline."""
         return self.reactor.seconds() + headers.deadline_seconds
 
-    # -- answers ------------------------------------------------------------
-
     def send_tokens(self, action: actions.SendTokens) -> None:
         """Write tokens as one event."""
         exchange = self.exchanges.get(action.exchange)
@@ -222,7 +222,7 @@
     def get_or_open_stream(
         self, exchange: Exchange
     ) -> caller_stream.CallerStream:
-        """Return the stream, after its headers were set."""
+        """Return an exchange's stream; set its headers when it is opened."""
         if exchange.stream is None:
             request = exchange.request
             request.setHeader(b'content-type', b'text/event-stream')
@@ -235,13 +235,13 @@
     def abort_connection(self, request: server.Request) -> None:
         """Close the connection of a caller that does not read.
 
-        What waits in the transport is dropped too: flushing it would wait
-        for the same caller.
+        Data in the transport's buffer is dropped: flushing it would wait for
+        the same caller.
         """
         request.transport.abortConnection()
 
     def send_restart(self, action: actions.SendRestart) -> None:
-        """Tell the caller to discard what it holds."""
+        """Tell the caller to discard the tokens that it has received."""
         exchange = self.exchanges.get(action.exchange)
         if exchange is None:
             return
@@ -254,7 +254,7 @@
         )
 
     def send_end(self, action: actions.SendEnd) -> None:
-        """Write the last events of a whole answer."""
+        """Write the last events of a complete stream."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
@@ -274,7 +274,7 @@
         exchange.final_answer.callback(stream.finish() + last)
 
     def send_failure(self, action: actions.SendFailure) -> None:
-        """Give the caller its final answer."""
+        """Send the caller a failure as its final answer."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
@@ -288,7 +288,7 @@
         )
 
     def send_answer(self, action: actions.SendAnswer) -> None:
-        """Pass on a plain service's answer."""
+        """Send the caller a plain service's answer."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
--- a/src/greengagelb/transport/caller_headers.py
+++ b/src/greengagelb/transport/caller_headers.py
@@ -1,4 +1,4 @@
-"""Reads the headers of callers' requests, each with a clear refusal."""
+"""Parses and validates the headers of callers' requests."""
 
 import dataclasses
 import string
@@ -24,9 +24,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What a caller says in headers; an empty text stands for none.
+    """The parsed headers of a request; an absent one is an empty string.
 
-    ``deadline_seconds`` is what the caller allows, counted from now.
+    ``deadline_seconds`` counts from the arrival of the request.
     """
 
     idempotency_key: str
@@ -37,7 +37,7 @@
 
 
 def read_headers(request: server.Request) -> CallerHeaders:
-    """Return the headers of a request.
+    """Return the parsed headers of a request.
 
     Raises :class:`~greengagelb.errors.BadValue`, or
     :class:`~greengagelb.errors.BadCursor`.
@@ -52,19 +52,19 @@
 
 
 def read_single_header(request: server.Request, name: str) -> bytes:
-    """Return a header's only value, or nothing if it is not there.
+    """Return a header's value, or empty bytes if it is absent.
 
-    Of two values, a proxy on the way and this process may each believe
-    another one, so neither is believed.
+    Repeated headers are rejected: a proxy and this process could each use a
+    different one of the values.
     """
     values = request.requestHeaders.getRawHeaders(name.encode(), [])
     if len(values) > 1:
-        raise errors.BadValue(f'{name}: write it once')
+        raise errors.BadValue(f'{name}: must not be repeated')
     return values[0] if values else b''
 
 
 def api_key_of(request: server.Request) -> bytes:
-    """Return the API key as it was sent; a missing one is empty."""
+    """Return the API key of a request, or empty bytes if there is none."""
     value = read_single_header(request, 'Authorization')
     if not value.startswith(BEARER_PREFIX):
         return b''
@@ -72,18 +72,18 @@
 
 
 def idempotency_key_of(request: server.Request) -> str:
-    """Return the caller's name for this request."""
+    """Return the caller's idempotency key, or an empty string."""
     raw = read_single_header(request, 'Idempotency-Key')
     if len(raw) > MAX_KEY_CHARACTERS or not PRINTABLE_BYTES.issuperset(raw):
         raise errors.BadValue(
-            f'Idempotency-Key: write at most {MAX_KEY_CHARACTERS} printable '
+            f'Idempotency-Key: must be at most {MAX_KEY_CHARACTERS} printable '
             'ASCII characters without spaces'
         )
     return raw.decode('ascii')
 
 
 def cursor_of(request: server.Request) -> str:
-    """Return the id of the last event that the caller holds."""
+    """Return the id of the last event that the caller has received."""
     raw = read_single_header(request, 'Last-Event-ID')
     if not raw.isascii():
         raise errors.BadCursor('cursor was not sealed here')
@@ -91,7 +91,7 @@
 
 
 def deadline_seconds_of(request: server.Request) -> float:
-    """Return how long the caller waits for its answer."""
+    """Return for how many seconds the caller waits for its answer."""
     raw = read_single_header(request, 'X-Deadline-Seconds')
     if not raw:
         return DEFAULT_DEADLINE_SECONDS
@@ -99,28 +99,29 @@
         seconds = float(raw)
     except ValueError:
         seconds = 0.0
-    # Written so that "nan" fails it: no comparison with nan holds.
+    # Rejects "nan" too, as every comparison with it is false.
     if not 0 < seconds <= MAX_DEADLINE_SECONDS:
         raise errors.BadValue(
-            'X-Deadline-Seconds: write seconds above 0, up to '
+            'X-Deadline-Seconds: must be a number above 0, up to '
             f'{MAX_DEADLINE_SECONDS:.0f}'
         )
     return seconds
 
 
 def priority_of(request: server.Request) -> configuration.Priority:
-    """Return the priority class that the caller asks for.
+    """Return the requested priority class.
 
-    Without the header it is the highest, which leaves the service's own.
+    Without the header it is the highest class, so that the service's own
+    priority applies.
     """
     raw = read_single_header(request, 'X-Priority')
     if raw not in PRIORITIES:
-        raise errors.BadValue('X-Priority: write short or long')
+        raise errors.BadValue('X-Priority: must be short or long')
     return PRIORITIES[raw]
 
 
 def check_operation(operation: str) -> None:
-    """Refuse an operation that would change the URL it is put into.
+    """Raise if an operation's name would alter the URL that contains it.
 
     An operation such as ``..%2Fadmin`` or ``book%3Fforce=1`` would otherwise
     reach paths of a plain service that no client account may call.
@@ -128,6 +129,6 @@
     is_allowed = OPERATION_CHARACTERS.issuperset(operation)
     if not is_allowed or not 0 < len(operation) <= MAX_OPERATION_CHARACTERS:
         raise errors.BadValue(
-            f'operation: write at most {MAX_OPERATION_CHARACTERS} letters, '
-            'digits, "-" and "_"'
+            f'operation: must be 1 to {MAX_OPERATION_CHARACTERS} letters, '
+            'digits, "-" or "_"'
         )
--- a/src/greengagelb/transport/caller_stream.py
+++ b/src/greengagelb/transport/caller_stream.py
@@ -1,10 +1,10 @@
-"""Writes a streamed answer to one caller, within a bounded buffer.
+"""Writes a streamed answer to one caller, through a bounded buffer.
 
-Twisted's transport keeps whatever is written until the caller reads it. A
-caller that opens many streams and reads none would fill the instance's
-memory, and its end would cut every other account's streams. Here the stream
-of such a caller is cut instead, once a bounded number of bytes waits for it.
-It may come back with its cursor.
+Twisted's transport buffers everything that is written until the caller reads
+it. A caller that opens many streams and reads none would fill the instance's
+memory, and when the process ends, the streams of all other accounts break off.
+Instead, the stream of such a caller is aborted once a bounded number of bytes
+is waiting for it. The caller can resume with its cursor.
 """
 
 from collections.abc import Callable
@@ -19,10 +19,11 @@
 
 
 def bound_kernel_buffer(listener: interfaces.IListeningPort) -> None:
-    """Bound what the kernel keeps for each connection accepted here.
+    """Limit the send buffer of each connection accepted on a port.
 
-    Left to itself it lets the buffer of a caller that does not read grow to
-    several megabytes. Accepted sockets take the option from their listener.
+    By default the kernel lets the buffer of a caller that does not read grow
+    to several megabytes. Accepted sockets inherit the option from their
+    listener.
     """
     handle = getattr(listener, 'socket', None)
     if handle is not None:
@@ -33,11 +34,11 @@
 
 @implementer(interfaces.IPushProducer)
 class CallerStream:
-    """One caller's stream; ``overrun`` is called once if it reads too little.
+    """One caller's stream; calls ``on_overflow`` once if its buffer overflows.
 
-    Invariant: ``unsent_bytes`` is the size of ``unsent``, and not above
-    ``MOST_UNSENT_BYTES``. The transport and the kernel hold some more, each
-    with its own bound.
+    Invariant: ``unsent_bytes`` is the size of ``unsent``, and at most
+    ``MAX_UNSENT_BYTES``. The transport and the kernel buffer some more, each
+    within its own limit.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         request.registerProducer(self, True)
 
     def write(self, raw: bytes) -> None:
-        """Write bytes, or keep them while the caller does not read."""
+        """Write bytes, or buffer them while the caller does not read."""
         if self.is_closed:
             return
         if not self.is_paused:
@@ -65,37 +66,35 @@
         self.unsent_bytes += len(raw)
 
     def abandon_caller(self) -> None:
-        """Give up on a caller that does not read."""
+        """Drop the stream of a caller that does not read."""
         self.stopProducing()
         self.on_overflow()
 
     def finish(self) -> bytes:
-        """Return what is still to be written, and end the buffering."""
+        """Stop buffering, and return the bytes that are not written yet."""
         rest = b''.join(self.unsent)
         self.stopProducing()
         self.request.unregisterProducer()
         return rest
 
     def flush(self) -> None:
-        """Write what was kept, for as long as the caller reads."""
+        """Write buffered bytes for as long as the caller reads."""
         while self.unsent and not self.is_paused:
             raw = self.unsent.pop(0)
             self.unsent_bytes -= len(raw)
             self.request.write(raw)
 
-    # -- called by the transport ---------------------------------------------
-
     def pauseProducing(self) -> None:  # noqa: N802
-        """Keep what comes from now on."""
+        """Buffer all writes from now on."""
         self.is_paused = True
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Go on writing."""
+        """Write the buffered bytes, and stop buffering."""
         self.is_paused = False
         self.flush()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Forget what was kept: nobody will read it."""
+        """Drop the buffered bytes: the connection is gone."""
         self.is_closed = True
         self.unsent.clear()
         self.unsent_bytes = 0
--- a/src/greengagelb/transport/claim_store.py
+++ b/src/greengagelb/transport/claim_store.py
@@ -1,4 +1,4 @@
-"""Writes claims through the platform's table service."""
+"""Writes claims to the platform's table service."""
 
 import dataclasses
 import time
@@ -21,7 +21,7 @@
 
 
 class ClaimStore:
-    """Writes claim rows and reports what came of each write."""
+    """Writes claim rows and reports the outcome of each write."""
 
     def __init__(
         self,
@@ -33,10 +33,11 @@
 
     @defer.inlineCallbacks
     def write_claim(self, action: actions.WriteClaim) -> Any:
-        """Write a claim row; exactly one event answers it.
+        """Write a claim row; dispatches exactly one event with the outcome.
 
-        An answer that makes no sense counts as none. Left to raise, it would
-        end up in a log, and the caller would wait until its deadline.
+        A malformed answer counts as a write whose outcome is unknown. If its
+        error propagated, it would only be logged, and the caller would wait
+        until its deadline.
         """
         holder = action.holder
         expires_at = time.time() + CLAIM_RETENTION_SECONDS
@@ -66,7 +67,7 @@
     def event_of_conflict(
         self, holder: str, row: platform_api.Row
     ) -> events.ClaimConflicted | events.ClaimWriteFailed:
-        """Report the row that stands in the way, if it can be read."""
+        """Return the event for a conflicting row, if it can be decoded."""
         try:
             record = codec.decode(row.value, claims.ClaimRecord)
         except errors.ProtocolError:
--- a/src/greengagelb/transport/decision_loop.py
+++ b/src/greengagelb/transport/decision_loop.py
@@ -1,8 +1,7 @@
-"""Feeds events to the decisions, one after the other, and keeps their timers.
+"""Passes events to the decisions one at a time, and runs their timers.
 
-Events that come up while actions are carried out wait: the decisions are
-never entered twice at once, so that each of them sees a state that the one
-before has left whole.
+Events that are dispatched while actions are carried out are queued. The
+decisions are never re-entered, so each event is handled in a consistent state.
 """
 
 import collections
@@ -20,18 +19,19 @@
 
 
 class Decisions(Protocol):
-    """The seam: whatever turns events into actions, without I/O.
+    """The interface of the decisions: turns events into actions, without I/O.
 
-    Either kind of instance has its own. Imported from here, the other one's
-    would take a tenth of the time until an instance serves.
+    Each of the two kinds of instance has its own implementation. Importing the
+    other kind's here would take up a tenth of the time until an instance
+    serves.
     """
 
     def handle(self, event: events.Event, now: float) -> list[actions.Action]:
-        """Return what an event leads to at a monotonic time."""
+        """Return the actions for an event at a monotonic time."""
 
 
 class DecisionLoop:
-    """Events in, actions out, on the one loop of the process."""
+    """Dispatches events and carries out actions, on the reactor thread."""
 
     def __init__(
         self,
@@ -50,10 +50,8 @@
         )
         self.is_dispatching = False
 
-    # -- events -------------------------------------------------------------
-
     def dispatch(self, event: events.Event) -> None:
-        """Have an event decided on, after those that came before it."""
+        """Process an event after all events dispatched before it."""
         self.pending_events.append(event)
         if self.is_dispatching:
             return
@@ -65,11 +63,11 @@
             self.is_dispatching = False
 
     def process_event(self, event: events.Event) -> None:
-        """Decide on one event and carry out what follows.
+        """Decide on one event and carry out the resulting actions.
 
-        An error in here is this program's own. Events come from within HTTP
-        callbacks, and an error that got out would be taken for a broken
-        connection to whatever upstream the event came from.
+        Errors in here are bugs of this program. Events are dispatched from
+        HTTP callbacks, and an error that propagated would be taken for a
+        broken connection to the upstream that the event came from.
         """
         try:
             for action in self.decisions.handle(event, self.reactor.seconds()):
@@ -78,10 +76,8 @@
             recorder.log.exception('decision-failed', event_kind=repr(event))
             self.recorder.metrics.decision_errors += 1
 
-    # -- timers -------------------------------------------------------------
-
     def set_timer(self, name: str, deadline: float) -> None:
-        """Fire an event at a monotonic time."""
+        """Set a timer to a monotonic time, or move it there."""
         wait = max(0.0, deadline - self.reactor.seconds())
         pending = self.timers.get(name)
         if pending is not None and pending.active():
@@ -90,26 +86,24 @@
         self.timers[name] = self.reactor.callLater(wait, self.fire_timer, name)
 
     def clear_timer(self, name: str) -> None:
-        """Forget a timer."""
+        """Cancel a timer, if it is set."""
         pending = self.timers.pop(name, None)
         if pending is not None and pending.active():
             pending.cancel()
 
     def fire_timer(self, name: str) -> None:
-        """Report that a timer is due."""
+        """Dispatch the event of a timer that is due."""
         del self.timers[name]
         self.dispatch(events.TimerFired(name))
 
-    # -- what is done now and again -----------------------------------------
-
     def call_periodically(
         self, seconds: float, function: Callable[[], object]
     ) -> None:
-        """Call a function now and again, as long as the process lives.
+        """Call a function every ``seconds``, even after it has raised.
 
-        A looping call ends for good at the first error. An instance whose
-        poll has ended that way would serve on with an old configuration, and
-        nothing but its version would show it.
+        A looping call stops for good at the first error. An instance whose
+        polling had stopped that way would keep serving with an old
+        configuration, and nothing but its version would show it.
         """
 
         def call() -> defer.Deferred:
@@ -122,6 +116,6 @@
         looping.start(seconds)
 
     def log_unhandled_error(self, why: failure.Failure) -> None:
-        """Log an error of this program itself."""
+        """Log and count an error that is a bug of this program."""
         recorder.log.error('unhandled', detail=why.getTraceback())
         self.recorder.metrics.decision_errors += 1
--- a/src/greengagelb/transport/engine_client.py
+++ b/src/greengagelb/transport/engine_client.py
@@ -1,4 +1,4 @@
-"""Talks to engines: one connection per attempt, closed when abandoned."""
+"""HTTP client for engines: one connection per attempt, closed on abandon."""
 
 from collections.abc import Callable
 
@@ -30,10 +30,13 @@
 
 
 class EngineStream:
-    """One connection of one attempt.
+    """The event stream of one attempt, over one connection.
 
-    Once ``close`` was called it reports nothing more, so that a late event
-    can't be taken for one of the connection that replaced it.
+    After ``close`` it reports nothing more, so that a late event can't be
+    mistaken for one of the connection that replaced it.
+
+    ``delay_relay`` returns whether received tokens should be reported later,
+    together with those of other streams; ``forget_stream`` is called on close.
     """
 
     def __init__(
@@ -57,13 +60,13 @@
     def follow_response(
         self, answer: 'defer.Deferred[iweb.IResponse]'
     ) -> None:
-        """Follow a request that is under way."""
+        """Handle the response to a request that was sent."""
         self.pending_response = answer
         answer.addCallbacks(self.handle_response, self.report_broken)
         answer.addErrback(self.report_broken)
 
     def handle_response(self, response: iweb.IResponse) -> object:
-        """Read the event stream, or the refusal."""
+        """Read the event stream, or the body of the engine's refusal."""
         self.pending_response = None
         if self.is_closed:
             return None
@@ -95,7 +98,7 @@
         )
 
     def receive_bytes(self, raw: bytes) -> None:
-        """Report the events that have come in whole."""
+        """Report the events that are complete."""
         try:
             for event in self.event_reader.feed(raw):
                 self.receive_event(event)
@@ -123,10 +126,11 @@
                 self.close()
 
     def receive_tokens(self, batch: engine_api.TokenBatch) -> None:
-        """Gather tokens that follow on, and report them together.
+        """Collect consecutive tokens, and report them together.
 
-        Most of the cost of relaying is paid per event, not per token, so an
-        engine whose steps are short would cost a multiple of what it has to.
+        Most of the cost of relaying is per event, not per token. Reported one
+        by one, the tokens of an engine with short steps would cost a multiple
+        of the necessary time.
         """
         if batch.position != self.pending_position + len(self.pending_tokens):
             self.relay_pending_tokens()
@@ -136,7 +140,7 @@
             self.relay_pending_tokens()
 
     def relay_pending_tokens(self) -> None:
-        """Report the tokens that were gathered."""
+        """Report the collected tokens."""
         if not self.pending_tokens:
             return
         tokens, self.pending_tokens = tuple(self.pending_tokens), []
@@ -146,7 +150,7 @@
             self.dispatch(events.TokensArrived(self.attempt, position, tokens))
 
     def set_reading(self, is_wanted: bool) -> None:
-        """Pause or resume the reading of the event stream."""
+        """Pause or resume reading from the connection."""
         transport = self.collector.transport if self.collector else None
         if self.is_closed or transport is None:
             return
@@ -156,10 +160,10 @@
             transport.pauseProducing()
 
     def check_attempt(self, generation: int, attempt: str) -> None:
-        """Refuse what another attempt's stream has brought here."""
+        """Raise if an event belongs to another attempt."""
         mine = (self.attempt.generation, self.attempt.attempt)
         if (generation, attempt) != mine:
-            raise errors.ProtocolError(f'tokens of attempt {attempt}')
+            raise errors.ProtocolError(f'event of another attempt: {attempt}')
 
     def report_broken(self, why: failure.Failure) -> None:
         """Report that the connection ended before the generation did."""
@@ -173,9 +177,10 @@
         )
 
     def report_event(self, event: events.Event) -> None:
-        """Pass an event on, unless this connection was abandoned.
+        """Dispatch an event, unless this connection was abandoned.
 
-        Tokens that were gathered go first: the event may end the attempt.
+        Collected tokens are dispatched first, as the event may end the
+        attempt.
         """
         self.relay_pending_tokens()
         if not self.is_closed:
@@ -192,7 +197,7 @@
 
 
 class EngineClient:
-    """All connections of this instance to engines."""
+    """This instance's connections to engines."""
 
     def __init__(
         self, reactor: interfaces.IReactorTime, dispatch: Dispatch
@@ -206,7 +211,7 @@
         self.relayed_at = float('-inf')
 
     def start_attempt(self, action: actions.StartAttempt) -> None:
-        """Order a generation."""
+        """Request a generation."""
         attempt = action.attempt
         order = engine_api.GenerateOrder(
             account=attempt.request.account,
@@ -227,7 +232,7 @@
         )
 
     def attach_attempt(self, action: actions.AttachAttempt) -> None:
-        """Follow an attempt that already runs, over a new connection."""
+        """Follow a running attempt over a new connection."""
         attempt = action.attempt
         order = engine_api.AttachOrder(
             account=attempt.request.account,
@@ -241,7 +246,7 @@
     def open_stream(
         self, attempt: identity.AttemptId, url: str, order: object
     ) -> None:
-        """Open the one connection of an attempt, in place of an older one."""
+        """Open the connection of an attempt, and close an earlier one."""
         self.close(attempt)
         stream = EngineStream(
             attempt, self.dispatch, self.delay_relay, self.forget_stream
@@ -254,9 +259,9 @@
     def delay_relay(self, stream: EngineStream) -> bool:
         """Return whether a stream's tokens should wait for the next relay.
 
-        The first tokens after a quiet time go on at once; while tokens keep
-        coming, all streams are read and relayed together every
-        ``RELAY_SECONDS``.
+        The first tokens after an idle period are relayed at once. While tokens
+        keep arriving, all streams are read and relayed together every
+        ``RELAY_INTERVAL_SECONDS``.
         """
         if not self.delayed_streams:
             now = self.reactor.seconds()
@@ -269,18 +274,18 @@
         return True
 
     def resume_reading(self) -> None:
-        """Read what has come in on the connections that were paused.
+        """Read the paused connections.
 
-        Each read costs about as much as all else that a token needs. Between
-        two relays the connections are paused, so that one read brings all
-        tokens of the time between.
+        A read costs about as much as everything else done for a token.
+        Connections are paused between two relays, so that one read returns all
+        tokens that have arrived since.
         """
         for stream in self.delayed_streams:
             stream.set_reading(True)
         self.reactor.callLater(0, self.relay_delayed_streams)
 
     def relay_delayed_streams(self) -> None:
-        """Report what all streams have gathered, then pause them."""
+        """Report the tokens of all delayed streams, and pause these."""
         self.relayed_at = self.reactor.seconds()
         streams_with_tokens = [
             o for o in self.delayed_streams if o.pending_tokens
@@ -299,16 +304,16 @@
             stream.close()
 
     def forget_stream(self, stream: EngineStream) -> None:
-        """Forget a connection that is over, for whatever reason.
+        """Forget a closed connection.
 
-        One that was replaced by another of its attempt is not known here
-        any more.
+        Does nothing for a connection that another one of its attempt has
+        replaced.
         """
         if self.open_streams.get(stream.attempt) is stream:
             del self.open_streams[stream.attempt]
 
     def cancel_attempt(self, action: actions.CancelAttempt) -> None:
-        """Have the engine stop an attempt, and report whether it did."""
+        """Ask the engine to stop an attempt, and report whether it did."""
         attempt = action.attempt
         self.close(attempt)
         order = engine_api.CancelOrder(
@@ -328,7 +333,7 @@
         )
 
     def probe_upstream(self, action: actions.ProbeUpstream) -> None:
-        """Ask an upstream for its report."""
+        """Request the report of an upstream."""
         upstream = action.upstream
         answer = self.read_control_answer(
             self.treq.get(url_of(upstream, '/v1/report')),
@@ -344,7 +349,7 @@
         )
 
     def dispatch_report(self, report: engine_api.EngineReport) -> None:
-        """Pass a report on as an event."""
+        """Dispatch the report of an upstream as an event."""
         self.dispatch(
             events.UpstreamReported(
                 engine=identity.EngineId(report.name, report.incarnation),
@@ -362,7 +367,7 @@
     def read_control_answer(
         self, answer: 'defer.Deferred[iweb.IResponse]', kind: type
     ) -> defer.Deferred:
-        """Return the decoded answer to a short order, within its time."""
+        """Return the decoded answer to a control request, with a timeout."""
 
         def read(response: iweb.IResponse) -> defer.Deferred:
             if response.code != web_http.OK:
--- a/src/greengagelb/transport/http.py
+++ b/src/greengagelb/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP plumbing shared by the clients and servers of an instance."""
+"""HTTP utilities shared by the clients and servers of an instance."""
 
 from collections.abc import Callable
 import dataclasses
@@ -33,12 +33,12 @@
 @interface.implementer(iweb.IAgentEndpointFactory)
 @dataclasses.dataclass(frozen=True, slots=True)
 class IPAddressEndpointFactory:
-    """Connects to IP numbers directly.
+    """Connects to IP addresses directly.
 
-    The agent's own choice resolves names and races several addresses. It
-    looks at a refused connection only when the next address would be due,
-    0.3 s later: a dead engine was noticed that much too late. All addresses
-    here are IP numbers, so there is nothing to resolve or to race.
+    The agent's default endpoint resolves names and races several addresses. It
+    notices a refused connection only when the next address would be due, 0.3 s
+    later, which delays the detection of a dead engine. All addresses here are
+    IP addresses, so there is nothing to resolve or to race.
     """
 
     reactor: interfaces.IReactorTCP
@@ -47,7 +47,7 @@
     def endpointForURI(  # noqa: N802
         self, uri: client.URI
     ) -> endpoints.TCP4ClientEndpoint:
-        """Return the endpoint of a URI whose host is an IP number."""
+        """Return the endpoint of a URI whose host is an IP address."""
         host = uri.host.decode('ascii')
         kind = (
             endpoints.TCP6ClientEndpoint
@@ -62,9 +62,9 @@
 ) -> client.Agent:
     """Return an agent that opens one connection per request.
 
-    A kept connection may be one on which an earlier request was abandoned,
-    and the late answer to that one would be read as the answer to this. The
-    pool's own retries are off too: it would repeat a request by itself.
+    On a reused connection, the late answer to an abandoned request could be
+    read as the answer to the next one. The pool's automatic retries are
+    disabled too, as they would repeat a request unnoticed.
     """
     pool = client.HTTPConnectionPool(reactor, persistent=False)
     pool.retryAutomatically = False
@@ -73,26 +73,26 @@
 
 
 class DirectClient(treq.client.HTTPClient):
-    """A client that follows no redirect.
+    """A client that does not follow redirects.
 
-    Followed, a request would go out a second time, to an address that no
+    Following one would send the request a second time, to an address that no
     operator has configured.
     """
 
     def request(
         self, method: str, url: str, **arguments: Any
     ) -> 'defer.Deferred[iweb.IResponse]':
-        """Send one request, to this URL and no other."""
+        """Send one request to exactly this URL."""
         arguments.setdefault('allow_redirects', False)
         return super().request(method, url, **arguments)
 
 
 def direct_client(agent: client.Agent) -> DirectClient:
-    """Return a client without redirects, that keeps and sends no cookies.
+    """Return a client that follows no redirects and ignores cookies.
 
-    A treq client shows the cookies that it was sent with each later request.
-    Shared by all requests, it would hand what a service set in its answer to
-    one client account on to the calls of another.
+    A treq client sends the cookies that it has received with each later
+    request. Shared by all requests, it would send a cookie that a service set
+    for one client account with the calls of another.
     """
     no_domains = cookiejar.DefaultCookiePolicy(allowed_domains=())
     jar = treq_cookies.IndexableCookieJar(policy=no_domains)
@@ -102,18 +102,22 @@
 def was_handed_over(why: failure.Failure) -> bool:
     """Return whether bytes of the request may have left this process.
 
-    Only failures to connect prove that none did.
+    Only a failure to connect proves that none did.
     """
     return why.check(error.ConnectError, error.DNSLookupError) is None
 
 
 def was_connection_refused(why: failure.Failure) -> bool:
-    """Return whether nobody listened at the address."""
+    """Return whether no process was listening at the address."""
     return why.check(error.ConnectionRefusedError) is not None
 
 
 class BodyCollector(protocol.Protocol):
-    """Hands on a response body as it comes in, and can abort it."""
+    """Passes on a response body as it arrives, and can abort it.
+
+    ``on_data`` is called with each chunk, ``on_end`` with the reason for the
+    end.
+    """
 
     def __init__(
         self,
@@ -125,24 +129,25 @@
         self.is_aborted = False
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802
-        """Pass bytes on, unless nobody wants them any more."""
+        """Pass bytes on, unless the body was aborted."""
         if not self.is_aborted:
             self.on_data(data)
 
     def connectionLost(  # noqa: N802
         self, reason: failure.Failure = protocol.connectionDone
     ) -> None:
-        """Tell that the body is over; ``ResponseDone`` if it is whole."""
+        """Report the end of the body; ``ResponseDone`` if it is complete."""
         if not self.is_aborted:
             self.on_end(reason)
 
     def abort(self) -> None:
         """Close the connection and report nothing more.
 
-        What twisted.web gives a body's protocol as its transport is a proxy
-        that has ``loseConnection`` only. Asking it to abort did nothing, and
-        the connection stayed open for as long as the peer liked. Nothing is
-        left to be written here, so losing it closes it at once.
+        The transport that twisted.web gives to the protocol of a body is a
+        proxy that only has ``loseConnection``. Calling its ``abortConnection``
+        had no effect, and the connection stayed open for as long as the peer
+        kept it. Nothing is left to be written here, so ``loseConnection``
+        closes it at once.
         """
         self.is_aborted = True
         if self.transport is not None:
@@ -150,7 +155,7 @@
 
 
 def set_json_headers(request: server.Request, status: int) -> None:
-    """Prepare a JSON answer."""
+    """Set the status and the content type of a JSON answer."""
     request.setResponseCode(status)
     request.setHeader(b'content-type', b'application/json')
 
@@ -158,7 +163,7 @@
 def json_answer(
     request: server.Request, message: object, status: int = http.OK
 ) -> bytes:
-    """Return a message as the body of an answer."""
+    """Set the headers of a JSON answer and return its body."""
     set_json_headers(request, status)
     return codec.encode(message)
 
@@ -166,7 +171,7 @@
 def problem_answer(
     request: server.Request, problem: caller_api.Problem
 ) -> bytes:
-    """Return a problem document as the body of an answer."""
+    """Set the headers of a problem document and return its body."""
     request.setResponseCode(problem.status)
     request.setHeader(b'content-type', b'application/problem+json')
     if problem.retry_after is not None:
@@ -184,10 +189,10 @@
 
 
 class BoundedBody:
-    """Reads a response body of at most ``most_bytes``.
+    """Reads a response body of at most ``max_bytes``.
 
-    ``whole`` fires with the body; cancelling it closes the connection. A body
-    that is longer, or that ends before its announced length, fails it.
+    ``complete_body`` fires with the body; cancelling it closes the connection.
+    It fails if the body is longer, or ends before its announced length.
     """
 
     def __init__(self, response: iweb.IResponse, max_bytes: int) -> None:
@@ -201,17 +206,17 @@
         response.deliverBody(self.collector)
 
     def receive_chunk(self, data: bytes) -> None:
-        """Keep bytes, or give up where there are too many."""
+        """Collect bytes, or abort if the body is too long."""
         self.chunks.append(data)
         self.length += len(data)
         if self.length > self.max_bytes:
             self.collector.abort()
             self.complete_body.errback(
-                errors.TransportError(f'body above {self.max_bytes} bytes')
+                errors.TransportError(f'body exceeds {self.max_bytes} bytes')
             )
 
     def handle_end(self, why: failure.Failure) -> None:
-        """Hand the body on, if it is whole."""
+        """Return the body, if it is complete."""
         if why.check(client.ResponseDone):
             self.complete_body.callback(b''.join(self.chunks))
         else:
@@ -221,14 +226,15 @@
 def read_whole_body(
     response: iweb.IResponse, max_bytes: int = MAX_BODY_BYTES
 ) -> 'defer.Deferred[bytes]':
-    """Return the body of a response, bounded; cancelling closes it."""
+    """Return the body of a response, up to a limit; cancelling closes it."""
     return BoundedBody(response, max_bytes).complete_body
 
 
 def discard_body(response: iweb.IResponse) -> None:
-    """Close the connection of a response that nobody reads.
+    """Close the connection of a response whose body is not needed.
 
-    An undelivered body keeps its connection open, and paused, for good.
+    A response whose body is not delivered keeps its connection open and
+    paused.
     """
     collector = BodyCollector(lambda _: None, lambda _: None)
     response.deliverBody(collector)
--- a/src/greengagelb/transport/instance.py
+++ b/src/greengagelb/transport/instance.py
@@ -1,4 +1,4 @@
-"""One instance: sockets, timers and clients around the decisions."""
+"""One instance: the sockets, timers and clients around the decisions."""
 
 import random
 import secrets
@@ -44,7 +44,7 @@
 
 
 class Instance:
-    """Owns the sockets and clients, and carries out what is decided."""
+    """Owns the sockets and clients, and carries out the actions."""
 
     def __init__(
         self,
@@ -109,10 +109,8 @@
         self.next_list_poll_at = reactor.seconds()
         self.stopped: defer.Deferred = defer.Deferred()
 
-    # -- life ---------------------------------------------------------------
-
     def start(self) -> None:
-        """Open the ports and begin to poll."""
+        """Open the ports and start the periodic calls."""
         own_settings = self.settings.instance
         health = caller_app.health_app(
             lambda: self.node.is_ready, self.recorder.metrics.render
@@ -166,10 +164,10 @@
         self.ports.append(listener)
 
     def check_own_pause(self) -> None:
-        """Notice when this process itself stood still.
+        """Detect that this process itself was paused.
 
-        Nothing else tells a stopped process that it was stopped: to it, all
-        upstreams seem to have fallen silent at the same moment.
+        A paused process gets no other sign of it; all upstreams seem to have
+        fallen silent at the same time.
         """
         now = self.reactor.seconds()
         late = now - self.last_pause_check_at - PAUSE_CHECK_INTERVAL_SECONDS
@@ -181,7 +179,7 @@
         self.peers.update_own_state(self.own_state())
 
     def own_state(self) -> fleet.OwnState:
-        """Return what other instances should know of this one."""
+        """Return this instance's state as its peers should know it."""
         return fleet.OwnState(
             self.node.configuration.version,
             self.node.is_stopping,
@@ -195,7 +193,7 @@
         )
 
     def probe_upstreams(self) -> None:
-        """Ask the upstreams that this instance watches for their reports."""
+        """Request the reports of the upstreams assigned to this instance."""
         now = self.reactor.seconds()
         members = self.peers.membership
         wanted = self.probes.upstreams_to_probe(
@@ -206,7 +204,7 @@
         self.orders.tick(members.live_incarnations(now))
 
     def send_heartbeats(self) -> None:
-        """Send the regular heartbeats, with the loads known here."""
+        """Send the periodic heartbeats, with the loads known here."""
         now = self.reactor.seconds()
         self.peers.membership.loads = self.node.directory.own_loads(now)
         self.peers.tick()
@@ -228,11 +226,12 @@
 
     @defer.inlineCallbacks
     def poll_instance_list(self) -> object:
-        """Fetch the platform's list of instances, if it is time to.
+        """Fetch the platform's list of instances, if the interval has passed.
 
-        The list grows with the fleet, and whoever sees something in it tells
-        the others. So the instances of a data centre take turns: the more of
-        them there are, the more seldom each one reads it.
+        The size of the list grows with the fleet, and an instance passes on
+        the changes that it sees. So the interval grows with the number of
+        instances in the data centre, which keeps the total rate of reads
+        constant.
         """
         if self.reactor.seconds() < self.next_list_poll_at:
             return
@@ -247,18 +246,18 @@
         self.peers.apply_instance_list(instances)
 
     def running_by_upstream(self) -> dict[str, int]:
-        """Return how many requests run on each upstream, as far as known."""
+        """Return the number of requests known to run on each upstream."""
         return {
             name: max(view.in_flight, view.reported_running)
             for name, view in self.node.directory.views.items()
         }
 
     def apply_confirmed_plan(self, plan: plan_state.Plan) -> None:
-        """Apply what an operator has just confirmed here."""
+        """Apply a plan that an operator has just confirmed here."""
         self.dispatch(events.ConfigurationOffered(plan.result, plan.plan_id))
 
     def status(self) -> operator_api.Status:
-        """Return what this instance says of itself."""
+        """Return the status of this instance for operators."""
         members = self.peers.membership
         own = members.build_summary(self.reactor.seconds())
         return operator_api.Status(
@@ -281,7 +280,7 @@
         )
 
     def sample(self) -> metrics.Sample:
-        """Return what a scrape shows of this instance's state."""
+        """Return this instance's state for a scrape of the metrics."""
         own_settings = self.settings.instance
         return metrics.Sample(
             identity=metrics.Identity(
@@ -308,7 +307,7 @@
         )
 
     def known_instances(self) -> list[operator_api.InstanceStatus]:
-        """Return what is known here of the other instances."""
+        """Return what this instance knows about the others."""
         now = self.reactor.seconds()
         members = self.peers.membership
         return [
@@ -322,8 +321,6 @@
             for view in members.peers.values()
         ]
 
-    # -- actions ------------------------------------------------------------
-
     def carry_out(self, action: actions.Action) -> None:
         """Carry out an action."""
         self.recorder.metrics.count_action(action)
@@ -364,7 +361,7 @@
                 self.finish_stopping()
 
     def finish_stopping(self) -> None:
-        """Let the process end once what was answered has been flushed."""
+        """End the process once all sent answers are flushed."""
         if self.is_finishing:
             return
         self.is_finishing = True
--- a/src/greengagelb/transport/listening.py
+++ b/src/greengagelb/transport/listening.py
@@ -1,4 +1,4 @@
-"""HTTP servers whose connections can be closed without cutting an answer."""
+"""HTTP servers that drain their connections before they close."""
 
 from twisted.internet import defer
 from twisted.internet import interfaces
@@ -12,22 +12,22 @@
 ) -> defer.Deferred:
     """Close ports; fire once that is done and all Deferreds have fired.
 
-    The end of a process waits for it: closed first, a port takes no caller
-    whom nobody would read any more.
+    The end of the process waits for this. A closed port accepts no caller
+    whose request would never be read.
     """
     closed = [defer.maybeDeferred(port.stopListening) for port in ports]
     return defer.DeferredList([*closed, *drained], consumeErrors=True)
 
 
 class DrainingFactory(policies.WrappingFactory):
-    """Knows the open connections of the factory that it wraps.
+    """Tracks the open connections of the factory that it wraps.
 
-    Stopping the reactor drops what is still in the write buffers: a caller
-    would lose the last tokens of an answer that the decisions count as sent.
-    ``drain`` therefore closes each connection only after its buffer is
-    empty, and tells when all are closed. An answer that is not written yet is
-    waited for: an operator's may wait for the store, and with the connection
-    closed nobody would tell whether a plan is in force.
+    Stopping the reactor drops the data in write buffers: a caller would lose
+    the last tokens of an answer that the decisions count as sent. ``drain``
+    therefore closes each connection only after its buffer is empty, and fires
+    when all are closed. It also waits for answers that are not written yet: an
+    operator's request may be waiting for the store, and on a closed connection
+    the operator would not learn whether a plan is in force.
     """
 
     drained: defer.Deferred | None = None
@@ -40,7 +40,7 @@
         self.check_drained()
 
     def drain(self, reactor: interfaces.IReactorTime) -> defer.Deferred:
-        """Answer what was asked, then close, within some time."""
+        """Answer the open requests, then close, within a timeout."""
         drained = self.drained = defer.Deferred()
         open_requests = self.wrappedFactory.open_requests
         open_requests.refuse_new_requests()
@@ -52,13 +52,13 @@
         )
 
     def close_connections(self) -> None:
-        """Close all connections once they are flushed."""
+        """Close each connection once its buffer is flushed."""
         for connection in list(self.protocols):
             connection.loseConnection()
         self.check_drained()
 
     def check_drained(self) -> None:
-        """Tell that the last connection is closed."""
+        """Fire the Deferred of ``drain`` if no connection is open."""
         if self.drained is not None and not self.protocols:
             drained, self.drained = self.drained, None
             drained.callback(None)
--- a/src/greengagelb/transport/metrics.py
+++ b/src/greengagelb/transport/metrics.py
@@ -1,8 +1,8 @@
-"""Figures of this process for scrapers.
+"""Metrics of this process.
 
-What happens per token or per answer is counted in plain numbers; those are
-put into the registry only when somebody scrapes. Labels are never taken from
-callers, so that nobody can make the number of series grow.
+Events per token or per answer are counted in plain numbers, which are copied
+into the registry only when a scraper asks. Label values never come from
+callers, so that they can't make the number of series grow.
 """
 
 import collections
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Identity:
-    """Which instance this is, as the settings say."""
+    """The instance's name and data centre from its settings."""
 
     name: str
     data_centre: str
@@ -33,11 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What an instance is in the middle of, at the time of a scrape.
+    """The state of an instance at the time of a scrape.
 
-    ``settings_seconds`` is for how long the settings are in force, and
-    ``store_seconds`` how old what is known of the store is; None if nothing
-    is, or if it is not followed.
+    ``settings_seconds`` is the time since the settings were applied, and
+    ``store_seconds`` the age of the data read from the store; None if there is
+    none, or if the store is not followed.
     """
 
     identity: Identity | None = None
@@ -58,7 +58,7 @@
 
 
 class Metrics:
-    """Counts what an instance does."""
+    """Counts the actions and events of an instance."""
 
     def __init__(self) -> None:
         self.tokens = 0
@@ -132,19 +132,19 @@
         )
 
     def new_counter(self, name: str, doc: str) -> aioprometheus.Counter:
-        """Return a new counter."""
+        """Return a new registered counter."""
         return aioprometheus.Counter(
             f'{PREFIX}_{name}', doc, registry=self.registry
         )
 
     def new_gauge(self, name: str, doc: str) -> aioprometheus.Gauge:
-        """Return a new gauge."""
+        """Return a new registered gauge."""
         return aioprometheus.Gauge(
             f'{PREFIX}_{name}', doc, registry=self.registry
         )
 
     def count_action(self, action: actions.Action) -> None:
-        """Count an action, if it is one that is counted."""
+        """Count an action, if its type is counted."""
         match action:
             case actions.SendTokens(tokens=tokens):
                 self.tokens += len(tokens)
@@ -162,11 +162,11 @@
                 self.outcomes[failure.code] += 1
 
     def count_refusal(self, code: str) -> None:
-        """Count a request that was refused before any decision."""
+        """Count a request that was refused before it reached the decisions."""
         self.outcomes[code] += 1
 
     def render(self) -> bytes:
-        """Return all figures in the text format that scrapers read."""
+        """Return all metrics in the Prometheus text format."""
         sample = self.sample()
         self.token_counter.set({}, self.tokens)
         for step, number in self.resumes.items():
@@ -193,7 +193,7 @@
         return text
 
     def set_instance_gauges(self, sample: Sample) -> None:
-        """Put in which instance this is, and what is in force here."""
+        """Set the gauges of the instance's identity, settings and engines."""
         if sample.identity is not None:
             labels = {
                 'name': sample.identity.name,
--- a/src/greengagelb/transport/operator_app.py
+++ b/src/greengagelb/transport/operator_app.py
@@ -31,7 +31,7 @@
 
 
 class OperatorApp:
-    """Answers operators' intents with plans, and confirms those."""
+    """Makes plans from operators' intents, and confirms plans."""
 
     def __init__(
         self,
@@ -64,9 +64,9 @@
     ) -> bytes:
         """Answer with the code of an error.
 
-        While the platform is away, and for a moment after it is back, this
-        instance asks it nothing. An operator who is not told when to come back
-        would take what is about to end for an outage.
+        While the platform is unavailable, and for a moment after it is back,
+        the circuit breaker sends it no requests. Without a time to retry
+        after, an operator would take this short period for an outage.
         """
         is_unavailable = why.check(errors.PlatformUnavailable)
         refusal = requests.Failure(
@@ -94,8 +94,8 @@
         applied = self.status().configuration_version
         if current.version < applied:
             raise errors.StoreBehind(
-                f'the store holds version {current.version}, in force here '
-                f'is {applied}'
+                f'the store holds version {current.version}, but version '
+                f'{applied} is in force here'
             )
         plan = plans.make_plan(
             secrets.token_hex(8), intent, current, self.running_by_upstream()
@@ -149,7 +149,7 @@
         plan: plan_state.Plan,
         found: confirming.Overtaken,
     ) -> bytes:
-        """Answer that another plan won, and what it changed."""
+        """Return the answer that another plan was confirmed first."""
         winner = found.changes[0].plan_id
         answer = operator_api.Conflict(
             title='plan overtaken',
@@ -168,10 +168,10 @@
     def unsettled_answer(
         self, request: server.Request, plan: plan_state.Plan
     ) -> bytes:
-        """Answer that nobody can tell now what became of a plan.
+        """Return the answer that the outcome of a plan is unknown for now.
 
-        Said instead of a plain failure, after which an operator would take
-        it that nothing has happened.
+        After a plain failure, an operator would assume that nothing has
+        changed.
         """
         refusal = requests.Failure(
             errors.ConfirmUnsettled.code,
@@ -182,25 +182,25 @@
         return http.problem_answer(request, problems.to_problem(refusal))
 
     def record(self, kind: str, plan: plan_state.Plan) -> None:
-        """Put what became of a plan on the time line."""
+        """Record the outcome of a plan on the time line."""
         reason = f'plan {plan.plan_id} on version {plan.base_version}'
         self.recorder.record(actions.Record(kind, reason))
 
     @defer.inlineCallbacks
     def find_plan(self, plan_id: str) -> Any:
-        """Return a plan, or raise that there is none of that id."""
+        """Return a plan; raise if there is none with that id."""
         plan = yield self.store.read_plan(plan_id)
         if plan is None:
             raise errors.UnknownPlan(plan_id)
         return plan
 
     def show_status(self, request: server.Request) -> bytes:
-        """Show what this instance says of itself."""
+        """Show the status of this instance."""
         self.authenticate(request)
         return http.json_answer(request, self.status())
 
     def show_timeline(self, request: server.Request) -> bytes:
-        """Show the events that this process still has."""
+        """Show the time line events that this process still holds."""
         self.authenticate(request)
         wanted = timeline_api.parse_selection(request.args)
         part = timeline_api.TimelinePart(
--- a/src/greengagelb/transport/operator_client.py
+++ b/src/greengagelb/transport/operator_client.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' interface of instances, for the command line."""
+"""Client of the instances' operator interface, for the command line."""
 
 from collections.abc import Coroutine
 import dataclasses
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """IP number and port of an instance's operator interface."""
+    """IP address and port of an instance's operator interface."""
 
     host: str
     port: int
@@ -37,11 +37,11 @@
 
 
 class OperatorClient:
-    """One instance as an operator sees it.
+    """Client of one instance's operator interface.
 
-    Methods raise :class:`~greengagelb.errors.InstanceUnreachable` where no
-    answer came, and :class:`~greengagelb.errors.InstanceRefused` where the
-    answer was no.
+    Methods raise :class:`~greengagelb.errors.InstanceUnreachable` if no answer
+    came, and :class:`~greengagelb.errors.InstanceRefused` if the instance
+    refused the request.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         return f'http://{self.address}{path}'
 
     async def propose_plan(self, intent: plan_state.Intent) -> plan_state.Plan:
-        """Return the plan that answers an intent."""
+        """Return the plan for an intent."""
         answer = self.treq.post(
             self.url_of('/v1/plans'),
             data=operator_api.encode_intent(intent),
@@ -78,14 +78,14 @@
         return await self.decode_answer(answer, plan_state.Plan)
 
     async def fetch_status(self) -> operator_api.Status:
-        """Return what the instance says of itself."""
+        """Return the instance's status."""
         answer = self.treq.get(self.url_of('/v1/status'), headers=self.headers)
         return await self.decode_answer(answer, operator_api.Status)
 
     async def timeline(
         self, wanted: timeline.Selection
     ) -> timeline_api.TimelinePart:
-        """Return the selected events that the instance still has."""
+        """Return the selected events that the instance still holds."""
         answer = self.treq.get(
             self.url_of('/v1/timeline'),
             params=timeline_api.to_parameters(wanted),
@@ -96,7 +96,7 @@
     async def decode_answer(
         self, answer: 'defer.Deferred[iweb.IResponse]', kind: type[T]
     ) -> T:
-        """Return the decoded answer, or raise what went wrong."""
+        """Return the decoded answer, or raise the error that it reports."""
         answer.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
         try:
             response = await answer
@@ -113,26 +113,26 @@
             raise errors.InstanceRefused(
                 exc.code,
                 f'{self.address} answered with status {response.code} in a '
-                f'way that this release does not know: {exc}',
+                f'format that this release does not support: {exc}',
             ) from exc
         raise errors.InstanceRefused(
             problem.code, f'{self.address}: {problem.detail}'
         )
 
     def read_body(self, response: iweb.IResponse) -> 'defer.Deferred[bytes]':
-        """Return the whole body of an answer, within its time."""
+        """Return the whole body of an answer, with a timeout."""
         body = http.read_whole_body(response)
         return body.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
 
 
 def quote_path_segment(word: str) -> str:
-    """Return a word as one segment of a path."""
+    """Return a word quoted as one segment of a path."""
     return urllib.parse.quote(word, safe='')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """An instance that gave no usable answer, and why."""
+    """An instance that gave no usable answer, and the reason."""
 
     address: Address
     code: str
@@ -143,10 +143,10 @@
     clients: list[OperatorClient],
     query: Any,
 ) -> list[Any]:
-    """Ask all instances at once; an :class:`NoAnswer` stands for none.
+    """Query all instances at once; :class:`NoAnswer` stands for a failure.
 
-    One instance that is down must not hide what the others know: that is
-    the moment at which an operator asks.
+    One unreachable instance must not hide the answers of the others, as this
+    is when an operator needs them.
     """
     answers = [
         defer.Deferred.fromCoroutine(answer_or_unreachable(client, query))
@@ -156,7 +156,7 @@
 
 
 async def answer_or_unreachable(client: OperatorClient, query: Any) -> Any:
-    """Return an instance's answer, or why there is none."""
+    """Return an instance's answer, or the reason why there is none."""
     answer: Coroutine = query(client)
     try:
         return await answer
--- a/src/greengagelb/transport/order_keeper.py
+++ b/src/greengagelb/transport/order_keeper.py
@@ -1,4 +1,4 @@
-"""Carries out what the order decisions want: lease rows, loads, orders."""
+"""Carries out the actions of the order decisions: leases, loads, orders."""
 
 from collections.abc import Callable
 from typing import Any
@@ -48,10 +48,8 @@
         self.version = 0
         self.held_engines: frozenset[str] = frozenset()
 
-    # -- from the instance --------------------------------------------------
-
     def tick(self, live: set[str]) -> None:
-        """Go on with all pools; ``live`` are the incarnations here."""
+        """Advance all pools; ``live`` holds the incarnations alive here."""
         self.adopt_targets()
         for name, pool in self.pools.items():
             self.forward_engine_reports(pool)
@@ -69,7 +67,7 @@
             self.dispatch(events.UpstreamsHeld(source, held))
 
     def adopt_targets(self) -> None:
-        """Take over the targets of the configuration in force."""
+        """Adopt the targets of the configuration in force."""
         applied = self.node.configuration
         if applied.version == self.version:
             return
@@ -99,7 +97,7 @@
         ]
 
     def forward_engine_reports(self, pool: orders.PoolOrders) -> None:
-        """Pass on what the engines of a pool say of themselves."""
+        """Pass on the latest reports of the engines of a pool."""
         for name in pool.targets:
             view = self.node.directory.views.get(name)
             if view is not None and view.incarnation:
@@ -108,8 +106,9 @@
     def engines_to_probe(self) -> list[configuration_state.Upstream]:
         """Return the engines whose reports the orders wait for.
 
-        Few instances ask an engine for its report as a rule; whoever orders
-        it has to see for itself that it is idle, and what it has become.
+        Normally only a few instances probe an engine. The instance that sends
+        it orders has to observe itself that it is idle, and that it has
+        reached its target.
         """
         return [
             pool.targets[name].upstream
@@ -119,14 +118,12 @@
         ]
 
     def handle_own_pause(self) -> None:
-        """Drop all leases: they may have lapsed meanwhile."""
+        """Drop all leases: they may have expired during the pause."""
         for name, pool in self.pools.items():
             self.carry_out(name, pool.handle_own_pause())
 
-    # -- actions ------------------------------------------------------------
-
     def carry_out(self, name: str, wanted: list[orders.Action]) -> None:
-        """Carry out what the orders of a pool want."""
+        """Carry out the actions of the orders of a pool."""
         for action in wanted:
             match action:
                 case orders.ReadLease():
@@ -198,10 +195,10 @@
 
     @defer.inlineCallbacks
     def send_order(self, name: str, action: orders.SendOrder) -> Any:
-        """Send an order, unless its lease has lapsed by now.
+        """Send an order, unless its lease has expired.
 
-        The answer tells only of a refusal; whether the engine has reached
-        its target is for its reports to say.
+        The answer only matters if it is a refusal; the engine's reports tell
+        whether it has reached its target.
         """
         if self.reactor.seconds() >= action.deadline:
             return
@@ -233,7 +230,7 @@
 def last_engine_seen(
     view: upstream_state.UpstreamView,
 ) -> order_state.EngineObservation:
-    """Return what an engine has said of itself last."""
+    """Return the state of an engine from its latest report."""
     return order_state.EngineObservation(
         view.incarnation,
         order_state.Target(view.model, view.version, view.adapter, view.role),
--- a/src/greengagelb/transport/page_reader.py
+++ b/src/greengagelb/transport/page_reader.py
@@ -1,4 +1,4 @@
-"""Asks many instances for their pages of metrics, some at a time."""
+"""Reads the metrics pages of many instances with limited concurrency."""
 
 from collections.abc import Sequence
 
@@ -12,16 +12,15 @@
 from greengagelb.transport import http
 from greengagelb.transport import operator_client
 
-# So many connections are open at a time.
 MAX_CONCURRENT_READS = 64
-# What an instance may take for its whole page, in seconds.
+# The timeout for the whole page of one instance.
 PAGE_TIMEOUT_SECONDS = 1.0
 MAX_PAGE_BYTES = 1 << 20
 METRICS_PATH = '/metrics'
 
 
 class PageReader:
-    """Reads the pages of instances; what goes wrong costs one of them."""
+    """Reads metrics pages; a failure only affects one instance."""
 
     def __init__(self, reactor: interfaces.IReactorTime) -> None:
         self.reactor = reactor
@@ -34,7 +33,7 @@
     ) -> list[
         tuple[str, in_force.InstanceReport | in_force.ReportUnavailable]
     ]:
-        """Return what is in force at each address, in their order."""
+        """Return what is in force at each address, in the order given."""
         pages = [
             self.read_slots.run(
                 lambda a=address: defer.Deferred.fromCoroutine(
@@ -56,10 +55,12 @@
         try:
             return metrics_page.parse_page(await page)
         except errors.ProtocolError as exc:
-            return in_force.ReportUnavailable(f'no page of an instance: {exc}')
+            return in_force.ReportUnavailable(
+                f'not the metrics page of an instance: {exc}'
+            )
         except errors.TransportError as exc:
             return in_force.ReportUnavailable(str(exc))
-        except Exception as exc:  # noqa: BLE001 - any failure is an answer
+        except Exception as exc:  # noqa: BLE001 - reported as no page
             return in_force.ReportUnavailable(
                 f'no answer: {type(exc).__name__}'
             )
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -1,10 +1,10 @@
 """Carries messages between instances over one zmq socket.
 
-The socket is a ROUTER that both listens and connects: what is sent goes over
-the connections made here, what comes in over those made by the others. One
-socket has one descriptor in the event loop, however many instances there are.
+The socket is a ROUTER that both listens and connects: it sends over its own
+connections, and receives over those of the other instances. One socket has one
+descriptor in the event loop, independent of the number of instances.
 
-zmq runs a thread of its own in C beside the loop; no Python runs on it.
+zmq runs a background thread in C, which runs no Python code.
 """
 
 from collections.abc import Callable
@@ -53,12 +53,13 @@
         self.set_options()
 
     def set_options(self) -> None:
-        """Bound what waits, and notice connections that went silent.
+        """Limit the queues, and detect silent connections.
 
-        A connection that something between the ends has lost track of takes
-        messages for a quarter of an hour before TCP gives up. So TCP is told
-        to give up early, and zmq's own heartbeats notice what acknowledges
-        bytes without passing them on; either way zmq connects afresh.
+        If a device between the ends has lost track of a connection, TCP
+        accepts messages for a quarter of an hour before it gives up. A shorter
+        TCP timeout detects this, and zmq's own heartbeats detect a device that
+        acknowledges bytes without passing them on. In both cases zmq
+        reconnects.
         """
         options = {
             zmq.LINGER: LINGER_MILLISECONDS,
@@ -82,7 +83,7 @@
         self.context.term()
 
     def bind(self, address: fleet.PeerAddress) -> None:
-        """Listen on an address and begin to read."""
+        """Listen on an address and start reading."""
         try:
             self.socket.bind(endpoint_of(address))
         except zmq.ZMQError as exc:
@@ -93,7 +94,7 @@
         self.reactor.callLater(0, self.doRead)
 
     def send(self, address: fleet.PeerAddress, frame: bytes) -> None:
-        """Send a frame to an address, or drop it where too many wait."""
+        """Send a frame to an address; drop it if its queue is full."""
         if self.socket.closed:
             return
         if address not in self.connected_addresses:
@@ -104,11 +105,11 @@
         except zmq.ZMQError:
             return
         finally:
-            # Sending may consume the one signal that messages have come in.
+            # Sending may consume the one signal that messages are available.
             self.reactor.callLater(0, self.doRead)
 
     def connect(self, address: fleet.PeerAddress) -> None:
-        """Open the connection over which an address is sent to."""
+        """Open the connection used for sending to an address."""
         endpoint = endpoint_of(address)
         self.socket.setsockopt(zmq.CONNECT_ROUTING_ID, endpoint.encode())
         self.socket.connect(endpoint)
@@ -120,24 +121,23 @@
             self.connected_addresses.remove(address)
             self.socket.disconnect(endpoint_of(address))
 
-    # -- names that the event loop calls ------------------------------------
-
     def fileno(self) -> int:
         """Return the descriptor that becomes readable on any change."""
         return -1 if self.socket.closed else self.socket.fileno()
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Return the name under which the loop logs this reader."""
+        """Return the name of this reader in the logs of the reactor."""
         return 'peers'
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         """Do nothing; the socket outlives its connections."""
 
     def doRead(self) -> None:  # noqa: N802
-        """Read all messages that are there.
+        """Read all available messages.
 
-        The descriptor signals a change once. Messages left unread would stay
-        so until the next one comes, and the instance would seem deaf.
+        The descriptor signals a change only once. Unread messages would stay
+        unread until the next one arrives, and the instance would seem
+        unresponsive.
         """
         while not self.socket.closed:
             try:
@@ -149,12 +149,12 @@
 
 
 def endpoint_of(address: fleet.PeerAddress) -> str:
-    """Return an address as zmq writes it."""
+    """Return the zmq endpoint of an address."""
     return f'tcp://{address.host}:{address.port}'
 
 
 class PeerLink:
-    """Carries out what the membership decides, and feeds it."""
+    """Connects the membership to the peer socket and to the decisions."""
 
     def __init__(
         self,
@@ -198,23 +198,21 @@
         """Close the socket."""
         self.socket.__exit__()
 
-    # -- what comes in ------------------------------------------------------
-
     def tick(self) -> None:
-        """Send the regular heartbeats."""
+        """Send the periodic heartbeats."""
         self.membership.stamp = self.recorder.clock.tick(
             recorder.wall_milliseconds()
         )
         self.carry_out(self.membership.tick(self.reactor.seconds()))
 
     def update_own_state(self, own: fleet.OwnState) -> None:
-        """Tell others what has changed here."""
+        """Tell peers about changes of the own state."""
         self.carry_out(
             self.membership.update_own_state(own, self.reactor.seconds())
         )
 
     def handle_own_pause(self, seconds: float) -> None:
-        """Read what has come in meanwhile before anybody is judged."""
+        """Read the messages that arrived during a pause of this process."""
         now = self.reactor.seconds()
         self.membership.handle_own_pause(seconds, now)
         self.socket.doRead()
@@ -222,10 +220,10 @@
     def apply_instance_list(
         self, instances: Iterable[platform_api.Instance]
     ) -> None:
-        """Take in the platform's list.
+        """Apply the platform's list of instances.
 
-        It may show upstreams as well; those have no peer port, and matter
-        here only once they are leaving.
+        It may list upstreams as well; those have no peer port, and matter here
+        only once they are leaving.
         """
         found = []
         for instance in instances:
@@ -239,7 +237,7 @@
         self.carry_out(self.membership.apply_instance_list(found, now))
 
     def receive_frame(self, frame: bytes) -> None:
-        """Take in a message; one that can't be understood is dropped."""
+        """Handle a message; one that is invalid is dropped."""
         try:
             message = self.codec.open_frame(frame)
             self.handle_message(message)
@@ -247,7 +245,7 @@
             self.record('peer-message-dropped', str(exc))
 
     def handle_message(self, message: peer_api.Message) -> None:
-        """Pass a message to whom it concerns."""
+        """Pass a message on according to its type."""
         now = self.reactor.seconds()
         match message:
             case peer_api.HeartbeatMessage():
@@ -275,7 +273,7 @@
                 )
 
     def observe_clock(self, heartbeat: fleet.Heartbeat) -> None:
-        """Keep this instance's stamps behind no other's."""
+        """Advance the own clock to a heartbeat's stamp, if it is plausible."""
         if self.recorder.observe_stamp(heartbeat.stamp):
             return
         if heartbeat.sender.incarnation not in self.clocks_ahead:
@@ -285,7 +283,7 @@
             self.record('clock-ahead', f'{heartbeat.sender.name} by {lead} ms')
 
     def send_configuration(self, address: fleet.PeerAddress) -> None:
-        """Send the configuration in force here."""
+        """Send the configuration in force here to a peer."""
         applied = self.configuration()
         if applied.version:
             self.membership.mark_contacted(address)
@@ -295,10 +293,8 @@
                 peer_api.ConfigurationCopy(self.own_peer.name, document),
             )
 
-    # -- what goes out ------------------------------------------------------
-
     def carry_out(self, wanted: Iterable[membership.Action]) -> None:
-        """Carry out what the membership has decided."""
+        """Carry out the actions of the membership."""
         for action in wanted:
             match action:
                 case membership.SendHeartbeat(address, heartbeat):
@@ -318,7 +314,7 @@
                     self.record(kind, reason)
 
     def send_limit_message(self, action: actions.SendPeerMessage) -> None:
-        """Send what is said about limits to one instance, or to all here."""
+        """Send a message about limits to one instance or all local ones."""
         members = self.membership
         addresses = {members.address_of(action.incarnation)}
         if not action.incarnation:
@@ -338,14 +334,14 @@
         self.socket.send(address, frame)
 
     def record(self, kind: str, reason: str) -> None:
-        """Put an automatic act on the time line."""
+        """Record an automatic action on the time line."""
         self.recorder.record(actions.Record(kind, reason))
 
 
 def listed_instance(
     instance: platform_api.Instance,
 ) -> fleet.ListedInstance:
-    """Return an entry of the platform's list as the decisions see it."""
+    """Convert an entry of the platform's list for the decisions."""
     return fleet.ListedInstance(
         fleet.PeerId(
             instance.name,
--- a/src/greengagelb/transport/plan_store.py
+++ b/src/greengagelb/transport/plan_store.py
@@ -1,9 +1,9 @@
-"""Keeps plans and the configuration in the platform's table service.
+"""Stores plans and the configuration in the platform's table service.
 
-Table ``plans`` has a row per plan, with the configuration it leads to; table
+Table ``plans`` has a row per plan, with the resulting configuration; table
 ``confirmations`` has the row ``current`` and one row per earlier version. The
-row ``current`` is small on purpose: instances poll it, and fetch a plan's
-whole document only once its version has grown.
+row ``current`` is small because instances poll it; they fetch a plan's whole
+document only when the version has increased.
 """
 
 import dataclasses
@@ -24,7 +24,7 @@
 
 
 class PlanStore:
-    """Reads and confirms plans."""
+    """Reads, writes and confirms plans."""
 
     def __init__(self, platform: platform_client.PlatformClient) -> None:
         self.platform = platform
@@ -56,9 +56,10 @@
 
     @defer.inlineCallbacks
     def store_plan(self, plan: plan_state.Plan) -> Any:
-        """Keep a new plan.
+        """Store a new plan.
 
-        Its id is new, so a row of that id after a lost answer is its own.
+        Its id is unique, so a row with this id found after a lost answer is
+        its own.
         """
         value = codec.compress_to_text(plan)
         try:
@@ -70,14 +71,14 @@
 
     @defer.inlineCallbacks
     def read_plan(self, plan_id: str) -> Any:
-        """Return a plan as proposed, or None where there is none."""
+        """Return a plan as proposed, or None if there is none."""
         row = yield self.platform.read_row(PLAN_TABLE, plan_id)
         if row is None:
             return None
         return codec.decompress_from_text(row.value, plan_state.Plan)
 
     def confirm_plan(self, plan: plan_state.Plan) -> 'defer.Deferred':
-        """Put a plan in force; returns the outcome of confirming."""
+        """Put a plan in force; return the outcome."""
         return self.run_steps(confirming.confirm(plan))
 
     def find_outcome(self, plan: plan_state.Plan) -> 'defer.Deferred':
@@ -86,7 +87,7 @@
 
     @defer.inlineCallbacks
     def run_steps(self, steps: confirming.Steps) -> Any:
-        """Carry out requests to the store until the steps come to an end."""
+        """Execute the requests of a generator until it returns its result."""
         answer = None
         try:
             while True:
@@ -97,7 +98,7 @@
 
     @defer.inlineCallbacks
     def execute_request(self, request: confirming.Request) -> Any:
-        """Carry out one request; errors of the platform become answers."""
+        """Execute one request; errors of the platform become answers."""
         try:
             match request:
                 case confirming.ReadCurrent():
@@ -129,7 +130,7 @@
     def write_confirmation(
         self, key: str, expected: int, confirmation: plan_state.Confirmation
     ) -> 'defer.Deferred':
-        """Write a confirmation on top of an expected version of its row."""
+        """Write a confirmation if its row has the expected version."""
         value = codec.encode(confirmation).decode()
         return self.platform.write_row(
             CONFIRMATION_TABLE, key, expected, value
@@ -139,5 +140,5 @@
 def with_stage(
     plan: plan_state.Plan, stage: plan_state.PlanStage
 ) -> plan_state.Plan:
-    """Return a plan with the stage that it has now."""
+    """Return a copy of a plan with another stage."""
     return dataclasses.replace(plan, stage=stage)
--- a/src/greengagelb/transport/platform_client.py
+++ b/src/greengagelb/transport/platform_client.py
@@ -1,4 +1,4 @@
-"""Talks to the platform's service: tables and the instance list."""
+"""Client of the platform's service: tables and the instance list."""
 
 from collections.abc import Callable
 import random
@@ -27,10 +27,11 @@
 
 
 class PlatformClient:
-    """Requests to the platform's service, each within its time.
+    """Sends requests to the platform's service, with timeouts and a budget.
 
-    What the budget refuses is raised at once, as unavailable and not handed
-    over: nothing waits in a queue for a store that is down.
+    A request that the budget refuses fails at once with
+    ``PlatformUnavailable`` and ``handed_over`` False; nothing is queued for a
+    store that is down.
     """
 
     def __init__(
@@ -96,9 +97,9 @@
     ) -> Any:
         """Write a row if it has the expected version; return the new row.
 
-        Raises :class:`~greengagelb.errors.VersionConflict` where it has
-        another one, and :class:`~greengagelb.errors.PlatformUnavailable`
-        where nobody can tell whether the write took effect.
+        Raises :class:`~greengagelb.errors.VersionConflict` if it has another
+        version, and :class:`~greengagelb.errors.PlatformUnavailable` if it is
+        unknown whether the write took effect.
         """
         write = platform_api.Write(expected_version, value)
         data = codec.encode(write)
@@ -114,7 +115,7 @@
 
     @defer.inlineCallbacks
     def list_instances(self) -> Any:
-        """Return the platform's list of instances, which lags."""
+        """Return the platform's list of instances, which lags behind."""
         _, body = yield self.send_request(
             store_budget.RequestKind.READ,
             lambda: self.treq.get(self.url_of('/instances')),
@@ -125,8 +126,8 @@
     def ask_to_load(self, model: str, version: str) -> Any:
         """Ask the weight store for a load; return seconds to wait, or None.
 
-        Not counted with the requests to the tables: a busy weight store must
-        not keep this instance from claims.
+        Not counted in the budget of the table requests: a busy weight store
+        must not block claims.
         """
         url = self.url_of(f'/weights/{model}/{version}')
         answer = self.treq.post(url)
@@ -146,21 +147,22 @@
         start: StartRequest,
         account: str = '',
     ) -> 'defer.Deferred[tuple[int, bytes]]':
-        """Return status and body, or raise that the platform is away."""
+        """Return status and body; fail if the platform is unavailable."""
         refusal = self.budget.admit(kind, self.reactor.seconds(), account)
         if refusal is not None:
             refused = errors.PlatformUnavailable(refusal.value)
             refused.handed_over = False
             return defer.fail(refused)
-        # What raises here instead of failing would be counted as under way
-        # for good, and as the one probe of a half-open circuit.
+        # An exception raised here, rather than a failed Deferred, would leave
+        # the request counted as in flight forever, and would block the only
+        # probe of a half-open circuit.
         answer = defer.maybeDeferred(start)
         answer.addCallback(self.read_response)
         answer.addTimeout(self.settings.timeout_seconds, self.reactor)
         return answer.addCallbacks(self.handle_success, self.handle_failure)
 
     def read_response(self, response: iweb.IResponse) -> defer.Deferred:
-        """Read an answer; an error of the platform's own is none."""
+        """Return status and body; raise on an error of the platform."""
         code = response.code
         busy = code == http.TOO_MANY_REQUESTS
         if busy or code >= web_http.INTERNAL_SERVER_ERROR:
@@ -170,13 +172,13 @@
         return body.addCallback(lambda raw: (code, raw))
 
     def handle_success(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
-        """Note that the platform answers."""
+        """Record that the platform answered."""
         for action in self.budget.record_success():
             self.record(action)
         return answer
 
     def handle_failure(self, why: failure.Failure) -> None:
-        """Note that the platform is away, and raise it."""
+        """Record that the platform is unavailable, and raise it."""
         for action in self.budget.record_failure(self.reactor.seconds()):
             self.record(action)
         unavailable = errors.PlatformUnavailable(why.type.__name__)
--- a/src/greengagelb/transport/problem_handlers.py
+++ b/src/greengagelb/transport/problem_handlers.py
@@ -1,6 +1,6 @@
 """Turns errors in HTTP handlers into problem documents.
 
-Without these the library answers in HTML, or with an empty status 500, and a
+By default the library answers with HTML, or with an empty status 500, and a
 caller could not tell whether its request ran.
 """
 
@@ -24,9 +24,9 @@
 def install_problem_handlers(
     app: klein.Klein, on_problem: Callable[[str], None] = lambda code: None
 ) -> None:
-    """Have an app answer all errors with problem documents.
+    """Make an app answer all errors with problem documents.
 
-    ``count`` is called with the code of each.
+    ``on_problem`` is called with the code of each.
     """
 
     def bad_message(request: server.Request, why: failure.Failure) -> bytes:
@@ -48,18 +48,18 @@
 
 
 def code_of_path_error(error: exceptions.HTTPException) -> str:
-    """Return the code of a request for a path or method not there."""
+    """Return the code for an unknown path or a method that is not allowed."""
     if error.code == web_http.NOT_ALLOWED:
         return 'method-not-allowed'
     return 'not-found'
 
 
 def internal_error(request: server.Request, why: failure.Failure) -> bytes:
-    """Answer a request that met an error of this program itself."""
+    """Answer a request whose handler raised an unexpected error."""
     log.error('handler-failed', detail=why.getTraceback())
     problem = requests.Failure(
         errors.GreengagelbError.code,
         requests.Ran.UNKNOWN,
-        'an error of this program; its log has the details',
+        'internal error; see the log of the instance for details',
     )
     return http.problem_answer(request, problems.to_problem(problem))
--- a/src/greengagelb/transport/reactors.py
+++ b/src/greengagelb/transport/reactors.py
@@ -1,8 +1,8 @@
-"""The event loop of a process, on a clock that never jumps.
+"""Runs the timers of the event loop on a monotonic clock.
 
-Twisted's own loops run their timers by the time of day. Where that is set
-forward, all timers fire at once: every engine looks silent and every caller
-overdue. Where it is set back, no timer fires until it has caught up.
+Twisted's reactors run their timers by the wall clock. If it is set forward,
+all timers fire at once: every engine looks silent and every caller overdue. If
+it is set back, no timer fires until the clock has caught up.
 """
 
 import time
@@ -11,10 +11,11 @@
 
 
 def use_monotonic_clock(reactor: base.ReactorBase) -> None:
-    """Have a loop run its timers by the monotonic clock.
+    """Make a reactor run its timers by the monotonic clock.
 
-    Before any timer is set: the two clocks have nothing in common.
+    Must be called before any timer is set, as the two clocks are unrelated.
+    Raises ``RuntimeError`` otherwise.
     """
     if reactor.getDelayedCalls():
-        raise RuntimeError('timers are set already')
+        raise RuntimeError('timers were set before the clock was replaced')
     reactor.seconds = time.monotonic
--- a/src/greengagelb/transport/recorder.py
+++ b/src/greengagelb/transport/recorder.py
@@ -1,4 +1,4 @@
-"""Time line, log and metrics of this process, fed from one place."""
+"""Records events to the time line, the log and the metrics of this process."""
 
 import time
 from typing import TextIO
@@ -31,10 +31,10 @@
 
 
 def log_twisted_event(event: logger.LogEvent) -> None:
-    """Log what Twisted itself reports, from a warning up.
+    """Log Twisted's own messages from level warn.
 
-    Errors in callbacks end up there and nowhere else: without this a broken
-    code path would only show as an answer that never comes.
+    Twisted reports errors in callbacks only there. Without this, the only sign
+    of a broken code path would be an answer that never comes.
     """
     level = event.get('log_level')
     if level is None or level < logger.LogLevel.warn:
@@ -45,7 +45,7 @@
 
 
 class Recorder:
-    """Stamps events and keeps, logs and counts them."""
+    """Stamps events, and adds them to the time line, log and metrics."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.metrics = figures or metrics.Metrics()
 
     def record(self, action: actions.Record) -> None:
-        """Put an event on the time line."""
+        """Record an event."""
         request = action.request
         event = timeline.TimelineEvent(
             stamp=self.clock.tick(wall_milliseconds()),
@@ -77,11 +77,10 @@
         log_event(event)
 
     def observe_stamp(self, stamp: timeline.Stamp) -> bool:
-        """Let later events here sort behind a stamp that came in.
+        """Make later events here sort after a received stamp.
 
-        Returns False for a stamp far ahead of this clock. That is not
-        followed: it would drag the stamps of the whole fleet with it, for
-        good.
+        Returns False, and ignores the stamp, if it is too far ahead of this
+        clock: it would advance the stamps of the whole fleet permanently.
         """
         wall = wall_milliseconds()
         if stamp.milliseconds - wall > MAX_CLOCK_LEAD_MILLISECONDS:
@@ -96,7 +95,7 @@
 
 
 def log_event(event: timeline.TimelineEvent) -> None:
-    """Log an event as one flat line; what is empty is left out."""
+    """Log an event as one flat line, without its empty fields."""
     fields = {
         'process': event.process,
         'reason': event.reason,
--- a/src/greengagelb/transport/service_client.py
+++ b/src/greengagelb/transport/service_client.py
@@ -1,4 +1,4 @@
-"""Talks to plain services: one connection per call, never reused."""
+"""HTTP client for plain services: one connection per call, never reused."""
 
 from twisted.internet import defer
 from twisted.internet import interfaces
@@ -16,7 +16,7 @@
 
 
 class ServiceClient:
-    """All calls of this instance that are under way."""
+    """This instance's calls that are in flight."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         self.tries_in_flight: dict[int, dict[int, defer.Deferred]] = {}
 
     def send_call(self, action: actions.DispatchCall) -> None:
-        """Hand a call to a plain service."""
+        """Send a call to a plain service."""
         request = action.request
         path = f'/call/{request.operation}'
         url = engine_client.url_of(action.upstream, path)
@@ -51,7 +51,7 @@
     def read_response(
         self, response: iweb.IResponse, action: actions.DispatchCall
     ) -> defer.Deferred:
-        """Read an answer, if it is the one to this call."""
+        """Read an answer, if it belongs to this call."""
         try:
             self.check_echo(response.headers, action)
         except errors.ProtocolError:
@@ -65,10 +65,10 @@
         headers: http_headers.Headers,
         action: actions.DispatchCall,
     ) -> None:
-        """Refuse an answer that belongs to another request.
+        """Raise if an answer belongs to another request.
 
-        A service that crosses two answers would otherwise show one caller
-        what was meant for another.
+        If a service mixed up two answers, a caller would otherwise receive
+        data meant for another one.
         """
         echoed = (
             first_header(headers, service_api.ACCOUNT_HEADER),
@@ -114,7 +114,7 @@
         )
 
     def forget_try(self, action: actions.DispatchCall) -> bool:
-        """Forget a try; return false where it was abandoned before."""
+        """Forget a try; return False if it was abandoned before."""
         tries = self.tries_in_flight.get(action.exchange, {})
         was_known = tries.pop(action.try_number, None) is not None
         if not tries:
@@ -122,12 +122,12 @@
         return was_known
 
     def abandon_call(self, exchange: int) -> None:
-        """Close the connections of a call that nobody waits for."""
+        """Close the connections of a call whose answer is not needed."""
         for answer in self.tries_in_flight.pop(exchange, {}).values():
             answer.cancel()
 
 
 def first_header(headers: http_headers.Headers, name: str) -> str:
-    """Return the first value of a header, or the empty string."""
+    """Return the first value of a header, or an empty string."""
     values = headers.getRawHeaders(name, [])
     return values[0] if values else ''
--- a/src/greengagelb/transport/serving.py
+++ b/src/greengagelb/transport/serving.py
@@ -1,10 +1,10 @@
-"""HTTP requests that are bounded in size and in time while they come in.
+"""An HTTP server that limits the size and the duration of each request.
 
-twisted.web puts a long body into a temporary file, and takes one of any
-length from a sender of any slowness. Instances have no disks, and a few
-senders could fill the memory or hold connections for ever; callers of other
-accounts would see the instance fail. So a body is kept in memory up to a
-bound, and a request has to come in whole within a time.
+twisted.web puts a long body into a temporary file, and accepts any length from
+a sender of any speed. Instances have no disks, and a few senders could fill
+the memory or hold connections forever; callers of other accounts would see the
+instance fail. So a body is kept in memory up to a limit, and a request has to
+arrive completely within a time limit.
 """
 
 import functools
@@ -31,17 +31,17 @@
 TOO_SLOW_RETRY_SECONDS = 1.0
 BODIES_FULL_RETRY_SECONDS = 1.0
 STOPPING_CODE = 'stopping'
-# Another instance takes the request as soon as its sender connects again.
+# On a new connection, the retry reaches another instance.
 STOPPING_RETRY_SECONDS = 1.0
 UNKNOWN_PATH_FAILURE = ('not-found', requests.Ran.NO, 'see docs/api.md')
 
 
 class OpenRequests:
-    """The requests of a site that have begun to come in and are not answered.
+    """The requests of a site that have begun to arrive and are not answered.
 
-    The end of the process waits for them. Operators' requests are among them,
-    which the decisions do not know of. A refused request stays open until its
-    sender has had the time to read the refusal.
+    The end of the process waits for them. They include operators' requests,
+    which the decisions do not track. A refused request stays open until its
+    sender has had time to read the refusal.
     """
 
     def __init__(self) -> None:
@@ -50,11 +50,11 @@
         self.waiters: list[defer.Deferred] = []
 
     def add_request(self, request: 'BoundedRequest') -> None:
-        """Note a request that has begun to come in."""
+        """Add a request that has begun to arrive."""
         self.requests.add(request)
 
     def remove_request(self, request: 'BoundedRequest') -> None:
-        """Note a request that is answered, or whose sender is gone."""
+        """Remove a request that is answered, or whose sender is gone."""
         self.requests.discard(request)
         if not self.requests:
             waiters, self.waiters = self.waiters, []
@@ -62,9 +62,10 @@
                 answered.callback(None)
 
     def refuse_new_requests(self) -> None:
-        """Refuse the requests that are not whole, and all that come later.
+        """Refuse all incomplete requests, and all that arrive later.
 
-        Taken, they would put off the end, and be cut by it in the end.
+        If accepted, they would delay the end of the process, and then be cut
+        off by it.
         """
         self.is_stopping = True
         for request in list(self.requests):
@@ -72,7 +73,7 @@
                 request.refuse_stopping()
 
     def wait_until_answered(self) -> defer.Deferred:
-        """Return a Deferred that fires once none is open."""
+        """Return a Deferred that fires once no request is open."""
         if not self.requests:
             return defer.succeed(None)
         answered = defer.Deferred()
@@ -81,11 +82,12 @@
 
 
 class BoundedRequest(server.Request):
-    """A request that is refused as soon as it breaks a bound.
+    """A request that is refused as soon as it exceeds a limit.
 
-    The refusal is written before the rest of the body has come in. That rest
-    is read and dropped for a moment: closing at once would make the system
-    reset the connection, and the sender would lose the refusal.
+    The refusal is written before the rest of the body has arrived. The rest is
+    read and dropped for ``LINGER_SECONDS``: if the connection were closed at
+    once, the operating system would reset it, and the sender would lose the
+    refusal.
     """
 
     def __init__(
@@ -110,25 +112,25 @@
         )
 
     def gotLength(self, length: int | None) -> None:  # noqa: N802
-        """Prepare for a body; its length is None if it comes in chunks."""
+        """Prepare for a body; its length is None if it is sent in chunks."""
         self.content = io.BytesIO()
         if length != 0 and self.budget is not None:
             self.identify_account(self.budget)
         if length is not None and length > MAX_BODY_BYTES:
             self.refuse_too_large()
         if self.is_refused:
-            # A sender that waits for "100 Continue" must not be told to go on.
+            # A sender that waits for "100 Continue" must not send the body.
             self.requestHeaders.removeHeader(b'expect')
 
     def identify_account(self, budget: body_budget.BodyBudget) -> None:
-        """Learn whose body this is, before any of it is kept."""
+        """Find the account of the body, before any of it is kept."""
         try:
             self.account = budget.account_of(self)
         except errors.ProtocolError as exc:
             self.write_refusal(refusal_of(exc))
 
     def handleContentChunk(self, data: bytes) -> None:  # noqa: N802
-        """Keep a piece of the body, unless the request is refused."""
+        """Keep a part of the body, unless the request is refused."""
         if self.is_refused:
             return
         if self.received_bytes + len(data) > MAX_BODY_BYTES:
@@ -144,7 +146,7 @@
         super().handleContentChunk(data)
 
     def release_body(self) -> None:
-        """Let go of the body, once."""
+        """Drop the body and return its bytes to the account's budget."""
         self.content = None
         if self.budget is not None and self.received_bytes:
             self.budget.release_bytes(self.account, self.received_bytes)
@@ -159,13 +161,13 @@
     def requestReceived(  # noqa: N802
         self, command: bytes, path: bytes, version: bytes
     ) -> None:
-        """Handle a request that has come in whole."""
+        """Handle a request that has arrived completely."""
         self.is_complete = True
         self.cancel_timer()
         if self.open_requests.is_stopping:
             self.refuse_stopping()
         if not self.is_refused and not is_utf8_path(path):
-            # Routing would fail on it outside any handler of ours.
+            # Routing would raise outside of the installed error handlers.
             self.write_refusal(requests.Failure(*UNKNOWN_PATH_FAILURE))
         if self.is_refused:
             self.cancel_timer()
@@ -181,30 +183,30 @@
         self.open_requests.remove_request(self)
 
     def refuse_too_large(self) -> None:
-        """Refuse a request with too long a body."""
+        """Refuse a request whose body is too long."""
         self.write_refusal(
             requests.Failure(
                 errors.BodyTooLarge.code,
                 requests.Ran.NO,
-                f'write at most {MAX_BODY_BYTES} bytes',
+                f'the body must be at most {MAX_BODY_BYTES} bytes',
             )
         )
 
     def refuse_too_slow(self) -> None:
-        """Refuse a request that does not come in within its time."""
+        """Refuse a request that did not arrive within its time limit."""
         self.connection_timer = None
         self.write_refusal(
             requests.Failure(
                 TOO_SLOW_CODE,
                 requests.Ran.NO,
-                'the request did not come in within '
+                'the request did not arrive within '
                 f'{RECEIVE_TIMEOUT_SECONDS:.0f} s',
                 TOO_SLOW_RETRY_SECONDS,
             )
         )
 
     def refuse_stopping(self) -> None:
-        """Refuse a request that comes in while the instance ends."""
+        """Refuse a request because the instance is stopping."""
         self.write_refusal(
             requests.Failure(
                 STOPPING_CODE,
@@ -215,7 +217,7 @@
         )
 
     def write_refusal(self, failure: requests.Failure) -> None:
-        """Write the refusal and close the connection soon."""
+        """Write the refusal, and close the connection after a delay."""
         if self.is_refused:
             return
         self.is_refused = True
@@ -238,7 +240,7 @@
         )
 
     def cancel_timer(self) -> None:
-        """Clear the timer of this request."""
+        """Cancel the timer of this request."""
         if (
             self.connection_timer is not None
             and self.connection_timer.active()
@@ -248,7 +250,7 @@
 
 
 def is_utf8_path(path: bytes) -> bool:
-    """Return whether a path is UTF-8 once its escapes are resolved."""
+    """Return whether a path is UTF-8 after percent-decoding."""
     try:
         urllib.parse.unquote_to_bytes(path).decode()
     except UnicodeDecodeError:
@@ -257,7 +259,7 @@
 
 
 def refusal_of(error: errors.ProtocolError) -> requests.Failure:
-    """Return the refusal that an error stands for."""
+    """Return the refusal for an error."""
     wait = None
     if isinstance(error, errors.AccountBodiesFull):
         wait = BODIES_FULL_RETRY_SECONDS
@@ -265,7 +267,7 @@
 
 
 class BoundedSite(server.Site):
-    """A site that knows which of its requests are not answered yet."""
+    """A site that tracks its unanswered requests."""
 
     open_requests: OpenRequests
 
@@ -275,9 +277,9 @@
     reactor: interfaces.IReactorTime,
     budget: body_budget.BodyBudget | None = None,
 ) -> BoundedSite:
-    """Return a site whose requests are bounded.
+    """Return a site that limits its requests.
 
-    Without a ``budget`` the bodies of all senders together are not.
+    Without a ``budget``, the total size of all bodies is not limited.
     """
     open_requests = OpenRequests()
     site = BoundedSite(
--- a/src/greengagelb/transport/settings_file.py
+++ b/src/greengagelb/transport/settings_file.py
@@ -1,15 +1,15 @@
-"""Notices that the file of the settings was replaced."""
+"""Detects that the settings file was replaced."""
 
 from collections.abc import Callable
 import pathlib
 
 
 class WatchedFile:
-    """Calls back when a file has changed.
+    """Calls ``on_change`` when a file has changed.
 
-    A platform may replace the file and send no signal, or send the signal
-    late. Whoever only read it at the start would go by old bounds until the
-    next one.
+    A platform may replace the file without sending a signal, or send it late.
+    A process that only read the file at its start would keep old settings
+    until then.
     """
 
     def __init__(
@@ -20,7 +20,7 @@
         self.last_stamp = self.read_stamp()
 
     def read_stamp(self) -> tuple[int, int, int] | None:
-        """Return what differs once the file was written, or None."""
+        """Return values that change when the file is written, or None."""
         try:
             found = self.path.stat()
         except OSError:
@@ -28,9 +28,9 @@
         return found.st_ino, found.st_size, found.st_mtime_ns
 
     def check_for_change(self) -> None:
-        """Call back if the file is another one than before.
+        """Call ``on_change`` if the file differs from the last check.
 
-        A file that is missing just now is being replaced.
+        A missing file is ignored, as it is being replaced.
         """
         stamp = self.read_stamp()
         if stamp is not None and stamp != self.last_stamp:
@@ -38,6 +38,6 @@
             self.on_change()
 
     def handle_change_notice(self) -> None:
-        """Call back, as somebody says that the file has changed."""
+        """Call ``on_change`` on an external notice, such as a signal."""
         self.last_stamp = self.read_stamp()
         self.on_change()
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Each kind of bad input has its clear answer, and no event comes of it."""
+"""Each kind of invalid input gets a specific answer and causes no event."""
 
 import dataclasses
 
@@ -131,7 +131,7 @@
 def test_cursor_of_another_account_is_answered_like_a_forged_one():
     """A caller guesses or steals the cursor of another client account.
 
-    The answer must not tell whether that account's request exists.
+    The answer must not reveal whether that account's request exists.
     """
     site = caller_sites.CallerSite()
     foreign = sealed('karri', site.seal)
@@ -173,8 +173,8 @@
 def test_too_large_body_is_refused_before_it_is_in_memory(chunked):
     """A sender announces or sends more than the process may hold.
 
-    It gets its answer before the rest has come in, and the connection is
-    closed; nothing past the bound is kept.
+    It is answered before the rest has arrived, and the connection is closed;
+    nothing beyond the limit is kept.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -207,7 +207,7 @@
 
 
 def test_large_body_creates_no_temporary_file(monkeypatch):
-    """The library keeps a long body in a file; instances have no disks."""
+    """Twisted writes long bodies to a file; instances have no disks."""
     monkeypatch.setattr(
         'tempfile.TemporaryFile', lambda *_: pytest.fail('opened a file')
     )
@@ -221,10 +221,10 @@
 
 
 def test_slow_sender_is_refused_and_disconnected():
-    """A sender gives a byte now and then, and never ends.
+    """A sender sends a byte at a time and never finishes.
 
-    The connection is answered and closed after some time, however steadily
-    the bytes come.
+    It is answered and disconnected after a time limit, however steadily the
+    bytes arrive.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -242,7 +242,7 @@
 
 
 def test_incomplete_request_causes_no_event():
-    """A caller dies while it sends; no request must come of the half."""
+    """A caller dies while sending; its incomplete request must be ignored."""
     site = caller_sites.CallerSite()
     connection = site.connect()
     connection.send(caller_sites.request()[:-10])
@@ -252,9 +252,9 @@
 
 
 def test_internal_error_reports_an_unknown_outcome(monkeypatch):
-    """A fault in the program itself hits a request.
+    """A bug of the program affects a request.
 
-    The caller is not told "not run", since nobody knows.
+    The caller must not be told "not run", since this is unknown.
     """
     site = caller_sites.CallerSite()
     monkeypatch.setattr(site.app, 'event_of_submission', None)
@@ -281,7 +281,7 @@
 def test_body_without_a_valid_key_is_not_read():
     """A sender without a key announces a body.
 
-    It is refused before it has sent any of it, and fills no memory.
+    It is refused before it sends any of the body, and uses no memory.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -297,8 +297,8 @@
 def test_body_memory_is_bounded_per_account():
     """One account keeps many large requests open.
 
-    Its next one is refused, while another account's is taken, and what was
-    held is given back as its callers leave.
+    Its next one is refused, while another account's is accepted, and the held
+    bytes are released when its callers disconnect.
     """
     site = caller_sites.CallerSite()
     size = serving.MAX_BODY_BYTES - 1000
--- a/tests/callers/test_priority.py
+++ b/tests/callers/test_priority.py
@@ -1,4 +1,4 @@
-"""A caller may lower the priority of its own requests only."""
+"""A caller may only lower the priority of its own requests."""
 
 import pytest
 
--- a/tests/calls/test_platform_client.py
+++ b/tests/calls/test_platform_client.py
@@ -1,4 +1,4 @@
-"""What the platform's client proves about a write that failed."""
+"""What a failed write of the platform's client proves."""
 
 from greengagelb import errors
 from greengagelb import settings
@@ -14,7 +14,7 @@
 
 
 class Store:
-    """A claim store and what it reports."""
+    """A claim store and the events that it reports."""
 
     def __init__(self):
         self.network = wires.Network()
@@ -63,9 +63,10 @@
 
 
 def test_store_timeout_leaves_the_outcome_unknown_and_closes_the_connection():
-    """The store takes a claim and says nothing.
+    """The store receives a claim and does not answer.
 
-    Taken for "not written", the claim could land later and be in the way.
+    If the claim were taken for not written, it could still be written later
+    and block the request.
     """
     store = Store()
     store.write()
@@ -76,9 +77,9 @@
 
 
 def test_malformed_store_answer_fails_the_write():
-    """Something between answers in the store's place with a page of HTML.
+    """A proxy answers in place of the store with an HTML page.
 
-    The caller would wait for its answer until its deadline.
+    If this were ignored, the caller would wait until its deadline.
     """
     for status, body in [('200 OK', b'<html>'), ('409 Conflict', b'{}')]:
         store = Store()
@@ -112,9 +113,10 @@
 
 
 def test_request_that_can_not_be_built_is_not_counted_as_in_flight():
-    """A bug of this program raises while a request is put together.
+    """A bug raises an exception while a request is built.
 
-    Counted as under way for good, 64 of them would shut the store off.
+    If each counted as in flight forever, 64 of them would block all requests
+    to the store.
     """
     store = Store()
     failed = []
--- a/tests/calls/test_service_client.py
+++ b/tests/calls/test_service_client.py
@@ -1,4 +1,4 @@
-"""What a call to a plain service does on the wire."""
+"""The behaviour of a call to a plain service on the wire."""
 
 import pytest
 
@@ -15,7 +15,7 @@
 
 
 class Caller:
-    """A service client and what it reports."""
+    """A service client and the events that it reports."""
 
     def __init__(self):
         self.network = wires.Network()
@@ -52,8 +52,8 @@
 def test_library_does_not_retry_on_a_lost_connection():
     """The service runs a charge and its connection breaks off.
 
-    An HTTP library that repeats the request by itself charges the owner
-    twice, and none of this program's own counts would show it.
+    An HTTP library that repeats the request by itself would charge the owner
+    twice, unnoticed by this program's own counts.
     """
     caller = Caller()
     caller.call()
@@ -69,10 +69,10 @@
 
 @pytest.mark.parametrize('method', [b'GET', b'DELETE', b'POST'])
 def test_agent_does_not_retry_any_method(method):
-    """A connection dies just as a request goes out on it.
+    """A connection is lost just as a request is sent on it.
 
-    Twisted's pool repeats the methods that HTTP calls idempotent unless it
-    is told not to.
+    By default, Twisted's pool repeats the methods that HTTP defines as
+    idempotent.
     """
     network = wires.Network()
     agent = http.fresh_connection_agent(network.reactor)
@@ -89,7 +89,7 @@
 def test_redirect_is_not_followed():
     """A service answers with a redirect after it has run a charge.
 
-    Followed, the request would go out a second time, to an address that no
+    Following it would send the request a second time, to an address that no
     operator has configured.
     """
     caller = Caller()
@@ -112,7 +112,7 @@
 def test_answer_to_another_request_is_rejected_and_its_connection_closed():
     """A service sends the answer to another account's charge.
 
-    The caller would see somebody else's booking.
+    The caller would otherwise see another account's booking.
     """
     caller = Caller()
     caller.call()
@@ -139,7 +139,7 @@
 
 
 def test_truncated_refusal_leaves_the_outcome_unknown():
-    """The header of a refusal arrives, its body never does whole."""
+    """The headers of a refusal arrive, but its body is incomplete."""
     caller = Caller()
     caller.call()
     wire = caller.network.accept()
@@ -161,10 +161,10 @@
 
 
 def test_abandoned_connection_is_closed_while_the_answer_comes_in():
-    """The caller's deadline passes while the answer comes in.
+    """The caller's deadline passes while the answer arrives.
 
-    A connection left open holds memory at both ends for as long as the
-    service likes, once for each deadline that passed.
+    A connection left open would hold memory at both ends for as long as the
+    service keeps it, once for each such deadline.
     """
     caller = Caller()
     caller.call()
@@ -187,8 +187,8 @@
 def test_cookie_of_one_account_is_not_sent_for_another():
     """A service sets a session cookie in its answer to one account.
 
-    Sent along with another account's call, it would let that call act on the
-    first account's session.
+    If the cookie were sent with another account's call, that call could act on
+    the first account's session.
     """
     caller = Caller()
     caller.call()
--- a/tests/logs/test_bounded_log.py
+++ b/tests/logs/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines while nobody reads them, and while there are too many."""
+"""Log lines whose reader has stopped, and bursts of log lines."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 class Pipe:
-    """A pipe with a clock; its reader reads only when told to."""
+    """A pipe with a clock; its reader only reads when told to."""
 
     def __init__(self):
         self.out, descriptor = os.pipe()
@@ -26,7 +26,7 @@
         os.close(self.descriptor)
 
     def read_all(self):
-        """Read until nothing waits any more."""
+        """Read until nothing is waiting."""
         found = b''
         while raw := self.read_raw():
             found += raw
@@ -49,8 +49,8 @@
 def test_stalled_log_reader_does_not_block_writes():
     """The process that collects the logs hangs.
 
-    A write that waits for it would stop every caller's stream. What is left
-    out is counted.
+    A blocking write would stop every caller's stream. Dropped lines are
+    counted.
     """
     with Pipe() as pipe:
         for number in range(1_900):
@@ -71,7 +71,8 @@
 def test_burst_of_lines_is_bounded():
     """Everything fails at once, and each failure writes a line.
 
-    The report would take the processor from those who are still being served.
+    Without a limit, logging would use up the processor time needed to serve
+    callers.
     """
     with Pipe() as pipe:
         lines = 0
--- a/tests/logs/test_crash_evidence.py
+++ b/tests/logs/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""What the log tells of requests that are under way when engines crash."""
+"""Log entries about requests that are in flight when engines crash."""
 
 from greengagelb.coordination import actions as common_actions
 from tests.common import relay_world
@@ -24,9 +24,9 @@
 
 
 def test_repeated_request_has_the_same_fingerprint():
-    """Guards against repeats that the log can't connect.
+    """Guards against repeated requests that can't be correlated in the log.
 
-    A caller sends what failed again, with a new id and at another instance.
+    A caller repeats a failed request with a new id at another instance.
     """
     here = relay_world.RelayWorld(seed=1)
     there = relay_world.RelayWorld(seed=2)
@@ -36,7 +36,7 @@
 
 
 def test_different_requests_have_different_fingerprints():
-    """Guards against a log that takes two requests for one."""
+    """Guards against a log in which two requests look the same."""
     world = relay_world.RelayWorld()
     told = {
         fingerprint_sent(world, body=BODY),
@@ -49,7 +49,7 @@
 
 
 def test_lost_send_records_whether_the_answer_had_begun():
-    """Guards against losses of which the log hides what the engine did."""
+    """Guards against log entries that omit how far a lost answer had come."""
     world = relay_world.RelayWorld()
     waiting = world.last_send(world.ask())
     world.lose(waiting)
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -1,4 +1,4 @@
-"""What the log tells of limits that engines name."""
+"""Log entries and metrics about request limits that engines announce."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def single_instance_world():
-    """Return the only instance, before one engine."""
+    """Return a world with a single instance and one engine."""
     world = relay_world.RelayWorld([relay_world.fleet()[-1]])
     world.handle(relay_events.MembersListed(()))
     world.advance(4.0)
@@ -27,7 +27,7 @@
 
 
 def test_limit_is_recorded_once_until_it_changes():
-    """Guards against a log that hides from when on an instance knew it."""
+    """Guards against a log that omits since when a limit was known."""
     world = single_instance_world()
     for rate in (2.1, 2.1, 4.0, None):
         exchange = world.call()
@@ -43,7 +43,7 @@
 
 
 def test_send_records_the_known_limit_and_its_age():
-    """Guards against sends of which nobody can say why they were made."""
+    """Guards against sends whose reason the log does not show."""
     world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize('kind', ['stream', 'refused', 'error'])
 def test_limit_is_read_from_each_kind_of_answer(kind):
-    """Guards against limits in refusals, errors or heads of streams."""
+    """Guards against ignored limits in refusals, errors or stream headers."""
     world = relay_world.RelayWorld()
     exchange = world.ask() if kind == 'stream' else world.query()
     send = world.last_send(exchange)
@@ -74,7 +74,7 @@
 
 
 def test_invalid_limit_is_recorded_and_ignored():
-    """Guards against a bad header that hides an answer, or the last limit."""
+    """Guards against a bad header that drops the answer or the last limit."""
     world = single_instance_world()
     first = world.last_send(world.call())
     world.answer(first, limit=2.5)
@@ -89,7 +89,7 @@
 
 
 def test_limits_of_the_native_interface_are_recorded():
-    """Guards against limits of engines that only one interface tells of."""
+    """Guards against limits that are only recorded for one interface."""
     said = limits.UpstreamAdvertisement(2.5, 'life-1')
     node = loaded_node.new_node([loaded_node.account('one')], engines=1)
     done = node.handle(loaded_node.draft(1, 'one'), 0.0)
@@ -110,7 +110,7 @@
 
 
 def test_metrics_show_limits_and_held_requests():
-    """Guards against limits whose use and whose price nobody can see."""
+    """Guards against limits whose use and cost are not visible."""
     world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
--- a/tests/process/test_calls_across_instances.py
+++ b/tests/process/test_calls_across_instances.py
@@ -1,4 +1,4 @@
-"""Charges across real instances whose store, claimant or service fails."""
+"""Charges across real instances when the store, claimant or service fails."""
 
 import signal
 import threading
@@ -52,9 +52,9 @@
 
 
 def test_charge_runs_once_though_the_store_loses_every_answer(tmp_path):
-    """The store carries each write out and its answers never arrive.
+    """The store executes each write, but its answers are lost.
 
-    The charge must run, once, and its retry must get the first answer.
+    The charge must run exactly once, and its retry must get the first answer.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         set_faults(running.platform, lose_write_answers=True)
@@ -68,10 +68,10 @@
 
 
 def test_killed_claimant_leaves_its_charge_unknown(tmp_path):
-    """The instance that has sent a charge on dies before the answer.
+    """An instance that has sent a charge to a service dies before the answer.
 
-    The caller's retry reaches the other instance, which can't know how the
-    charge ended: it neither runs it again nor says that it did not run.
+    The caller's retry reaches the other instance, which can't know the outcome
+    of the charge: it must neither run it again nor report that it did not run.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         service = running.services['plain-0']
@@ -88,10 +88,10 @@
 
 
 def test_claimant_resumed_after_the_deadline_abandons_its_charge(tmp_path):
-    """An instance is stopped while it claims, and wakes after the deadline.
+    """An instance is paused during a claim, and resumed after the deadline.
 
-    It must not run a charge that nobody waits for any more, and the retry
-    must not be turned away for good.
+    It must not run a charge that no caller waits for, and the retry must not
+    be refused permanently.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         first, other = running.instances.values()
@@ -111,9 +111,9 @@
 
 
 def test_store_outage_is_answered_and_does_not_affect_other_calls(tmp_path):
-    """The platform's store is away.
+    """The platform's store is unavailable.
 
-    Lookups go on. A charge gets its final answer, which says "not run" only
+    Lookups continue. A charge gets a final answer, which only says "not run"
     to a caller that has never sent its key before.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
@@ -136,7 +136,7 @@
 def test_lookups_are_answered_while_one_service_is_paused(tmp_path):
     """A plain service's process is paused; its connections stay open.
 
-    Lookups that went there would show no availability until their deadline.
+    Lookups sent to it would otherwise wait until their deadline.
     """
     with fleet.Fleet(tmp_path) as running:
         running.service('plain-0')
--- a/tests/process/test_crashing_requests.py
+++ b/tests/process/test_crashing_requests.py
@@ -1,6 +1,6 @@
-"""Requests that bring down real processes, sent to one instance after another.
+"""Requests that crash real processes, sent to one instance after another.
 
-What they brought down stays down here, so that each is one upstream less.
+Crashed processes are not restarted here, so each crash removes an upstream.
 """
 
 import functools
@@ -16,13 +16,12 @@
 CRASHING_TEXT = 'a deadly prompt'
 UPSTREAMS = 5
 MAX_CRASHES = 3
-# After so long the same request comes again.
 RESEND_INTERVAL_SECONDS = 0.3
 
 
 @pytest.fixture
 def crash_prone_fleet(tmp_path):
-    """Run two instances, with engines and services that die of a text."""
+    """Run two instances, with engines and services that crash on a text."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(UPSTREAMS):
             running.engine(f'engine-{number}')
@@ -41,14 +40,14 @@
 
 
 def ask_for_stream(router, number):
-    """Ask for a deadly generation; return the code of the answer."""
+    """Request a crashing generation; return the code of the answer."""
     caller = callers.StreamCaller(CRASHING_TEXT, 50)
     caller.read_all(router.port)
     return caller.error['code']
 
 
 def ask_for_call(router, number, service):
-    """Send a deadly call under a new key; return the code of the answer."""
+    """Send a crashing call with a new key; return the code of the answer."""
     headers = fleet.bearer(fleet.ACCOUNT_KEY)
     headers['Idempotency-Key'] = f'key-{number}'
     path = f'/v1/services/{service}/book'
@@ -59,7 +58,7 @@
 
 
 def has_blocked(router):
-    """Return whether an instance has put a block on its time line."""
+    """Return whether an instance has recorded a block on its time line."""
     answer = fleet.ask(
         router.operator_port,
         '/v1/timeline',
@@ -70,7 +69,7 @@
 
 
 def ask_until_blocked(routers, ask):
-    """Ask one instance after the other; return the codes after the block."""
+    """Ask the instances in turn; return the codes after the block."""
     number = 0
     while not any(map(has_blocked, routers)):
         ask(routers[number % 2], number)
@@ -82,7 +81,7 @@
 
 
 def test_crashing_prompt_crashes_at_most_three_engines(crash_prone_fleet):
-    """Guards against a prompt that takes a pool down, engine by engine."""
+    """Guards against a prompt that crashes a pool, engine by engine."""
     routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(routers, ask_for_stream)
     assert codes == ['request-crashes-engines'] * 2
@@ -96,9 +95,9 @@
 def test_crashing_call_is_refused_by_instances_that_share_crash_counts(
     crash_prone_fleet, service
 ):
-    """Guards against a call that ends upstreams, with a new key each time.
+    """Guards against a call that crashes upstreams, with a new key each time.
 
-    Of a charge each instance alone sees every second crash only.
+    Each instance alone only sees every second crash of a charge.
     """
     routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(
--- a/tests/process/test_fleet_membership.py
+++ b/tests/process/test_fleet_membership.py
@@ -1,4 +1,4 @@
-"""Instances as processes pass on what the platform can't tell them."""
+"""Instances share with peers what the platform doesn't tell all of them."""
 
 import json
 
@@ -59,9 +59,9 @@
 ):
     """The store is down and the platform replaces an instance.
 
-    The new one takes the configuration from an instance that its settings
-    name, and serves. One that has neither says that it is not ready, and no
-    caller is sent to it.
+    The new one gets the configuration from an instance listed in its settings,
+    and serves. One without either reports that it is not ready, and gets no
+    callers.
     """
     with fleet.small_fleet(tmp_path) as running:
         list_all_instances(running)
@@ -95,8 +95,8 @@
 ):
     """One instance can't reach the platform, the others can.
 
-    It hears of the new version from its peers and applies it; the operator
-    sees it in force on all.
+    It learns of the new version from its peers and applies it; the operator
+    sees it in force on all instances.
     """
     with fleet.small_fleet(tmp_path) as running:
         isolated = start_isolated_instance(running)
@@ -112,8 +112,8 @@
 def test_leaving_upstream_gets_no_new_requests_from_any_instance(tmp_path):
     """The platform's list shows an engine as leaving to one instance only.
 
-    The engine itself does not know yet. The other instance, which can't
-    reach the platform, must not give it work either.
+    The engine itself does not know yet. The other instance, which can't reach
+    the platform, must not send it requests either.
     """
     with fleet.small_fleet(tmp_path) as running:
         isolated = start_isolated_instance(running)
@@ -141,9 +141,8 @@
 def test_instances_all_restarted_in_an_outage_are_not_ready(tmp_path):
     """All instances restart while the store is down.
 
-    Nobody has a configuration any more. Guessing one could bring back what
-    operators have replaced, so all say that they are not ready until the
-    store is back.
+    None has a configuration. A guess could restore one that operators have
+    replaced, so all report that they are not ready until the store is back.
     """
     with fleet.small_fleet(tmp_path) as running:
         set_faults(running, outage=True)
@@ -164,7 +163,7 @@
 
 
 def test_unauthenticated_peer_message_is_dropped(tmp_path):
-    """Somebody who reaches the peer port sends messages of their own."""
+    """A process that can reach the peer port sends its own messages."""
     with fleet.small_fleet(tmp_path, instances=1) as running:
         router = running.instances['router-0']
         with zmq.Context() as context, context.socket(zmq.DEALER) as client:
--- a/tests/process/test_fleet_orders.py
+++ b/tests/process/test_fleet_orders.py
@@ -1,4 +1,4 @@
-"""A confirmed change of version is carried out at real engines."""
+"""A confirmed change of version is carried out on real engines."""
 
 import threading
 
@@ -22,8 +22,8 @@
 def test_rollout_interrupts_no_stream_and_reaches_a_restarted_engine(tmp_path):
     """An operator changes a pool's version while drafts are streamed.
 
-    Each draft ends on the version it began with. Then an engine dies and
-    comes back with the old version, as its start script has it.
+    Each draft ends on the version that it began with. Then an engine dies and
+    restarts with the old version from its start script.
     """
     with fleet.small_fleet(tmp_path) as running:
         routers = list(running.instances.values())
--- a/tests/process/test_fleet_plans.py
+++ b/tests/process/test_fleet_plans.py
@@ -1,4 +1,4 @@
-"""Plans are confirmed at real instances while the store misbehaves."""
+"""Plans are confirmed on real instances while the store has faults."""
 
 import concurrent.futures
 import signal
@@ -41,10 +41,10 @@
 
 
 def test_concurrent_confirmations_have_one_winner_known_to_all(tmp_path):
-    """Eight operators confirm plans of one version at two instances at once.
+    """Eight operators confirm plans on one version at two instances at once.
 
-    The store takes writes and loses the answers meanwhile. Whoever is told
-    of a conflict also learns which plan won and what it did.
+    Meanwhile the store executes writes but loses the answers. Each operator
+    that gets a conflict also learns which plan won and what it changed.
     """
     with fleet.small_fleet(tmp_path) as running:
         routers = list(running.instances.values())
@@ -76,10 +76,10 @@
 
 
 def test_confirm_at_a_slow_store_is_unsettled_and_resolved_later(tmp_path):
-    """The store takes longer than an instance waits for it.
+    """The store takes longer than an instance's timeout.
 
-    The operator is told that nobody knows, never that nothing happened, and
-    asks for the plan again once the store is well.
+    The operator is told that the outcome is unknown, never that nothing
+    changed, and reads the plan again once the store has recovered.
     """
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
@@ -97,12 +97,11 @@
 def test_operator_is_told_when_to_retry_after_a_late_store_start(
     tmp_path,
 ):
-    """The platform comes up seconds after the instances.
+    """The platform starts seconds after the instances.
 
-    They have stopped asking it for a moment by then, so an operator who comes
-    in that moment gets no plan although everything runs. The answer has to
-    say that nothing has happened, and when to ask again; who does so gets
-    the plan.
+    Their circuit breakers are open by then, so an operator gets no plan for a
+    moment although everything runs. The answer must say that nothing has
+    changed, and when to retry; the retry gets the plan.
     """
     with fleet.Fleet(tmp_path) as running:
         running.platform.send_signal(signal.SIGSTOP)
@@ -124,7 +123,7 @@
 
 
 def test_plan_can_be_made_after_a_store_pause(tmp_path):
-    """The platform stands still for some seconds and goes on."""
+    """The platform is paused for some seconds and resumed."""
     with fleet.small_fleet(tmp_path, engines=1, instances=1) as running:
         running.platform.send_signal(signal.SIGSTOP)
         time.sleep(6.5)
--- a/tests/process/test_fleet_stops.py
+++ b/tests/process/test_fleet_stops.py
@@ -19,10 +19,10 @@
 
 
 class Load:
-    """Callers behind a balancer, each with one request after the other.
+    """Callers behind a balancer, each sending one request after another.
 
-    ``cut`` counts answers that broke off, ``refused`` those that were told
-    "not run" by an instance that had begun to stop.
+    ``broken_off`` holds answers that broke off, ``refused`` counts those that
+    got "not run" from an instance that was stopping.
     """
 
     def __init__(self, running):
@@ -37,7 +37,7 @@
         self.unknown_outcomes = []
 
     def ready_port(self):
-        """Return the port of an instance that says it is ready."""
+        """Return the port of an instance that reports that it is ready."""
         while True:
             ports = [p.port for p in list(self.running.instances.values())]
             port = ports[next(self.counter) % len(ports)]
@@ -48,14 +48,14 @@
                 continue
 
     def stream_until_over(self):
-        """Ask for drafts until the test is over."""
+        """Request drafts until the test is over."""
         while not self.test_is_over.is_set():
             number = next(self.counter)
             caller = callers.StreamCaller(f'draft {number}', STREAM_TOKENS)
             self.stream_once(caller)
 
     def stream_once(self, caller):
-        """Ask for one draft, and see how it ends."""
+        """Request one draft, and count how it ends."""
         try:
             caller.read_all(self.ready_port())
         except ConnectionRefusedError:
@@ -71,7 +71,7 @@
                 self.broken_off.append(caller)
 
     def charge_until_over(self):
-        """Charge until the test is over, and note how often each one ran."""
+        """Send charges until the test is over, and count the runs of each."""
         while not self.test_is_over.is_set():
             key = f'charge-{next(self.counter)}'
             headers = fleet.bearer(fleet.ACCOUNT_KEY) | {
@@ -79,7 +79,7 @@
                 'X-First-Send': '1',
             }
             path = '/v1/services/charge/book'
-            # The store's budget of an instance is 40 writes a second.
+            # An instance may send the store 40 writes a second.
             self.test_is_over.wait(CHARGE_PAUSE_SECONDS)
             try:
                 answer = fleet.ask(
@@ -95,11 +95,11 @@
 
 
 def test_rolling_restart_under_load_interrupts_no_answer(tmp_path):
-    """The platform replaces all instances, one after the other.
+    """The platform replaces all instances, one after another.
 
-    Guests' drafts and owners' charges go on meanwhile, and one long digest
-    is under way at the first instance for as long as the others are
-    replaced. Nobody's answer breaks off, and no owner is charged twice.
+    Guests' drafts and owners' charges continue meanwhile, and one long digest
+    is streamed by the first instance while the others are replaced. No answer
+    breaks off, and no owner is charged twice.
     """
     with fleet.small_fleet(tmp_path, engines=3, instances=3) as running:
         load = Load(running)
--- a/tests/process/test_in_force.py
+++ b/tests/process/test_in_force.py
@@ -1,4 +1,4 @@
-"""Which instances have a change of settings, seen from outside."""
+"""Which instances have a change of settings in force, seen from outside."""
 
 import contextlib
 import http.server
@@ -22,7 +22,7 @@
 
 
 class Relay:
-    """A relaying instance without a store, and its settings file."""
+    """A relay instance without a store, and its settings file."""
 
     def __init__(self, folder, name):
         self.path = folder / f'{name}.ini'
@@ -34,7 +34,7 @@
             'host': '127.0.0.1',
             'heartbeat': 1_200,
             'grace': 2.0,
-            # Nobody listens there; all have the same.
+            # Nothing listens on this port; all instances use it.
             'store': 1,
             **{port: fleet.free_port() for port in ports},
         }
@@ -52,7 +52,7 @@
         return f'127.0.0.1:{self.fields["metrics"]}'
 
     def write(self, grace):
-        """Put other settings in the place of the file."""
+        """Replace the settings file with other settings."""
         text = instances.SETTINGS.format(**{**self.fields, 'grace': grace})
         new = self.path.with_suffix('.new')
         new.write_text(text)
@@ -63,7 +63,7 @@
 
 
 class ForeignServer(http.server.BaseHTTPRequestHandler):
-    """Answers with something that is no page of an instance."""
+    """Answers with a page that is not that of an instance."""
 
     def do_GET(self):
         self.send_response(200)
@@ -76,7 +76,7 @@
 
 @contextlib.contextmanager
 def foreign_server():
-    """Serve a stranger's page; give its address."""
+    """Serve a foreign page; yield its address."""
     server = http.server.HTTPServer(('127.0.0.1', 0), ForeignServer)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
@@ -89,7 +89,7 @@
 
 @pytest.fixture
 def relays(tmp_path):
-    """Run instances; end them with the test."""
+    """Run instances; stop them after the test."""
     running = {name: Relay(tmp_path, name) for name in NAMES}
     try:
         for relay in running.values():
@@ -102,7 +102,7 @@
 
 
 def ask(*arguments):
-    """Run the command; return its exit code, lines of JSON and messages."""
+    """Run the command; return its exit code, JSON lines and messages."""
     done = subprocess.run(
         [sys.executable, '-m', 'greengagelb', 'in-force', '--json']
         + list(arguments),
@@ -122,10 +122,10 @@
 
 
 def test_instances_without_the_change_are_listed(relays, tmp_path):
-    """Guards against a change of which nobody can tell who has it.
+    """Guards against a change whose rollout can't be checked.
 
-    One instance is frozen, one keeps an old file, one address is a stranger's
-    and at one nobody listens.
+    One instance is frozen, one has an old file, one address belongs to a
+    foreign server and at one nothing listens.
     """
     code, lines, _ = ask(pages(relays))
     assert code == Code.SUCCESS
@@ -151,7 +151,7 @@
 
 
 def test_wait_ends_once_all_instances_have_the_change(relays):
-    """Guards against a script that goes on too early, or never."""
+    """Guards against a wait that ends too early, or never."""
     updated = relays['first']
     updated.write(grace=3.0)
     fleet.wait_until(lambda: updated.has_logged('settings-reloaded'))
--- a/tests/process/test_limited_upstreams.py
+++ b/tests/process/test_limited_upstreams.py
@@ -1,4 +1,4 @@
-"""Real processes: a service names a limit, and two instances keep to it."""
+"""Real processes: a service announces a limit, two instances respect it."""
 
 import collections
 import concurrent.futures
@@ -11,7 +11,7 @@
 pytestmark = pytest.mark.slow
 
 LIMIT = 2.0
-# Instances count each other, and have parts of a limit, by then.
+# By then, instances know each other and have their shares of a limit.
 STARTUP_SECONDS = 4.0
 LEARN_SECONDS = 3.0
 MEASURED_SECONDS = 8.0
@@ -21,7 +21,7 @@
 
 @pytest.fixture
 def limited_fleet(tmp_path):
-    """Run two instances before one service that names a limit."""
+    """Run two instances with one service that announces a limit."""
     with fleet.Fleet(tmp_path) as running:
         service = running.service('plain-0')
         running.engine('engine-0')
@@ -35,14 +35,14 @@
 
 
 def count_runs(running):
-    """Return how many calls the service has run."""
+    """Return the number of calls that the service has run."""
     [service] = running.services.values()
     counts = fleet.ask(service.port, '/standin/runs').json()
     return sum(counts.values())
 
 
 def call_until(router, service, until):
-    """Call again and again; return the codes of all answers."""
+    """Send calls repeatedly; return the codes of all answers."""
     codes = collections.Counter()
     while time.monotonic() < until:
         answer = fleet.ask(
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize('service', ['lookup', 'charge'])
 def test_two_instances_share_the_limit_of_a_service(limited_fleet, service):
-    """Guards against a limit that is read, told or kept by no process."""
+    """Guards against a limit that is not read, shared or enforced."""
     routers = list(limited_fleet.instances.values())
     with concurrent.futures.ThreadPoolExecutor(CALLERS) as pool:
         began = time.monotonic()
--- a/tests/process/test_planned_stops.py
+++ b/tests/process/test_planned_stops.py
@@ -1,6 +1,6 @@
-"""Callers offer calls through the whole of an instance's stop.
+"""Callers send calls during the whole stop of an instance.
 
-See tests/relay/test_stop_ending.py for how calls were lost in one.
+See tests/relay/test_stop_ending.py for how such calls were lost.
 """
 
 import base64
@@ -26,13 +26,13 @@
 pytestmark = pytest.mark.slow
 HOST = '127.0.0.1'
 ENGINE = 'engine-1'
-# An engine works on a call for so long, in seconds; one that is cut with the
-# process is then seen as one that ran without an answer.
+# The duration of a call on an engine. It makes a call that is cut off with
+# the process visible as one that ran without an answer.
 CALL_SECONDS = 0.05
-# The store holds the removal of the instance's entry for so long.
+# The store delays the removal of the instance's entry by this time.
 REMOVAL_DELAY_SECONDS = 0.4
-# Long enough for an instance without callers to end before calls that may
-# take their time limit would be refused for want of time.
+# Long enough for an instance without callers to exit before it would refuse
+# calls whose time limit exceeds the remaining time.
 GRACE_SECONDS = 8.0
 CALL_INTERVAL_SECONDS = 0.001
 TABLES = {
@@ -87,7 +87,7 @@
 
 
 class Engine(http.server.BaseHTTPRequestHandler):
-    """An engine that keeps the ids of the calls that reached it."""
+    """An engine that records the ids of the calls that reached it."""
 
     protocol_version = 'HTTP/1.1'
     ran = []
@@ -108,21 +108,21 @@
 
 
 def row(key, value):
-    """Return a row as the store gives it."""
+    """Return a row in the format of the store."""
     raw = base64.b64encode(json.dumps(value).encode()).decode()
     return {'key': key, 'value': raw, 'ver': 1, 'tombstone': False}
 
 
 @dataclasses.dataclass
 class SentCall:
-    """A call that was offered; ``status`` is None where none came."""
+    """A call that was sent; ``status`` is None if no answer came."""
 
     call: str
     status: int | None = None
 
 
 class Callers:
-    """Offers calls, each on a thread of its own, and keeps the outcomes."""
+    """Sends calls, each on its own thread, and keeps the outcomes."""
 
     def __init__(self, port):
         self.port = port
@@ -130,7 +130,7 @@
         self.threads = []
 
     def send_call(self, connection=None):
-        """Offer one call, on a new connection or on a kept one."""
+        """Send one call, on a new or a persistent connection."""
         sent_call = SentCall(f'call{len(self.sent_calls)}')
         self.sent_calls.append(sent_call)
         thread = threading.Thread(
@@ -140,7 +140,7 @@
         thread.start()
 
     def receive_answer(self, sent_call, connection):
-        """Send a call and wait for its answer, if one comes."""
+        """Send a call and wait for its answer, if there is one."""
         connection = connection or self.new_connection()
         headers = {
             'Host': world.callers.HOST,
@@ -158,14 +158,14 @@
         return http.client.HTTPConnection(HOST, self.port, timeout=5.0)
 
     def join(self):
-        """Wait until each offer has its outcome."""
+        """Wait until the outcome of each call is known."""
         for thread in self.threads:
             thread.join()
 
 
 @contextlib.contextmanager
 def serving(handler):
-    """Serve on a port of its own; give that port."""
+    """Serve on a free port; yield the port."""
     server = http.server.ThreadingHTTPServer((HOST, 0), handler)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
@@ -179,7 +179,7 @@
 
 @contextlib.contextmanager
 def running_instance(tmp_path, store_port):
-    """Run an instance; give it and the port for callers."""
+    """Run an instance; yield it and the port for callers."""
     path = tmp_path / 'relay.ini'
     fields = test_reload.write_settings(
         path, store=store_port, grace=GRACE_SECONDS
@@ -198,12 +198,12 @@
 
 
 def test_every_call_of_a_stop_is_answered_or_not_run(tmp_path):
-    """Callers go on calling until the port of a stopping instance is closed.
+    """Callers send calls until the port of a stopping instance is closed.
 
-    Some keep their connections, some open new ones, and one comes in about
-    each millisecond while the entry is being removed. One whose call ran and
-    who gets no answer would not know whether it has been charged, and nobody
-    may ask again in its place.
+    Some use persistent connections, some new ones, and about one call arrives
+    each millisecond while the instance's entry is being removed. A caller
+    whose call ran without an answer would not know whether it was charged, and
+    the call must not be repeated for it.
     """
     with serving(Engine) as engine_port, serving(Store) as store_port:
         TABLES['servers'][ENGINE] = {
--- a/tests/process/test_product_archive.py
+++ b/tests/process/test_product_archive.py
@@ -1,4 +1,4 @@
-"""The one file that ships: one process, and nothing written to a disk."""
+"""The archive runs as one process and writes nothing to a disk."""
 
 import os
 import pathlib
--- a/tests/process/test_product_commands.py
+++ b/tests/process/test_product_commands.py
@@ -1,4 +1,4 @@
-"""The operators' commands and the demonstration, as a user runs them."""
+"""The operators' commands and the demonstration, run as a user runs them."""
 
 import json
 import signal
@@ -50,9 +50,9 @@
 
 
 def test_timeline_reports_which_process_is_missing(tmp_path):
-    """One instance is down when the operator asks what happened.
+    """One instance is down when an operator reads the time line.
 
-    The time line shows what the other one knows, and says what is missing.
+    It shows the events of the other one, and reports that some are missing.
     """
     with fleet.small_fleet(tmp_path) as running:
         flag = operators_of(running)
@@ -72,7 +72,7 @@
 def test_serve_reports_a_port_in_use(tmp_path, taken_port):
     """Another process already listens on one of an instance's ports.
 
-    The instance says so and exits, rather than running unreachable.
+    The instance reports this and exits, rather than running unreachable.
     """
     with socket.socket() as taken:
         taken.bind((fleet.HOST, 0))
@@ -115,7 +115,7 @@
 
 
 def test_interrupted_demonstration_leaves_no_process_behind():
-    """Somebody stops the demonstration while it starts its processes."""
+    """The demonstration is interrupted while it starts its processes."""
     demo = commands.start_process('demo')
     try:
         fleet.wait_until(lambda: len(processes.children_of(demo.pid)) == 7)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change under a running instance of the platform."""
+"""Settings that change while a relay instance runs."""
 
 import os
 import signal
@@ -14,7 +14,7 @@
 
 
 def write_settings(path, **changed):
-    """Write settings whose ports are free now; return them."""
+    """Write settings with free ports; return them."""
     names = ('callers', 'ready', 'peers', 'metrics', 'store')
     fields = {
         'name': 'relay-0',
@@ -32,8 +32,8 @@
 def test_changed_settings_are_applied_and_bad_ones_refused(tmp_path):
     """The platform replaces the settings file, with and without a signal.
 
-    A process that ended on the signal would take its callers' streams with
-    it; one that took a file with a mistake would not come back.
+    A process that exited on the signal would break off its callers' streams;
+    one that accepted an invalid file would fail at its next start.
     """
     path = tmp_path / 'relay.ini'
     log = tmp_path / 'log'
--- a/tests/process/test_slow_caller.py
+++ b/tests/process/test_slow_caller.py
@@ -1,4 +1,4 @@
-"""A caller that does not read what it asked for, with real sockets."""
+"""A caller that does not read its stream, with real sockets."""
 
 import http.client
 import json
@@ -17,8 +17,8 @@
 def read_some_events(port, caller):
     """Read some events over a connection with a small buffer, then stop.
 
-    The long name of its service is part of every event, which makes the
-    answer large enough to fill all buffers soon.
+    The service's long name is part of every event, so that the answer soon
+    fills all buffers.
     """
     headers = fleet.bearer(caller.key)
     connection = http.client.HTTPConnection(fleet.HOST, port, timeout=20)
@@ -50,12 +50,12 @@
 
 
 def test_caller_that_does_not_read_loses_only_its_own_stream(tmp_path):
-    """A caller asks for a long draft and then stops reading.
+    """A caller requests a long draft and then stops reading.
 
-    Were the instance to keep all that is unread, one account could fill its
-    memory and end every other account's streams. The slow caller's stream
-    is cut; it comes back with its cursor and misses nothing. Another
-    account's draft goes on meanwhile.
+    If the instance kept all unread data, one account could fill its memory and
+    end every other account's streams. The slow caller's stream is aborted; it
+    resumes with its cursor and misses nothing. Another account's draft
+    continues meanwhile.
     """
     with fleet.small_fleet(tmp_path) as alive:
         alive.configure(with_long_name(alive.configuration()))
--- a/tests/process/test_streams_under_failures.py
+++ b/tests/process/test_streams_under_failures.py
@@ -11,13 +11,13 @@
 pytestmark = pytest.mark.slow
 
 MIN_STALL_SECONDS = 1.0
-"""Seconds; large enough that a busy machine makes no engine seem dead."""
+"""Seconds; long enough that a busy machine makes no engine look dead."""
 PAUSE_SECONDS = 1.6
 
 
 @pytest.fixture
 def sampling_fleet(tmp_path):
-    """Run a fleet whose engines give each attempt its own tokens."""
+    """Run a fleet whose engines sample different tokens in each attempt."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(3):
             running.engine(f'engine-{number}', '--sampled')
@@ -40,9 +40,9 @@
 
 
 def test_connection_that_goes_silent_is_replaced(sampling_fleet):
-    """A middlebox forgets the connection to an engine; new ones work.
+    """A middlebox drops the connection to an engine; new ones work.
 
-    The draft stands still for a moment and goes on from the same attempt.
+    The draft stalls for a moment and continues with the same attempt.
     """
     router = sampling_fleet.instances['router-0']
 
@@ -59,9 +59,10 @@
 
 
 def test_paused_engine_is_replaced_and_stopped_when_it_resumes(sampling_fleet):
-    """An engine is paused, replaced and comes back as if nothing happened.
+    """An engine is paused, replaced, and resumed later.
 
-    The caller sees one answer. The engine must not go on for nobody.
+    The caller gets one answer. The engine must not keep generating an answer
+    that no caller receives.
     """
     router = sampling_fleet.instances['router-0']
     paused = []
@@ -83,10 +84,10 @@
 
 
 def test_paused_instance_does_not_suspect_engines(sampling_fleet):
-    """An instance is stopped for longer than any stall deadline.
+    """An instance is paused for longer than any stall deadline.
 
-    When it goes on all its timers are due and all its tokens unread. Judged
-    by the timers, every draft would move to another engine.
+    When it is resumed, all its timers are due and all tokens unread. If it
+    acted on the timers first, every draft would move to another engine.
     """
     router = sampling_fleet.instances['router-0']
     stream_callers = [
@@ -112,11 +113,11 @@
 
 
 def test_engine_and_instance_lost_twice_in_one_generation(sampling_fleet):
-    """Instance and engine go together, and then the next engine too.
+    """Instance and engine fail together, and then the next engine too.
 
-    The caller comes back each time with what it holds. Its answer is one
-    generation: engines here sample, and a glued one would be refused by the
-    digest in its own cursor.
+    The caller resumes each time with the tokens it has. Its answer must be one
+    generation: these engines sample, and the digest in the cursor detects an
+    answer joined from two generations.
     """
     first, second = sampling_fleet.instances.values()
     caller = callers.StreamCaller('hello', 400)
--- a/tests/process/test_whole_path.py
+++ b/tests/process/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path as separate processes, with nothing and with one failing."""
+"""All processes together, without and with one failure."""
 
 import signal
 
@@ -31,9 +31,9 @@
 def test_retry_at_another_instance_gets_the_first_answer(tmp_path):
     """The caller's connection breaks after its charge has run.
 
-    It sends the charge again and reaches another instance. Without a claim
-    the owner would be charged twice. The outcome is written after the answer
-    is sent, so the retry may come before it is known.
+    It sends the charge again and reaches another instance. Without a claim the
+    owner would be charged twice. The outcome is written after the answer is
+    sent, so the retry may arrive before it is known.
     """
     with fleet.small_fleet(tmp_path) as running:
         first = charge(running.instances['router-0'].port, 'k1')
@@ -53,8 +53,8 @@
 def test_stream_resumes_after_its_instance_is_killed(tmp_path):
     """The instance that serves a draft is killed.
 
-    The caller's connection breaks. It comes back through the balancer to the
-    other instance with its cursor and what it holds, and reads on.
+    The caller's connection breaks. Through the balancer it reaches the other
+    instance, with its cursor and the tokens received, and resumes the stream.
     """
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
@@ -69,7 +69,7 @@
 
 
 def test_stream_resumes_after_instance_and_engine_are_killed(tmp_path):
-    """The machine room loses the instance and the engine at once."""
+    """The data centre loses the instance and the engine at the same time."""
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
         caller = callers.StreamCaller('hello', 400)
--- a/tests/timeline/test_order.py
+++ b/tests/timeline/test_order.py
@@ -1,4 +1,4 @@
-"""Causes sort before their effects even if clocks of processes differ."""
+"""A cause always sorts before its effect, whatever the clocks show."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -35,10 +35,11 @@
 
 
 def test_resumed_stream_sorts_after_the_lost_instance(monkeypatch):
-    """Guards against a time line that shows a resumption before the start.
+    """The clock of a lost instance is ahead of its successor's clock.
 
-    The clock of the lost instance is ahead of that of the next one, which
-    gets the stamp from the caller's cursor.
+    The caller sends its cursor to the next instance. Without the stamp in the
+    cursor, the time line would show the resumption of the stream before its
+    start.
     """
     wall = recorder.wall_milliseconds()
     ahead = timeline.Stamp(wall + 5_000, 3)
@@ -56,9 +57,10 @@
 
 
 def test_stamp_far_ahead_is_not_adopted():
-    """Guards against one wrong clock that shifts the stamps of all instances.
+    """A machine's clock is an hour ahead.
 
-    The clock of one machine is an hour ahead.
+    If its stamps were adopted, all later stamps of the fleet would be an hour
+    ahead.
     """
     found = recorder.Recorder('instance-0', 10)
     wall = recorder.wall_milliseconds()
--- a/tests/timeline/test_reading.py
+++ b/tests/timeline/test_reading.py
@@ -1,4 +1,4 @@
-"""Output of the time line command, log lines and metrics."""
+"""The output of the time line command, and its notes on missing events."""
 
 import json
 
@@ -39,7 +39,7 @@
 
 
 def test_output_notes_missing_events():
-    """One process has dropped old events and another is unreachable."""
+    """One process has dropped old events and another can't be reached."""
     full = timeline_api.TimelinePart('a', 7, [event(1, 'a')])
     address = operator_client.Address('127.0.0.1', 9)
     gone = operator_client.NoAnswer(address, 'x', 'refused')
@@ -52,7 +52,7 @@
 
 
 def test_control_characters_in_request_id_are_not_printed():
-    """Guards against escape sequences in request ids that reach a terminal."""
+    """A caller puts an escape sequence into its request id."""
     bad = event(1, 'a', account='x', request='\x1b[2Jgone')
     part = timeline_api.TimelinePart('a', 0, [bad])
     assert '\x1b' not in command.render([part], timeline.Selection())
--- a/tests/transport/test_decision_loop.py
+++ b/tests/transport/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop goes on where a part of the program fails."""
+"""The decision loop continues after errors in its callbacks."""
 
 import random
 
@@ -20,10 +20,10 @@
 
 
 def test_periodic_call_continues_after_an_error():
-    """The platform answers with something that nobody foresaw.
+    """Polling the platform raises an unexpected error.
 
-    An instance that stopped polling there would serve on with an old
-    configuration for as long as it lives.
+    An instance whose polling stopped there would serve with an old
+    configuration for as long as it runs.
     """
     calls = []
 
@@ -54,9 +54,9 @@
 
 
 def test_decision_error_does_not_propagate_to_the_dispatcher():
-    """An action can't be carried out, within a callback of a connection.
+    """Carrying out an action raises within a connection's callback.
 
-    Let out, the error would count as that engine's broken connection.
+    A propagated error would count as a broken connection to that engine.
     """
 
     def carry_out(action):
--- a/tests/transport/test_draining.py
+++ b/tests/transport/test_draining.py
@@ -1,4 +1,4 @@
-"""The end of an instance's own interface: nothing that is asked is cut."""
+"""Draining of the native interface: no request is cut off."""
 
 import json
 
@@ -17,7 +17,7 @@
 
 
 class OperatorSite:
-    """An interface whose answers come when the test says so."""
+    """An interface whose answers are sent when the test says so."""
 
     def __init__(self):
         self.clock = task.Clock()
@@ -29,7 +29,7 @@
         self.factory.startFactory()
 
     def confirm(self, request, plan):
-        """Answer later, as one does who waits for the store."""
+        """Answer later, as a request that waits for the store does."""
         answer = defer.Deferred()
         self.pending_answers.append(answer)
         return answer
@@ -43,11 +43,11 @@
 
 
 def test_drain_waits_for_a_pending_answer():
-    """An operator confirms a plan while the instance stops.
+    """An operator confirms a plan while the instance is stopping.
 
-    No caller is served any more, so the instance is about to end, but the
-    store has not answered yet. With the connection closed the operator would
-    not know whether the plan is in force.
+    No caller is being served, so the instance is about to exit, but the store
+    has not answered yet. If the connection were closed, the operator would not
+    know whether the plan is in force.
     """
     operators = OperatorSite()
     connection = operators.connect()
@@ -64,9 +64,10 @@
 
 
 def test_incomplete_request_is_refused_as_not_run_on_drain():
-    """A request is still coming in when the instance ends.
+    """A request is still arriving when the instance exits.
 
-    Closed without a word, its sender could not know whether it has run.
+    If the connection were closed without an answer, the sender could not know
+    whether the request had run.
     """
     operators = OperatorSite()
     connection = operators.connect()
@@ -79,7 +80,7 @@
 
 
 def test_drain_times_out_when_an_answer_never_comes():
-    """The store is silent; the platform would kill the process in the end."""
+    """The store is silent; the platform would finally kill the process."""
     operators = OperatorSite()
     connection = operators.connect()
     connection.dataReceived(COMPLETE_REQUEST)
@@ -91,10 +92,10 @@
 
 
 def test_new_request_during_drain_is_refused():
-    """Another operator confirms on a connection that was open already.
+    """Another operator confirms on a connection that is already open.
 
-    Taken, it would be cut when the time is over, with its plan perhaps in
-    force; and each one taken would put off the end.
+    If accepted, the request could be cut off at the end of the timeout with
+    its plan in force; and each accepted request would delay the end.
     """
     operators = OperatorSite()
     waiting, late = operators.connect(), operators.connect()
--- a/tests/transport/test_reactors.py
+++ b/tests/transport/test_reactors.py
@@ -1,4 +1,4 @@
-"""Timers while the time of day is set."""
+"""Timers while the wall clock is changed."""
 
 import time
 
@@ -11,8 +11,9 @@
 def test_timers_ignore_wall_clock_changes(monkeypatch):
     """The machine's clock is set forward.
 
-    Timers that follow it all fire at once: every engine looks silent, every
-    caller is overdue, and all streams are moved or cut at the same moment.
+    Timers that follow it would all fire at once: every engine would look
+    silent and every caller overdue, and all streams would be moved or aborted
+    at the same moment.
     """
     reactor = epollreactor.EPollReactor()
     reactors.use_monotonic_clock(reactor)
@@ -24,7 +25,7 @@
 
 
 def test_clock_change_after_setting_timers_is_rejected():
-    """They would fire years late, or at once."""
+    """Such timers would fire years late, or at once."""
     reactor = epollreactor.EPollReactor()
     reactor.callLater(10.0, print)
     with pytest.raises(RuntimeError):
