--- a/measure/deployment.py
+++ b/measure/deployment.py
@@ -64,11 +64,13 @@
     ):
         step = f'--step_seconds={size.step_seconds}'
         for number in range(size.drafting_engines):
-            running.engine(f'engine-{number}', step)
+            running.start_engine(f'engine-{number}', step)
         for number in range(size.short_call_engines):
-            running.service(f'plain-{number}')
+            running.start_service(f'plain-{number}')
         for number in range(size.instances):
-            running.instance(f'router-{number}', size.data_centre(number))
+            running.start_instance(
+                f'router-{number}', size.data_centre(number)
+            )
         configuration = running.configuration()
         configuration['services'][0]['recovery'] = recovery
         for pool in configuration['pools']:
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -76,9 +76,9 @@
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
         for number in range(engines):
-            running.engine(f'engine-{number}')
-        running.service('plain-0')
-        running.instance('router-0')
+            running.start_engine(f'engine-{number}')
+        running.start_service('plain-0')
+        running.start_instance('router-0')
         running.configure(running.configuration())
         instance = running.instances['router-0']
         warm = callers.StreamCaller('warm', 20)
@@ -351,9 +351,9 @@
         tempfile.TemporaryDirectory() as folder,
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
-        running.engine('engine-0')
-        running.service('plain-0')
-        running.instance('router-0')
+        running.start_engine('engine-0')
+        running.start_service('plain-0')
+        running.start_instance('router-0')
         configuration = running.configuration()
         upstream = configuration['pools'][0]['upstreams'][0]
         upstream['port'] = listener.getsockname()[1]
@@ -374,7 +374,7 @@
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
         port = listener.getsockname()[1]
-        running.instance('router-0', platform_port=port)
+        running.start_instance('router-0', platform_port=port)
         return exchange_bytes(listener, row)
 
 
@@ -417,9 +417,9 @@
             fleet.Fleet(pathlib.Path(folder)) as running,
         ):
             running.poll_seconds = seconds
-            running.engine('engine-0')
-            running.service('plain-0')
-            running.instance('router-0')
+            running.start_engine('engine-0')
+            running.start_service('plain-0')
+            running.start_instance('router-0')
             running.configure(running.configuration())
             instance = running.instances['router-0']
             before = recovery.processor_seconds(instance)
--- a/src/greengagelb/cli/check_config.py
+++ b/src/greengagelb/cli/check_config.py
@@ -15,27 +15,27 @@
 from greengagelb.cli import serve
 from greengagelb.cli import tables
 
-Found = settings.Settings | relay_settings.RelaySettings
+AnySettings = settings.Settings | relay_settings.RelaySettings
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
+class SettingsKind:
     """One kind of settings file, and the ``program`` that starts with it."""
 
     program: str
     sections: settings.Sections
-    read: Callable[[pathlib.Path], Found]
+    read: Callable[[pathlib.Path], AnySettings]
     effects: settings_changes.Effects
 
 
-KINDS = (
-    Kind(
+SETTINGS_KINDS = (
+    SettingsKind(
         'greengagelb serve',
         settings.SECTIONS,
         settings.read_settings,
         settings_changes.SERVE_EFFECTS,
     ),
-    Kind(
+    SettingsKind(
         'python3 -m greengagelb.platform',
         relay_settings.SECTIONS,
         relay_settings.read_relay_settings,
@@ -62,18 +62,20 @@
     if not serve.SETTINGS.value:
         raise errors.CommandError('write --settings=FILE')
     path = pathlib.Path(serve.SETTINGS.value)
-    kind = kind_of(path)
+    kind = detect_kind(path)
     new = kind.read(path)
     name = new.instance.name
     sys.stdout.write(f'settings of {name} are valid for {kind.program}\n')
     if not AGAINST.value:
         return exit_codes.ExitCode.SUCCESS
-    return compare(kind, pathlib.Path(AGAINST.value), new)
+    return print_changes(kind, pathlib.Path(AGAINST.value), new)
 
 
-def compare(kind: Kind, path: pathlib.Path, new: Found) -> exit_codes.ExitCode:
+def print_changes(
+    kind: SettingsKind, path: pathlib.Path, new: AnySettings
+) -> exit_codes.ExitCode:
     """Tell what differs from the settings in a file, and when it counts."""
-    if kind_of(path) is not kind:
+    if detect_kind(path) is not kind:
         raise errors.CommandError(
             f'{path} is of another kind; compare settings of one program'
         )
@@ -88,13 +90,15 @@
         for c in changes
     ]
     sys.stdout.write(tables.render(rows))
-    starts = [c for c in changes if c.effect is settings_changes.Effect.START]
-    if starts:
+    restart_changes = [
+        c for c in changes if c.effect is settings_changes.Effect.START
+    ]
+    if restart_changes:
         return exit_codes.ExitCode.NEEDS_START
     return exit_codes.ExitCode.SUCCESS
 
 
-def kind_of(path: pathlib.Path) -> Kind:
+def detect_kind(path: pathlib.Path) -> SettingsKind:
     """Return the kind that most sections of a file belong to.
 
     A section that is misspelt or of the other kind is then told as unknown
@@ -102,5 +106,6 @@
     """
     given = settings.parse_file(path).sections()
     return max(
-        KINDS, key=lambda kind: sum(name in kind.sections for name in given)
+        SETTINGS_KINDS,
+        key=lambda kind: sum(name in kind.sections for name in given),
     )
--- a/src/greengagelb/cli/commands.py
+++ b/src/greengagelb/cli/commands.py
@@ -12,7 +12,7 @@
 from greengagelb.cli import standin
 from greengagelb.cli import timeline
 
-MOST_LOG_FILES = 1_000
+MAX_LOG_FILES = 1_000
 OPERATOR_FLAGS = ('operator', 'operator_key_file')
 
 
@@ -29,7 +29,7 @@
     summary: str
     run: Callable[[list[str]], int]
     flags: tuple[str, ...] = ()
-    most_words: int = 0
+    max_words: int = 0
     details: str = ''
 
 
@@ -55,7 +55,7 @@
         'in-force',
         '--pages=IP:PORT,... [--wait_for_version=N]',
         'show which settings and configuration each instance has',
-        in_force.show,
+        in_force.show_in_force,
         (
             'pages',
             'pages_file',
@@ -87,7 +87,7 @@
         'show a plan again',
         operators.show_plan,
         OPERATOR_FLAGS,
-        most_words=1,
+        max_words=1,
     ),
     Command(
         'confirm',
@@ -95,7 +95,7 @@
         'put a plan in force',
         operators.confirm,
         OPERATOR_FLAGS,
-        most_words=1,
+        max_words=1,
         details='Exits with 5 if another plan was confirmed since this one '
         'was made:\nplan again on top of that one. Exits with 7 if nobody can '
         'tell now whether\nit is in force: look with show-plan, or confirm '
@@ -120,7 +120,7 @@
         'REQUEST_ID [LOG_FILE...]',
         'tell from log lines what became of a request',
         explain.explain,
-        most_words=MOST_LOG_FILES,
+        max_words=MAX_LOG_FILES,
         details='Reads the log lines of any number of instances from files '
         'or standard input.\nA star marks the events of the request itself; '
         'the others happened around it.',
@@ -139,7 +139,7 @@
             'step_seconds',
             'sampled',
         ),
-        most_words=1,
+        max_words=1,
     ),
     Command(
         'demo',
@@ -151,6 +151,6 @@
 )
 
 
-def find(name: str) -> Command | None:
+def find_command(name: str) -> Command | None:
     """Return the command of that name, if there is one."""
     return next((c for c in COMMANDS if c.name == name), None)
--- a/src/greengagelb/cli/demo.py
+++ b/src/greengagelb/cli/demo.py
@@ -17,10 +17,10 @@
 from twisted.internet import task
 
 from greengagelb import errors
+from greengagelb.cli import event_loop
 from greengagelb.cli import exit_codes
 from greengagelb.cli import interruption
 from greengagelb.cli import launcher
-from greengagelb.cli import running
 from greengagelb.cli import timeline as timeline_command
 from greengagelb.protocol import caller_api
 from greengagelb.protocol import codec
@@ -32,7 +32,7 @@
 from greengagelb.transport import http
 from greengagelb.transport import operator_client
 
-TOKENS = flags.DEFINE_integer(
+DEMO_TOKENS = flags.DEFINE_integer(
     'demo_tokens', 120, 'Tokens of the streamed answer.', lower_bound=20
 )
 
@@ -40,74 +40,78 @@
 PROMPT = 'When may the guests of cottage 4 check in?'
 DRAFT_KEY = 'demo-draft'
 CHARGE_KEY = 'demo-charge'
-READY_SECONDS = 20.0
-STREAM_SECONDS = 120.0
-IN_FLIGHT_SECONDS = 0.01
-TOKENS_A_LINE = 8
+READY_TIMEOUT_SECONDS = 20.0
+STREAM_TIMEOUT_SECONDS = 120.0
+MAX_IN_FLIGHT_SECONDS = 0.01
+TOKENS_PER_LINE = 8
 
 
 def demo(words: list[str]) -> int:
     """Run the demonstration; 0 if everything held."""
-    say('starting the platform, three engines, a plain service, two instances')
+    print_step(
+        'starting the platform, three engines, a plain service, two instances'
+    )
     with launcher.Launcher() as fleet:
         try:
             with interruption.Interruption() as interrupted:
-                start_all(fleet, interrupted)
-            running.run_once(
-                lambda reactor: Demonstration(reactor, fleet).show_all()
+                start_processes(fleet, interrupted)
+            event_loop.run_coroutine(
+                lambda reactor: Demonstration(reactor, fleet).run_steps()
             )
             with interruption.Interruption() as interrupted:
-                stop_all(fleet, interrupted)
-        except running.Interrupted:
+                stop_processes(fleet, interrupted)
+        except event_loop.Interrupted:
             raise
         except errors.GreengagelbError:
-            sys.stderr.write(fleet.last_lines())
+            sys.stderr.write(fleet.log_tails())
             raise
-    say('done: everything held')
+    print_step('done: everything held')
     return exit_codes.ExitCode.SUCCESS
 
 
-def start_all(
+def start_processes(
     fleet: launcher.Launcher, interrupted: interruption.Interruption
 ) -> None:
     """Start every process and wait until it listens."""
     for number in range(3):
-        fleet.engine(f'engine-{number}', STEP_FLAG)
-    fleet.service('charges-0')
+        fleet.start_engine(f'engine-{number}', STEP_FLAG)
+    fleet.start_service('charges-0')
     for number in range(2):
-        fleet.instance(f'instance-{number}')
-    launcher.wait_until_listening(fleet.processes(), interrupted.check)
+        fleet.start_instance(f'instance-{number}')
+    launcher.wait_until_listening(
+        fleet.processes(), interrupted.raise_if_signalled
+    )
 
 
-def say(line: str) -> None:
+def print_step(line: str) -> None:
     """Tell the user what happens."""
     sys.stdout.write(f'== {line}\n')
     sys.stdout.flush()
 
 
-def check(holds: bool, promise: str) -> None:
+def check_promise(holds: bool, promise: str) -> None:
     """Say that a promise held, or raise that it did not."""
     if not holds:
         raise errors.DemoFailed(f'this does not hold: {promise}')
-    say(f'checked: {promise}')
+    print_step(f'checked: {promise}')
 
 
-def stop_all(
+def stop_processes(
     fleet: launcher.Launcher, interrupted: interruption.Interruption
 ) -> None:
     """Stop every process that is left by SIGTERM."""
     for process in fleet.processes():
-        interrupted.check()
+        interrupted.raise_if_signalled()
         if process.popen.poll() is not None:
             continue
         code = process.stop()
         if process.name in fleet.instances and code != 0:
             raise errors.DemoFailed(f'{process.name} exited with {code}')
-    say('stopped all by SIGTERM; both instances exited with 0')
+    print_step('stopped all by SIGTERM; both instances exited with 0')
 
 
 @dataclasses.dataclass(slots=True)
-class Draft:
+class StreamedAnswer:
     """What the caller holds of the streamed answer.
 
     ``killed_at`` is a monotonic time, or None before the kill.
@@ -115,10 +119,10 @@
 
     tokens: list[str] = dataclasses.field(default_factory=list)
     finish_reason: str = ''
-    killing: bool = False
+    is_kill_started: bool = False
     killed_at: float | None = None
-    went_on: bool = False
-    printed: int = 0
+    has_resumed: bool = False
+    printed_tokens: int = 0
 
 
 class Demonstration:
@@ -130,7 +134,7 @@
         self.reactor = reactor
         self.fleet = fleet
         self.treq = http.direct_client(http.fresh_connection_agent(reactor))
-        self.operators = [
+        self.operator_clients = [
             operator_client.OperatorClient(
                 reactor,
                 operator_client.Address(launcher.HOST, process.operator_port),
@@ -139,7 +143,7 @@
             for process in fleet.instances.values()
         ]
 
-    async def show_all(self) -> None:
+    async def run_steps(self) -> None:
         """Show one step after the other."""
         await self.configure()
         await self.show_stream()
@@ -151,20 +155,20 @@
     async def configure(self) -> None:
         """Plan and confirm a configuration, and wait until it is in force."""
         intent = plan_state.ReplaceConfiguration(self.fleet.configuration())
-        plan = await self.operators[0].propose_plan(intent)
-        say(f'planned: {"; ".join(str(step) for step in plan.steps)}')
-        plan = await self.operators[0].confirm_plan(plan.plan_id)
-        say(f'confirmed: configuration version {plan.result.version}')
+        plan = await self.operator_clients[0].propose_plan(intent)
+        print_step(f'planned: {"; ".join(str(step) for step in plan.steps)}')
+        plan = await self.operator_clients[0].confirm_plan(plan.plan_id)
+        print_step(f'confirmed: configuration version {plan.result.version}')
         for process in self.fleet.instances.values():
             await self.wait_until_ready(process)
-        say('the configuration is in force on both instances')
+        print_step('the configuration is in force on both instances')
 
     async def wait_until_ready(
         self, process: launcher.LaunchedProcess
     ) -> None:
         """Return once an instance says that it is ready."""
-        give_up_at = self.reactor.seconds() + READY_SECONDS
-        while self.reactor.seconds() < give_up_at:
+        deadline = self.reactor.seconds() + READY_TIMEOUT_SECONDS
+        while self.reactor.seconds() < deadline:
             response = await self.treq.get(url_of(process, '/readyz'))
             await response.content()
             if response.code == 200:
@@ -177,11 +181,11 @@
     async def show_stream(self) -> None:
         """Stream an answer and kill the engine in the middle."""
         first = next(iter(self.fleet.instances.values()))
-        say(f'streaming a draft through {first.name}')
+        print_step(f'streaming a draft through {first.name}')
         body = caller_api.ChatCompletion(
             model='draft',
             messages=[caller_api.Message('user', PROMPT)],
-            max_tokens=TOKENS.value,
+            max_tokens=DEMO_TOKENS.value,
         )
         response = await self.treq.post(
             url_of(first, '/v1/chat/completions'),
@@ -191,28 +195,30 @@
         )
         if response.code != 200:
             raise errors.DemoFailed(f'status {response.code}')
-        draft = Draft()
-        await self.follow(response, draft)
-        self.check_draft(draft)
+        draft = StreamedAnswer()
+        await self.read_stream(response, draft)
+        self.check_answer(draft)
 
-    async def follow(self, response: Any, draft: Draft) -> None:
+    async def read_stream(self, response: Any, draft: StreamedAnswer) -> None:
         """Read events until the stream ends."""
         reader = sse.EventReader()
         ended: defer.Deferred = defer.Deferred()
 
         def receive(raw: bytes) -> None:
             for event in reader.feed(raw):
-                self.take(event, draft)
+                self.handle_event(event, draft)
 
         collector = http.BodyCollector(receive, lambda _: ended.callback(None))
         response.deliverBody(collector)
-        ended.addTimeout(STREAM_SECONDS, self.reactor)
+        ended.addTimeout(STREAM_TIMEOUT_SECONDS, self.reactor)
         try:
             await ended
         except defer.TimeoutError as exc:
             raise errors.DemoFailed('the stream does not end') from exc
 
-    def take(self, event: sse.ServerSentEvent, draft: Draft) -> None:
+    def handle_event(
+        self, event: sse.ServerSentEvent, draft: StreamedAnswer
+    ) -> None:
         """Keep and print what an event brings."""
         if event.data == b'[DONE]':
             return
@@ -221,50 +227,52 @@
         chunk = codec.decode(event.data, caller_api.ChatChunk)
         if chunk.position != len(draft.tokens):
             raise errors.DemoFailed(f'token {len(draft.tokens)} is missing')
-        self.note_going_on(chunk, draft)
+        self.print_resume_delay(chunk, draft)
         draft.tokens += chunk.tokens
         draft.finish_reason = chunk.choices[0].finish_reason or ''
         print_tokens(draft)
-        halfway = len(draft.tokens) >= TOKENS.value // 2
-        if halfway and not draft.killing:
-            draft.killing = True
+        halfway = len(draft.tokens) >= DEMO_TOKENS.value // 2
+        if halfway and not draft.is_kill_started:
+            draft.is_kill_started = True
             defer.Deferred.fromCoroutine(self.kill_engine(draft)).addErrback(
                 lambda why: sys.stderr.write(why.getTraceback())
             )
 
-    def note_going_on(self, chunk: caller_api.ChatChunk, draft: Draft) -> None:
+    def print_resume_delay(
+        self, chunk: caller_api.ChatChunk, draft: StreamedAnswer
+    ) -> None:
         """Say how long the caller waited for the next token.
 
         What was on its way when the engine died arrives at once and is not
         taken for the stream going on.
         """
-        if draft.went_on or draft.killed_at is None:
+        if draft.has_resumed or draft.killed_at is None:
             return
         waited = time.monotonic() - draft.killed_at
-        if waited < IN_FLIGHT_SECONDS:
+        if waited < MAX_IN_FLIGHT_SECONDS:
             return
-        draft.went_on = True
+        draft.has_resumed = True
         sys.stdout.write('\n')
-        say(
+        print_step(
             f'the stream goes on after token {chunk.position}, '
             f'{waited:.2f} s after the kill'
         )
 
-    async def kill_engine(self, draft: Draft) -> None:
+    async def kill_engine(self, draft: StreamedAnswer) -> None:
         """Kill the engine that generates the draft."""
         for process in self.fleet.engines.values():
-            report = await self.report_of(process)
+            report = await self.fetch_report(process)
             if report.running:
                 process.kill()
                 draft.killed_at = time.monotonic()
                 sys.stdout.write('\n')
-                say(
+                print_step(
                     f'killed {process.name} (SIGKILL) after token '
                     f'{len(draft.tokens)}'
                 )
                 return
 
-    async def report_of(
+    async def fetch_report(
         self, process: launcher.LaunchedProcess
     ) -> engine_api.EngineReport:
         """Return what an engine says of itself."""
@@ -272,20 +280,24 @@
         raw = await response.content()
         return codec.decode(raw, engine_api.EngineReport)
 
-    def check_draft(self, draft: Draft) -> None:
+    def check_answer(self, draft: StreamedAnswer) -> None:
         """Check the answer against an engine that never failed."""
         sys.stdout.write('\n')
-        dead = [
+        killed_names = [
             process.name
             for process in self.fleet.engines.values()
             if process.popen.poll() is not None
         ]
-        check(len(dead) == 1, 'one engine was killed in mid-stream')
-        check(
-            draft.tokens == engine.answer_to(PROMPT, TOKENS.value),
+        check_promise(
+            len(killed_names) == 1, 'one engine was killed in mid-stream'
+        )
+        check_promise(
+            draft.tokens == engine.answer_to(PROMPT, DEMO_TOKENS.value),
             f'all {len(draft.tokens)} tokens came, none twice, none mixed',
         )
-        check(draft.finish_reason == 'length', 'the answer is complete')
+        check_promise(
+            draft.finish_reason == 'length', 'the answer is complete'
+        )
 
     # -- charge -------------------------------------------------------------
 
@@ -293,19 +305,23 @@
         """Send one charge through both instances."""
         answers = []
         for process in self.fleet.instances.values():
-            say(f'charging with key {CHARGE_KEY} through {process.name}')
+            print_step(
+                f'charging with key {CHARGE_KEY} through {process.name}'
+            )
             response = await self.treq.post(
                 url_of(process, '/v1/services/charge/book'),
                 data=b'{"amount": 120}',
                 headers=self.headers(CHARGE_KEY),
             )
             answers.append(await response.content())
-            say(f'answer {response.code}: {answers[-1].decode()}')
-        check(answers[0] == answers[1], 'the retry got the first answer')
-        runs = await self.runs_of_charge()
-        check(runs == 1, 'the charge ran once')
+            print_step(f'answer {response.code}: {answers[-1].decode()}')
+        check_promise(
+            answers[0] == answers[1], 'the retry got the first answer'
+        )
+        runs = await self.count_charge_runs()
+        check_promise(runs == 1, 'the charge ran once')
 
-    async def runs_of_charge(self) -> int:
+    async def count_charge_runs(self) -> int:
         """Return how often the plain service ran the charge."""
         service = next(iter(self.fleet.services.values()))
         response = await self.treq.get(url_of(service, '/standin/runs'))
@@ -316,12 +332,14 @@
 
     async def show_timeline(self) -> None:
         """Print what the instances recorded of the draft."""
-        wanted = timeline_state.Selection(request=DRAFT_KEY)
+        selection = timeline_state.Selection(request=DRAFT_KEY)
         parts = await operator_client.query_instances(
-            self.operators, lambda client: client.timeline(wanted)
+            self.operator_clients, lambda client: client.timeline(selection)
+        )
+        print_step(
+            f'time line of request {DRAFT_KEY}, as "greengagelb timeline"'
         )
-        say(f'time line of request {DRAFT_KEY}, as "greengagelb timeline"')
-        sys.stdout.write(timeline_command.render(parts, wanted))
+        sys.stdout.write(timeline_command.render(parts, selection))
 
     def headers(self, key: str) -> dict[str, str]:
         """Return the headers of the caller's requests."""
@@ -336,11 +354,11 @@
     return f'http://{launcher.HOST}:{process.port}{path}'
 
 
-def print_tokens(draft: Draft) -> None:
+def print_tokens(draft: StreamedAnswer) -> None:
     """Print tokens as they come, a few on each line."""
-    for token in draft.tokens[draft.printed :]:
+    for token in draft.tokens[draft.printed_tokens :]:
         sys.stdout.write(token)
-        draft.printed += 1
-        if draft.printed % TOKENS_A_LINE == 0:
+        draft.printed_tokens += 1
+        if draft.printed_tokens % TOKENS_PER_LINE == 0:
             sys.stdout.write('\n')
     sys.stdout.flush()
--- a/src/greengagelb/cli/running.py
+++ b/src/greengagelb/cli/event_loop.py
@@ -12,7 +12,7 @@
 from greengagelb import errors
 
 T = TypeVar('T')
-SIGNALLED = 'stopped by a signal'
+SIGNALLED_MESSAGE = 'stopped by a signal'
 
 
 class Interrupted(errors.GreengagelbError):
@@ -21,7 +21,7 @@
     code = 'interrupted'
 
 
-def run_once(
+def run_coroutine(
     work: Callable[[interfaces.IReactorCore], Coroutine[Any, Any, T]],
 ) -> T:
     """Return what a coroutine returns, or raise what it raises.
@@ -40,17 +40,17 @@
         if reactor.running:
             reactor.stop()
 
-    def begin() -> None:
+    def start_work() -> None:
         defer.Deferred.fromCoroutine(work(reactor)).addBoth(finish)
 
-    def interrupted() -> None:
+    def record_interruption() -> None:
         # A signal stops the loop. The work then fails with whatever the lost
         # connections bring, which would hide that it was interrupted.
         if not outcomes:
-            outcomes.append(failure.Failure(Interrupted(SIGNALLED)))
+            outcomes.append(failure.Failure(Interrupted(SIGNALLED_MESSAGE)))
 
-    reactor.callWhenRunning(begin)
-    reactor.addSystemEventTrigger('before', 'shutdown', interrupted)
+    reactor.callWhenRunning(start_work)
+    reactor.addSystemEventTrigger('before', 'shutdown', record_interruption)
     reactor.run()
     if isinstance(outcomes[0], failure.Failure):
         outcomes[0].raiseException()
--- a/src/greengagelb/cli/explain.py
+++ b/src/greengagelb/cli/explain.py
@@ -16,7 +16,7 @@
 
 # Seconds around a request within which what an instance or an engine went
 # through may be its cause.
-AROUND_SECONDS = 3.0
+CONTEXT_SECONDS = 3.0
 
 
 def explain(words: list[str]) -> int:
@@ -26,7 +26,7 @@
     request, *files = words
     with fileinput.input(files or ('-',), errors='replace') as lines:
         found = list(read_events(lines))
-    sys.stdout.write(render(story_of(request, found)))
+    sys.stdout.write(render(select_events(request, found)))
     return 0
 
 
@@ -57,7 +57,7 @@
         return None
 
 
-def story_of(
+def select_events(
     request: str, events: list[timeline.TimelineEvent]
 ) -> list[timeline.TimelineEvent]:
     """Return what concerns a request, in order.
@@ -65,30 +65,30 @@
     That is its own events, and around their time what its instances did
     besides serving others and what became of its engines.
     """
-    own = [event for event in events if event.request == request]
-    if not own:
+    request_events = [event for event in events if event.request == request]
+    if not request_events:
         raise errors.CommandError(f'explain: no line names request {request}')
-    processes = {event.process for event in own}
-    upstreams = {event.upstream for event in own} - {''}
-    slack = AROUND_SECONDS * 1000
-    first = min(event.stamp.milliseconds for event in own) - slack
-    last = max(event.stamp.milliseconds for event in own) + slack
-    around = [
+    processes = {event.process for event in request_events}
+    upstreams = {event.upstream for event in request_events} - {''}
+    slack = CONTEXT_SECONDS * 1000
+    first = min(event.stamp.milliseconds for event in request_events) - slack
+    last = max(event.stamp.milliseconds for event in request_events) + slack
+    context_events = [
         event
         for event in events
         if not event.request
         and first <= event.stamp.milliseconds <= last
         and (event.process in processes or event.upstream in upstreams)
     ]
-    return sorted(own + around, key=timeline.sort_key)
+    return sorted(request_events + context_events, key=timeline.sort_key)
 
 
-def render(story: list[timeline.TimelineEvent]) -> str:
+def render(events: list[timeline.TimelineEvent]) -> str:
     """Return a story as lines, with the time since its first event."""
-    start = story[0].stamp.milliseconds
+    start = events[0].stamp.milliseconds
     return ''.join(
         f'{(event.stamp.milliseconds - start) / 1000.0:8.3f}  '
         f'{event.process}  {"*" if event.request else " "} {event.kind}  '
         f'{event.upstream}  {event.reason}\n'
-        for event in story
+        for event in events
     )
--- a/src/greengagelb/cli/help_texts.py
+++ b/src/greengagelb/cli/help_texts.py
@@ -5,14 +5,14 @@
 from greengagelb.cli import commands
 from greengagelb.cli import exit_codes
 
-HEAD = """greengagelb routes long generations to engines that fail, and calls
+HEADER = """greengagelb routes long generations to engines that fail, and calls
 to plain services, for many client accounts.
 
 usage: greengagelb COMMAND [ARGUMENTS] [--FLAG=VALUE]
        greengagelb COMMAND --help
        greengagelb --version
 """
-MEANINGS = {
+EXIT_CODE_MEANINGS = {
     exit_codes.ExitCode.SUCCESS: 'done',
     exit_codes.ExitCode.FAILURE: 'failed; standard error tells why',
     exit_codes.ExitCode.USAGE: 'the command was not understood',
@@ -27,22 +27,23 @@
 }
 
 
-def overview() -> str:
+def render_overview() -> str:
     """Return the help on the whole program."""
     width = max(len(command.name) for command in commands.COMMANDS)
-    lines = [HEAD, 'commands:']
+    lines = [HEADER, 'commands:']
     lines += [
         f'  {command.name.ljust(width)}  {command.summary}'
         for command in commands.COMMANDS
     ]
     lines += ['', 'exit codes:']
     lines += [
-        f'  {code.value}  {meaning}' for code, meaning in MEANINGS.items()
+        f'  {code.value}  {meaning}'
+        for code, meaning in EXIT_CODE_MEANINGS.items()
     ]
     return '\n'.join(lines) + '\n'
 
 
-def command_help(command: commands.Command) -> str:
+def render_command_help(command: commands.Command) -> str:
     """Return the help on one command."""
     lines = [
         f'usage: greengagelb {command.name} {command.arguments}'.rstrip(),
--- a/src/greengagelb/cli/in_force.py
+++ b/src/greengagelb/cli/in_force.py
@@ -12,9 +12,9 @@
 from twisted.internet import task
 
 from greengagelb import errors
+from greengagelb.cli import event_loop
 from greengagelb.cli import exit_codes
 from greengagelb.cli import operator_flags
-from greengagelb.cli import running
 from greengagelb.cli import tables
 from greengagelb.state import in_force
 from greengagelb.transport import operator_client
@@ -43,8 +43,8 @@
 )
 AS_JSON = flags.DEFINE_boolean('json', False, 'Print JSON, a line for each.')
 # How long after one look the next one follows, in seconds.
-LOOK_SECONDS = 0.5
-HEAD = (
+POLL_INTERVAL_SECONDS = 0.5
+COLUMNS = (
     'ADDRESS',
     'INSTANCE',
     'DATA CENTRE',
@@ -59,23 +59,25 @@
     'DIFFERS',
 )
 
-Has = Callable[[in_force.InstanceReport], bool]
+Condition = Callable[[in_force.InstanceReport], bool]
 
 
-def show(words: list[str]) -> int:
+def show_in_force(words: list[str]) -> int:
     """Show what is in force where; wait for it if that is asked for."""
     addresses = read_addresses()
-    wanted = wanted_by_flags()
+    condition = condition_from_flags()
 
-    async def look(
+    async def poll(
         reactor: interfaces.IReactorCore,
     ) -> list[in_force.ComparedReport]:
         reader = page_reader.PageReader(reactor)
-        return await look_until(reactor, reader, addresses, wanted)
+        return await poll_instances(reactor, reader, addresses, condition)
 
-    seen = running.run_once(look)
-    sys.stdout.write(as_json(seen) if AS_JSON.value else as_table(seen))
-    return exit_code_of(seen, wanted)
+    seen = event_loop.run_coroutine(poll)
+    sys.stdout.write(
+        render_json(seen) if AS_JSON.value else render_table(seen)
+    )
+    return exit_code_of(seen, condition)
 
 
 def read_addresses() -> list[operator_client.Address]:
@@ -97,41 +99,41 @@
     ]
 
 
-def wanted_by_flags() -> Has | None:
+def condition_from_flags() -> Condition | None:
     """Return what all instances are to have, or None."""
     version, digest = WAIT_FOR_VERSION.value, WAIT_FOR_DIGEST.value
     if version is None and digest is None:
         return None
 
-    def has(page: in_force.InstanceReport) -> bool:
+    def is_met(page: in_force.InstanceReport) -> bool:
         return (version is None or page.configuration_version >= version) and (
             digest is None or page.digest == digest
         )
 
-    return has
+    return is_met
 
 
-async def look_until(
+async def poll_instances(
     reactor: interfaces.IReactorCore,
     reader: page_reader.PageReader,
     addresses: list[operator_client.Address],
-    wanted: Has | None,
+    condition: Condition | None,
 ) -> list[in_force.ComparedReport]:
     """Return what is found, at once or when all have what is wanted."""
     deadline = reactor.seconds() + DEADLINE_SECONDS.value
-    last_told = ''
+    last_progress = ''
     while True:
         found = await reader.read_all_pages(addresses)
-        if wanted is None:
+        if condition is None:
             return in_force.compare_reports(found)
-        count = sum(has_it(page, wanted) for _, page in found)
-        told = f'{count} of {len(found)} have it\n'
-        if told != last_told:
-            sys.stderr.write(told)
-            last_told = told
+        count = sum(meets_condition(page, condition) for _, page in found)
+        progress = f'{count} of {len(found)} have it\n'
+        if progress != last_progress:
+            sys.stderr.write(progress)
+            last_progress = progress
         if count == len(found) or reactor.seconds() >= deadline:
             return in_force.compare_reports(found)
-        await sleep(reactor, LOOK_SECONDS)
+        await sleep(reactor, POLL_INTERVAL_SECONDS)
 
 
 def sleep(
@@ -141,15 +143,16 @@
     return task.deferLater(reactor, seconds, lambda: None)
 
 
-def has_it(
-    page: in_force.InstanceReport | in_force.ReportUnavailable, wanted: Has
+def meets_condition(
+    page: in_force.InstanceReport | in_force.ReportUnavailable,
+    condition: Condition,
 ) -> bool:
     """Return whether an instance has what is waited for."""
-    return isinstance(page, in_force.InstanceReport) and wanted(page)
+    return isinstance(page, in_force.InstanceReport) and condition(page)
 
 
 def exit_code_of(
-    seen: list[in_force.ComparedReport], wanted: Has | None
+    seen: list[in_force.ComparedReport], condition: Condition | None
 ) -> exit_codes.ExitCode:
     """Return the exit code: the worst of what was seen."""
     answered = [
@@ -159,8 +162,8 @@
         return exit_codes.ExitCode.NOTHING_FOUND
     if len(answered) < len(seen):
         return exit_codes.ExitCode.UNREACHABLE
-    if wanted is not None:
-        agree = all(has_it(one.found, wanted) for one in seen)
+    if condition is not None:
+        agree = all(meets_condition(one.found, condition) for one in seen)
     else:
         agree = not any(one.differences for one in seen)
     if agree:
@@ -168,9 +171,9 @@
     return exit_codes.ExitCode.DIFFERENT
 
 
-def as_table(seen: list[in_force.ComparedReport]) -> str:
+def render_table(seen: list[in_force.ComparedReport]) -> str:
     """Return a line for each instance, and how many agree."""
-    rows = [list(HEAD), *map(row_of, seen)]
+    rows = [list(COLUMNS), *map(row_of, seen)]
     agree = sum(not one.differences for one in seen)
     return tables.render(rows) + f'{agree} of {len(seen)} agree\n'
 
@@ -180,7 +183,7 @@
     differs = '; '.join(seen.differences)
     match seen.found:
         case in_force.ReportUnavailable():
-            return [seen.address, *['?'] * (len(HEAD) - 2), differs]
+            return [seen.address, *['?'] * (len(COLUMNS) - 2), differs]
         case in_force.InstanceReport() as page:
             age = page.store_seconds
             return [
@@ -199,7 +202,7 @@
             ]
 
 
-def as_json(seen: list[in_force.ComparedReport]) -> str:
+def render_json(seen: list[in_force.ComparedReport]) -> str:
     """Return a line of JSON for each instance."""
     lines = []
     for one in seen:
--- a/src/greengagelb/cli/interruption.py
+++ b/src/greengagelb/cli/interruption.py
@@ -2,7 +2,7 @@
 
 import signal
 
-from greengagelb.cli import running
+from greengagelb.cli import event_loop
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
@@ -18,25 +18,27 @@
 
     def __init__(self) -> None:
         self.signalled = False
-        self.before = {}
+        self.previous_handlers = {}
 
     def __enter__(self) -> 'Interruption':
         for number in SIGNALS:
-            self.before[number] = signal.signal(number, self.remember)
+            self.previous_handlers[number] = signal.signal(
+                number, self.handle_signal
+            )
         return self
 
     def __exit__(self, *exception: object) -> None:
-        for number, handler in self.before.items():
+        for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)
         if exception[0] is None:
             # One that came after the last look at it counts too.
-            self.check()
+            self.raise_if_signalled()
 
-    def remember(self, number: int, frame: object) -> None:
+    def handle_signal(self, number: int, frame: object) -> None:
         """Take in a signal."""
         self.signalled = True
 
-    def check(self) -> None:
+    def raise_if_signalled(self) -> None:
         """Raise if a signal has come."""
         if self.signalled:
-            raise running.Interrupted(running.SIGNALLED)
+            raise event_loop.Interrupted(event_loop.SIGNALLED_MESSAGE)
--- a/src/greengagelb/cli/launcher.py
+++ b/src/greengagelb/cli/launcher.py
@@ -24,9 +24,9 @@
 
 HOST = '127.0.0.1'
 DATA_CENTRE = 'demo-1'
-ENDING_SECONDS = 20.0
-PORTS = range(12_000, 32_000)
-RESERVATIONS: list[socket.socket] = []
+STOP_TIMEOUT_SECONDS = 20.0
+PORT_RANGE = range(12_000, 32_000)
+RESERVED_SOCKETS: list[socket.socket] = []
 
 
 class LaunchedProcess:
@@ -37,12 +37,12 @@
         name: str,
         popen: subprocess.Popen,
         ports: list[int],
-        log: pathlib.Path,
+        log_path: pathlib.Path,
     ) -> None:
         self.name = name
         self.popen = popen
         self.ports = ports
-        self.log = log
+        self.log_path = log_path
 
     @property
     def port(self) -> int:
@@ -81,13 +81,13 @@
         """Ask the process to stop, and return its exit code."""
         self.popen.send_signal(signal.SIGTERM)
         try:
-            return self.popen.wait(ENDING_SECONDS)
+            return self.popen.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired as exc:
             raise errors.DemoFailed(f'{self.name} does not stop') from exc
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class InstanceLocation:
     """Where an instance stands, and which others its settings name.
 
     ``platform_port`` 0 stands for that of the launcher's own platform.
@@ -112,7 +112,7 @@
         self.operator_key = secrets.token_urlsafe(16)
         self.account_key = secrets.token_urlsafe(16)
         self.cursor_secret = secrets.token_urlsafe(24)
-        self.platform = self.stand_in('platform', 'platform')
+        self.platform = self.start_stand_in('platform', 'platform')
         self.engines: dict[str, LaunchedProcess] = {}
         self.services: dict[str, LaunchedProcess] = {}
         self.instances: dict[str, LaunchedProcess] = {}
@@ -126,21 +126,21 @@
             self.platform,
         ]
 
-    def start(
+    def start_process(
         self, name: str, words: list[str], ports: list[int]
     ) -> LaunchedProcess:
         """Start the program with these arguments; its output goes to a log."""
-        log = self.folder / f'{name}.log'
+        log_path = self.folder / f'{name}.log'
         popen = subprocess.Popen(
-            [*program_words(), *words],
+            [*program_arguments(), *words],
             stdin=subprocess.DEVNULL,
-            stdout=self.enter_context(log.open('wb')),
+            stdout=self.enter_context(log_path.open('wb')),
             stderr=subprocess.STDOUT,
         )
-        self.callback(self.end, popen)
-        return LaunchedProcess(name, popen, ports, log)
+        self.callback(self.terminate_process, popen)
+        return LaunchedProcess(name, popen, ports, log_path)
 
-    def end(self, popen: subprocess.Popen) -> None:
+    def terminate_process(self, popen: subprocess.Popen) -> None:
         """End a process that still runs, if it can by itself."""
         if popen.poll() is None:
             popen.terminate()
@@ -150,40 +150,46 @@
             popen.kill()
         popen.wait()
 
-    def stand_in(self, kind: str, name: str, *flags: str) -> LaunchedProcess:
+    def start_stand_in(
+        self, kind: str, name: str, *flags: str
+    ) -> LaunchedProcess:
         """Start a stand-in."""
-        port = free_port()
+        port = reserve_port()
         words = ['stand-in', kind, f'--port={port}', f'--name={name}', *flags]
-        return self.start(name, words, [port])
+        return self.start_process(name, words, [port])
 
-    def engine(self, name: str, *flags: str) -> LaunchedProcess:
+    def start_engine(self, name: str, *flags: str) -> LaunchedProcess:
         """Start an engine stand-in."""
-        self.engines[name] = self.stand_in('engine', name, *flags)
+        self.engines[name] = self.start_stand_in('engine', name, *flags)
         return self.engines[name]
 
-    def service(self, name: str) -> LaunchedProcess:
+    def start_service(self, name: str) -> LaunchedProcess:
         """Start a plain-service stand-in."""
-        self.services[name] = self.stand_in('service', name)
+        self.services[name] = self.start_stand_in('service', name)
         return self.services[name]
 
-    def instance(self, name: str, place: Place = Place()) -> LaunchedProcess:
+    def start_instance(
+        self, name: str, location: InstanceLocation = InstanceLocation()
+    ) -> LaunchedProcess:
         """Start an instance."""
-        ports = [free_port() for _ in range(3)]
+        ports = [reserve_port() for _ in range(3)]
         path = self.folder / f'{name}.ini'
-        path.write_text(self.settings_text(name, ports, place))
+        path.write_text(self.render_settings(name, ports, location))
         words = ['serve', f'--settings={path}']
-        self.instances[name] = self.start(name, words, ports)
+        self.instances[name] = self.start_process(name, words, ports)
         return self.instances[name]
 
-    def settings_text(self, name: str, ports: list[int], place: Place) -> str:
+    def render_settings(
+        self, name: str, ports: list[int], location: InstanceLocation
+    ) -> str:
         """Return the settings file of an instance."""
-        peers = ', '.join(f'{HOST}:{one.peer_port}' for one in place.peers)
+        peers = ', '.join(f'{HOST}:{one.peer_port}' for one in location.peers)
         addresses = f'addresses = {peers}' if peers else ''
         return textwrap.dedent(
             f"""\
             [instance]
             name = {name}
-            data_centre = {place.data_centre}
+            data_centre = {location.data_centre}
             host = {HOST}
             caller_port = {ports[0]}
             operator_port = {ports[1]}
@@ -191,7 +197,7 @@
 
             [platform]
             host = {HOST}
-            port = {place.platform_port or self.platform.port}
+            port = {location.platform_port or self.platform.port}
             poll_seconds = {self.poll_seconds}
             timeout_seconds = 1.0
 
@@ -235,7 +241,7 @@
             ),
         )
 
-    def last_lines(self) -> str:
+    def log_tails(self) -> str:
         """Return the end of each log, for a report of what went wrong."""
         parts = []
         for path in sorted(self.folder.glob('*.log')):
@@ -244,7 +250,7 @@
         return '\n'.join(parts) + '\n'
 
 
-def program_words() -> list[str]:
+def program_arguments() -> list[str]:
     """Return the words that start this program once more.
 
     Within the one-file archive there is no module of that name to run.
@@ -264,7 +270,7 @@
     )
 
 
-def free_port() -> int:
+def reserve_port() -> int:
     """Return a port that nobody uses, kept for this process's children.
 
     The system gives outgoing connections ports from 32768 up, at any time,
@@ -276,7 +282,7 @@
     next one to draw the port is refused.
     """
     while True:
-        port = secrets.choice(PORTS)
+        port = secrets.choice(PORT_RANGE)
         reservation = socket.socket()
         try:
             reservation.bind((HOST, port))
@@ -284,7 +290,7 @@
             reservation.close()
             continue
         reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        RESERVATIONS.append(reservation)
+        RESERVED_SOCKETS.append(reservation)
         return port
 
 
@@ -293,7 +299,7 @@
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def listens(port: int) -> bool:
+def is_listening(port: int) -> bool:
     """Return whether somebody listens on a port."""
     try:
         with socket.create_connection((HOST, port), timeout=1.0):
@@ -304,19 +310,19 @@
 
 def wait_until_listening(
     processes: list[LaunchedProcess],
-    check: Callable[[], None],
-    patience_seconds: float = 30.0,
+    check_interrupted: Callable[[], None],
+    timeout_seconds: float = 30.0,
 ) -> None:
     """Return once all processes listen; raise if one ends or takes long.
 
     ``check`` is called now and again, and may raise.
     """
-    give_up_at = time.monotonic() + patience_seconds
+    deadline = time.monotonic() + timeout_seconds
     for process in processes:
-        while not all(listens(port) for port in process.served_ports):
-            check()
+        while not all(is_listening(port) for port in process.served_ports):
+            check_interrupted()
             if process.popen.poll() is not None:
                 raise errors.DemoFailed(f'{process.name} ended by itself')
-            if time.monotonic() > give_up_at:
+            if time.monotonic() > deadline:
                 raise errors.DemoFailed(f'{process.name} does not listen')
             time.sleep(0.02)
--- a/src/greengagelb/cli/main.py
+++ b/src/greengagelb/cli/main.py
@@ -11,13 +11,13 @@
 from greengagelb.cli import exit_codes
 from greengagelb.cli import help_texts
 
-HELP_WORDS = {'--help', '-h', '--helpfull', '--helpshort', 'help'}
+HELP_ARGUMENTS = {'--help', '-h', '--helpfull', '--helpshort', 'help'}
 
 
 def main(arguments: list[str]) -> int:
     """Run the subcommand that the arguments name."""
     try:
-        command, words = pick(arguments[1:])
+        command, words = select_command(arguments[1:])
         check_flags(command)
         return int(command.run(words))
     except errors.GreengagelbError as exc:
@@ -25,18 +25,18 @@
         return int(exit_code_of(exc))
 
 
-def pick(words: list[str]) -> tuple[commands.Command, list[str]]:
+def select_command(words: list[str]) -> tuple[commands.Command, list[str]]:
     """Return the command that is named, and the words after its name."""
     if not words:
         raise errors.CommandError('write a command; see greengagelb --help')
-    command = commands.find(words[0])
+    command = commands.find_command(words[0])
     if command is None:
         raise errors.CommandError(
             f'unknown command {words[0]}; see greengagelb --help'
         )
-    if len(words) - 1 > command.most_words:
+    if len(words) - 1 > command.max_words:
         raise errors.CommandError(
-            f'{command.name}: {words[command.most_words + 1]} is one word too '
+            f'{command.name}: {words[command.max_words + 1]} is one word too '
             f'many; see greengagelb {command.name} --help'
         )
     return command, words[1:]
@@ -82,8 +82,8 @@
         version = importlib.metadata.version('greengagelb')
         sys.stdout.write(f'greengagelb {version}\n')
         sys.exit(exit_codes.ExitCode.SUCCESS)
-    if HELP_WORDS & set(arguments[1:]):
-        sys.stdout.write(help_on(arguments[1:]))
+    if HELP_ARGUMENTS & set(arguments[1:]):
+        sys.stdout.write(select_help(arguments[1:]))
         sys.exit(exit_codes.ExitCode.SUCCESS)
     try:
         return flags.FLAGS(arguments)
@@ -94,10 +94,10 @@
         sys.exit(exit_codes.ExitCode.USAGE)
 
 
-def help_on(arguments: list[str]) -> str:
+def select_help(arguments: list[str]) -> str:
     """Return the help that the arguments ask for."""
     for word in arguments:
-        command = commands.find(word)
+        command = commands.find_command(word)
         if command is not None:
-            return help_texts.command_help(command)
-    return help_texts.overview()
+            return help_texts.render_command_help(command)
+    return help_texts.render_overview()
--- a/src/greengagelb/cli/operator_flags.py
+++ b/src/greengagelb/cli/operator_flags.py
@@ -25,7 +25,7 @@
 )
 
 
-def addresses() -> list[operator_client.Address]:
+def operator_addresses() -> list[operator_client.Address]:
     """Return the addresses that the flags name, at least one."""
     if not OPERATOR.value:
         raise errors.CommandError('write --operator=IP:PORT[,IP:PORT...]')
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -11,9 +11,9 @@
 from twisted.internet import interfaces
 
 from greengagelb import errors
+from greengagelb.cli import event_loop
 from greengagelb.cli import exit_codes
 from greengagelb.cli import operator_flags
-from greengagelb.cli import running
 from greengagelb.cli import tables
 from greengagelb.protocol import codec
 from greengagelb.protocol import operator_api
@@ -24,7 +24,7 @@
 DRAIN = flags.DEFINE_string(
     'drain', None, 'Intent: give the upstream of this name no new work.'
 )
-RETURN = flags.DEFINE_string(
+RETURN_UPSTREAM = flags.DEFINE_string(
     'return_upstream',
     None,
     'Intent: give new work again to the drained upstream of this name.',
@@ -39,7 +39,7 @@
 )
 
 T = TypeVar('T')
-Work = Callable[
+PlanCall = Callable[
     [operator_client.OperatorClient], Coroutine[Any, Any, plan_state.Plan]
 ]
 
@@ -47,7 +47,7 @@
 def plan(words: list[str]) -> int:
     """Ask for the plan of an intent; nothing takes effect yet."""
     intent = read_intent()
-    made = ask_first(lambda client: client.propose_plan(intent))
+    made = ask_first_instance(lambda client: client.propose_plan(intent))
     sys.stdout.write(render_plan(made))
     sys.stdout.write(
         'nothing has changed yet; to put it in force:\n'
@@ -58,15 +58,17 @@
 
 def show_plan(words: list[str]) -> int:
     """Show a plan that was made before."""
-    plan_id = one_word(words, 'show-plan PLAN_ID')
-    sys.stdout.write(render_plan(ask_first(lambda c: c.show_plan(plan_id))))
+    plan_id = only_argument(words, 'show-plan PLAN_ID')
+    sys.stdout.write(
+        render_plan(ask_first_instance(lambda c: c.show_plan(plan_id)))
+    )
     return exit_codes.ExitCode.SUCCESS
 
 
 def confirm(words: list[str]) -> int:
     """Put a plan in force."""
-    plan_id = one_word(words, 'confirm PLAN_ID')
-    done = ask_first(lambda client: client.confirm_plan(plan_id))
+    plan_id = only_argument(words, 'confirm PLAN_ID')
+    done = ask_first_instance(lambda client: client.confirm_plan(plan_id))
     sys.stdout.write(
         f'plan {done.plan_id} is confirmed: configuration version '
         f'{done.result.version}\nsee how far it is in force: '
@@ -77,7 +79,7 @@
 
 def status(words: list[str]) -> int:
     """Show what all instances say of themselves."""
-    addresses = operator_flags.addresses()
+    addresses = operator_flags.operator_addresses()
     key = operator_flags.operator_key()
 
     async def ask(reactor: interfaces.IReactorCore) -> list[Any]:
@@ -89,7 +91,7 @@
             clients, lambda client: client.fetch_status()
         )
 
-    answers = running.run_once(ask)
+    answers = event_loop.run_coroutine(ask)
     sys.stdout.write(render_status(answers))
     return exit_code_of(answers)
 
@@ -108,21 +110,21 @@
     return code
 
 
-def one_word(words: list[str], usage: str) -> str:
+def only_argument(words: list[str], usage: str) -> str:
     """Return the only argument of a command."""
     if len(words) != 1:
         raise errors.CommandError(f'write greengagelb {usage}')
     return words[0]
 
 
-def ask_first(work: Work) -> plan_state.Plan:
+def ask_first_instance(work: PlanCall) -> plan_state.Plan:
     """Ask the first of the given instances; the others are not needed.
 
     An instance that can't be reached was not changed by this command, but
     the command does not go on to the next by itself: a confirmation whose
     answer was lost may have taken effect, and the operator has to look.
     """
-    address = operator_flags.addresses()[0]
+    address = operator_flags.operator_addresses()[0]
     key = operator_flags.operator_key()
 
     async def ask(reactor: interfaces.IReactorCore) -> plan_state.Plan:
@@ -130,12 +132,12 @@
             operator_client.OperatorClient(reactor, address, key)
         )
 
-    return running.run_once(ask)
+    return event_loop.run_coroutine(ask)
 
 
 def read_intent() -> plan_state.Intent:
     """Return the one intent that the flags state."""
-    flags_given = (DRAIN, RETURN, CONFIGURATION, INTENT)
+    flags_given = (DRAIN, RETURN_UPSTREAM, CONFIGURATION, INTENT)
     if sum(flag.value is not None for flag in flags_given) != 1:
         raise errors.CommandError(
             'write one of --drain=UPSTREAM, --return_upstream=UPSTREAM, '
@@ -143,8 +145,8 @@
         )
     if DRAIN.value is not None:
         return plan_state.DrainUpstream(DRAIN.value)
-    if RETURN.value is not None:
-        return plan_state.ReturnUpstream(RETURN.value)
+    if RETURN_UPSTREAM.value is not None:
+        return plan_state.ReturnUpstream(RETURN_UPSTREAM.value)
     if CONFIGURATION.value is not None:
         return plan_state.ReplaceConfiguration(
             read_json(CONFIGURATION.value, read_configuration)
@@ -179,7 +181,7 @@
     ]
     lines += [capacity_line(capacity) for capacity in shown.capacity]
     lines += [f'  WARNING: {warning}' for warning in shown.warnings]
-    return '\n'.join(tables.clean(line) for line in lines) + '\n'
+    return '\n'.join(tables.replace_unprintable(line) for line in lines) + '\n'
 
 
 def capacity_line(capacity: plan_state.Capacity) -> str:
--- a/src/greengagelb/cli/serve.py
+++ b/src/greengagelb/cli/serve.py
@@ -34,12 +34,12 @@
 
     reactors.use_monotonic_clock(reactor)
     recorder.configure_logging()
-    running = instance.Instance(reactor, found)
+    served_instance = instance.Instance(reactor, found)
     outcomes: list[int] = []
 
     def start() -> None:
         try:
-            running.start()
+            served_instance.start()
         except errors.CannotListen as exc:
             # Another process has the port. The loop would go on without it
             # and the instance would look alive while nobody reaches it.
@@ -48,10 +48,12 @@
             reactor.stop()
 
     reactor.callWhenRunning(start)
-    running.stopped.addCallback(lambda _: reactor.stop())
+    served_instance.stopped.addCallback(lambda _: reactor.stop())
 
     def stop(number: int, frame: object) -> None:
-        reactor.callFromThread(running.dispatch, events.StopRequested())
+        reactor.callFromThread(
+            served_instance.dispatch, events.StopRequested()
+        )
 
     signal.signal(signal.SIGTERM, stop)
     signal.signal(signal.SIGINT, stop)
--- a/src/greengagelb/cli/tables.py
+++ b/src/greengagelb/cli/tables.py
@@ -1,6 +1,6 @@
 """Tables of text with aligned columns."""
 
-GAP = '  '
+COLUMN_GAP = '  '
 
 
 def render(rows: list[list[str]]) -> str:
@@ -10,14 +10,14 @@
     lines = []
     for row in rows:
         cells = [
-            clean(cell).ljust(width)
+            replace_unprintable(cell).ljust(width)
             for cell, width in zip(row, widths, strict=True)
         ]
-        lines.append(GAP.join(cells).rstrip())
+        lines.append(COLUMN_GAP.join(cells).rstrip())
     return '\n'.join(lines) + '\n'
 
 
-def clean(cell: str) -> str:
+def replace_unprintable(cell: str) -> str:
     """Return a cell without characters that would act on a terminal.
 
     Request ids come from callers. One that holds an escape sequence could
--- a/src/greengagelb/cli/timeline.py
+++ b/src/greengagelb/cli/timeline.py
@@ -7,9 +7,9 @@
 from absl import flags
 from twisted.internet import interfaces
 
+from greengagelb.cli import event_loop
 from greengagelb.cli import operator_flags
 from greengagelb.cli import operators
-from greengagelb.cli import running
 from greengagelb.cli import tables
 from greengagelb.protocol import timeline_api
 from greengagelb.state import timeline as timeline_state
@@ -20,7 +20,7 @@
     'account', '', 'Only events of this client account.'
 )
 KIND = flags.DEFINE_string('kind', '', 'Only events of this kind.')
-MOST_EVENTS = flags.DEFINE_integer(
+MAX_EVENTS = flags.DEFINE_integer(
     'most_events',
     2_000,
     'The last events that each instance gives.',
@@ -28,9 +28,9 @@
     upper_bound=timeline_api.MAX_EVENTS,
 )
 
-WIDEST_CELL = 60
-CUT = '...'
-HEADING = [
+MAX_CELL_WIDTH = 60
+ELLIPSIS = '...'
+COLUMNS = [
     'TIME (UTC)',
     'SINCE START',
     'PROCESS',
@@ -42,15 +42,15 @@
     'ATTEMPT',
 ]
 
-Part = timeline_api.TimelinePart | operator_client.NoAnswer
+InstanceAnswer = timeline_api.TimelinePart | operator_client.NoAnswer
 
 
 def timeline(words: list[str]) -> int:
     """Show the events of all given instances, merged."""
-    addresses = operator_flags.addresses()
+    addresses = operator_flags.operator_addresses()
     key = operator_flags.operator_key()
-    wanted = timeline_state.Selection(
-        ACCOUNT.value, REQUEST.value, KIND.value, MOST_EVENTS.value
+    selection = timeline_state.Selection(
+        ACCOUNT.value, REQUEST.value, KIND.value, MAX_EVENTS.value
     )
 
     async def ask(reactor: interfaces.IReactorCore) -> list[Any]:
@@ -59,15 +59,17 @@
             for address in addresses
         ]
         return await operator_client.query_instances(
-            clients, lambda client: client.timeline(wanted)
+            clients, lambda client: client.timeline(selection)
         )
 
-    parts = running.run_once(ask)
-    sys.stdout.write(render(parts, wanted))
+    parts = event_loop.run_coroutine(ask)
+    sys.stdout.write(render(parts, selection))
     return operators.exit_code_of(parts)
 
 
-def merge(parts: list[Part]) -> list[timeline_state.TimelineEvent]:
+def merge_events(
+    parts: list[InstanceAnswer],
+) -> list[timeline_state.TimelineEvent]:
     """Return the events of all parts in the order of their stamps."""
     events = []
     for part in parts:
@@ -77,15 +79,17 @@
     return sorted(events, key=timeline_state.sort_key)
 
 
-def render(parts: list[Part], wanted: timeline_state.Selection) -> str:
+def render(
+    parts: list[InstanceAnswer], selection: timeline_state.Selection
+) -> str:
     """Return the merged time line as text, and what may be missing in it."""
-    events = merge(parts)
+    events = merge_events(parts)
     lines = ''
     if events:
         start = events[0].stamp.milliseconds
-        rows = [HEADING, *(row_of(event, start) for event in events)]
+        rows = [COLUMNS, *(row_of(event, start) for event in events)]
         lines = tables.render(rows)
-    notes = [note for part in parts for note in notes_of(part, wanted)]
+    notes = [note for part in parts for note in notes_of(part, selection)]
     if not events:
         notes.append('no event matches')
     return lines + ''.join(f'note: {note}\n' for note in notes)
@@ -103,26 +107,28 @@
         f'{since / 1000:+.3f} s',
         event.process,
         event.kind,
-        clip(request),
+        truncate_cell(request),
         str(event.generation or '-'),
         event.upstream or '-',
-        clip(event.reason),
+        truncate_cell(event.reason),
         event.attempt or '-',
     ]
 
 
-def clip(cell: str) -> str:
+def truncate_cell(cell: str) -> str:
     """Return a cell that leaves room for the others on a screen.
 
     Callers choose their request ids, and one long id would push all other
     columns out of sight.
     """
-    if len(cell) <= WIDEST_CELL:
+    if len(cell) <= MAX_CELL_WIDTH:
         return cell
-    return cell[: WIDEST_CELL - len(CUT)] + CUT
+    return cell[: MAX_CELL_WIDTH - len(ELLIPSIS)] + ELLIPSIS
 
 
-def notes_of(part: Part, wanted: timeline_state.Selection) -> list[str]:
+def notes_of(
+    part: InstanceAnswer, selection: timeline_state.Selection
+) -> list[str]:
     """Return what a reader has to know of a part that is not whole."""
     match part:
         case operator_client.NoAnswer(address, _, reason):
@@ -133,7 +139,7 @@
                 notes.append(
                     f'{process} has dropped its oldest {dropped} events'
                 )
-            if len(part.events) == wanted.most_events:
+            if len(part.events) == selection.most_events:
                 notes.append(
                     f'{process} may have more events: raise --most_events'
                 )
--- a/src/greengagelb/platform/process.py
+++ b/src/greengagelb/platform/process.py
@@ -19,9 +19,9 @@
 from greengagelb.transport import settings_file
 
 SETTINGS_VARIABLE = 'GREENGAGELB_SETTINGS'
-LOG_FLUSH_SECONDS = 0.5
+LOG_FLUSH_INTERVAL_SECONDS = 0.5
 # The platform says by a signal that the file has changed, but not always.
-SETTINGS_LOOK_SECONDS = 1.0
+SETTINGS_POLL_INTERVAL_SECONDS = 1.0
 
 read_settings = relay_settings.read_relay_settings
 
@@ -52,29 +52,33 @@
     reactors.use_monotonic_clock(reactor)
     log = bounded_log.BoundedLog(sys.stdout.fileno(), reactor.seconds)
     recorder.configure_logging(log)
-    running = instance.RelayInstance(
+    relay_instance = instance.RelayInstance(
         reactor,
         settings,
         wire.PlatformDialect(),
         lambda pool: store.PlatformStore(pool, settings.store.address),
     )
-    running.loop.call_periodically(LOG_FLUSH_SECONDS, log.flush)
-    running.stopped.addCallback(lambda _: reactor.stop())
-    reactor.callWhenRunning(running.start)
-    file = settings_file.WatchedFile(
-        path, lambda: running.reload(lambda: read_settings(path))
+    relay_instance.loop.call_periodically(
+        LOG_FLUSH_INTERVAL_SECONDS, log.flush
     )
-    running.loop.call_periodically(
-        SETTINGS_LOOK_SECONDS, file.check_for_change
+    relay_instance.stopped.addCallback(lambda _: reactor.stop())
+    reactor.callWhenRunning(relay_instance.start)
+    watched_file = settings_file.WatchedFile(
+        path, lambda: relay_instance.reload(lambda: read_settings(path))
+    )
+    relay_instance.loop.call_periodically(
+        SETTINGS_POLL_INTERVAL_SECONDS, watched_file.check_for_change
     )
     # A busy loop looks late; the time for a stop counts from the signal.
     signal.signal(
         signal.SIGTERM,
-        lambda *_: reactor.callFromThread(running.stop, reactor.seconds()),
+        lambda *_: reactor.callFromThread(
+            relay_instance.stop, reactor.seconds()
+        ),
     )
     signal.signal(
         signal.SIGHUP,
-        lambda *_: reactor.callFromThread(file.handle_change_notice),
+        lambda *_: reactor.callFromThread(watched_file.handle_change_notice),
     )
     reactor.run(installSignalHandlers=False)
     return 0
--- a/src/greengagelb/platform/row_answers.py
+++ b/src/greengagelb/platform/row_decoding.py
@@ -10,7 +10,7 @@
 from greengagelb.protocol import codec
 
 
-class AnyRows(msgspec.Struct):
+class UntypedRows(msgspec.Struct):
     """An answer whose rows may be of any type."""
 
     rows: list[Any]
@@ -34,10 +34,10 @@
     try:
         return codec.decode(body, rows.Rows)
     except errors.ProtocolError:
-        return read_one_by_one(body)
+        return read_rows_individually(body)
 
 
-def read_one_by_one(body: bytes) -> rows.Rows:
+def read_rows_individually(body: bytes) -> rows.Rows:
     """Return the rows in an answer of which some are not as agreed.
 
     Read by the parser that also accepts texts which are no Unicode; the
@@ -45,7 +45,7 @@
     """
     try:
         document = json.loads(body.decode('utf-8', 'replace'))
-        found = msgspec.convert(document, AnyRows)
+        found = msgspec.convert(document, UntypedRows)
     except (ValueError, RecursionError) as exc:
         raise errors.ProtocolError(f'no rows: {exc}') from exc
     answer = rows.Rows([], found.ver, found.has_more)
@@ -53,14 +53,14 @@
         try:
             answer.rows.append(msgspec.convert(value, rows.Row))
         except msgspec.ValidationError as exc:
-            key = key_of(value)
+            key = key_of_row(value)
             # Those without a key are one for whoever counts mistakes.
             mistake = str(exc) if key else 'row without a key'
             answer.rows.append(rows.Row(key, mistake=mistake))
     return answer
 
 
-def key_of(value: object) -> str:
+def key_of_row(value: object) -> str:
     """Return the key of a row of any type, empty where it has none."""
     try:
         return msgspec.convert(value, RowKey).key
--- a/src/greengagelb/platform/rows.py
+++ b/src/greengagelb/platform/rows.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from greengagelb import errors
-from greengagelb.platform import checks
+from greengagelb.platform import validation
 from greengagelb.protocol import codec
 from greengagelb.state import crashes
 from greengagelb.state.relay import engines
@@ -23,7 +23,7 @@
 Counter = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=2**31 - 1)]
-Rank = Annotated[int, msgspec.Meta(ge=0, le=2**31 - 1)]
+PriorityNumber = Annotated[int, msgspec.Meta(ge=0, le=2**31 - 1)]
 Weight = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
 # Eleven days at the most: a timer for longer can't be waited for.
 Milliseconds = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
@@ -32,9 +32,9 @@
 # As long as the store's keys may be. Ten entries with longer names would not
 # fit the datagram in which the neighbours are told of them.
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-Place = Annotated[str, msgspec.Meta(max_length=200)]
+DataCentreName = Annotated[str, msgspec.Meta(max_length=200)]
 
-REPEATS = {
+REPEAT_BY_KIND = {
     'safe': routes.RepeatPolicy.IDEMPOTENT,
     'unsafe': routes.RepeatPolicy.AT_MOST_ONCE,
     'streaming': routes.RepeatPolicy.STREAM,
@@ -42,8 +42,8 @@
 DRAINING = 'draining'
 # The greatest whole number that every reader of JSON takes in exactly. As
 # milliseconds it is far beyond any date, and it fits our own datagrams.
-MOST_MILLISECONDS = 2**53
-StartMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=MOST_MILLISECONDS)]
+MAX_MILLISECONDS = 2**53
+StartMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=MAX_MILLISECONDS)]
 
 
 class Row(msgspec.Struct):
@@ -93,7 +93,7 @@
     value: str
 
 
-class Change(msgspec.Struct):
+class Transaction(msgspec.Struct):
     """A transaction: rows that must have a version, to write, to remove."""
 
     expected_rev: list[RowName]
@@ -117,7 +117,7 @@
     kind: str
     timeout_ms: Timeout
     latency_goal_ms: Milliseconds = 1000.0
-    priority: Rank = 5
+    priority: PriorityNumber = 5
     service: str = ''
     split: list[WireSplit] = []
     max_attempts: Count = 1
@@ -154,12 +154,12 @@
     idle_timeout_ms: Timeout = 15_000.0
 
 
-class WireTenant(msgspec.Struct):
+class WireAccount(msgspec.Struct):
     """A client account and its keys."""
 
     name: str
     api_keys: list[str] = []
-    priority: Rank | None = None
+    priority: PriorityNumber | None = None
 
 
 class WireConfig(msgspec.Struct):
@@ -169,7 +169,7 @@
     routes: list[WireRoute] = []
     services: list[WireService] = []
     limits: WireLimits = msgspec.field(default_factory=WireLimits)
-    tenants: list[WireTenant] | None = None
+    tenants: list[WireAccount] | None = None
 
 
 class WireEngine(msgspec.Struct):
@@ -182,7 +182,7 @@
 
     service: Name
     address: str
-    zone: Place
+    zone: DataCentreName
     slots: Count
     state: Literal['ready', 'draining']
     seq: Counter
@@ -207,7 +207,7 @@
     return codec.decode(raw, kind)
 
 
-def read_table(row: Row) -> routes.RouteTable:
+def read_route_table(row: Row) -> routes.RouteTable:
     """Return the configuration in a row."""
     config = decode_value(row, WireConfig)
     services = {service.name for service in config.services}
@@ -229,7 +229,7 @@
 
 def read_route(route: WireRoute) -> routes.Route:
     """Return a route."""
-    repeat = REPEATS.get(route.kind)
+    repeat = REPEAT_BY_KIND.get(route.kind)
     if repeat is None:
         raise errors.ProtocolError(
             f'route {route.name}: unknown kind {route.kind}'
@@ -268,7 +268,7 @@
         service.name,
         service.max_conns,
         model and read_model_engines(model),
-        checks.read_path(service.health_path, 'health path'),
+        validation.check_path(service.health_path, 'health path'),
     )
 
 
@@ -294,22 +294,22 @@
 
 
 def read_accounts(
-    tenants: list[WireTenant] | None,
+    tenants: list[WireAccount] | None,
 ) -> dict[bytes, routes.Account] | None:
     """Return the accounts by the digests of their keys."""
     if tenants is None:
         return None
     return {
-        routes.hash_api_key(key): read_account(tenant)
-        for tenant in tenants
-        for key in tenant.api_keys
+        routes.hash_api_key(key): read_account(account)
+        for account in tenants
+        for key in account.api_keys
     }
 
 
-def read_account(tenant: WireTenant) -> routes.Account:
+def read_account(account: WireAccount) -> routes.Account:
     """Return an account; engines are told its name in a header."""
-    name = checks.read_header_text(tenant.name, 'name of an account')
-    return routes.Account(name, tenant.priority)
+    name = validation.check_header_text(account.name, 'name of an account')
+    return routes.Account(name, account.priority)
 
 
 def read_engine(row: Row) -> engines.EngineEntry:
@@ -320,9 +320,9 @@
     """
     engine = decode_value(row, WireEngine)
     return engines.EngineEntry(
-        checks.read_identity(row.key),
+        validation.check_engine_identity(row.key),
         engine.service,
-        checks.read_address(engine.address),
+        validation.parse_address(engine.address),
         engine.zone,
         engine.slots,
         engine.state == DRAINING,
@@ -338,7 +338,7 @@
         raise errors.ProtocolError('entry names another instance')
     if not member.incarnation:
         raise errors.ProtocolError('entry without an incarnation')
-    checks.read_host(member.host)
+    validation.parse_host(member.host)
     return member
 
 
--- a/src/greengagelb/platform/store.py
+++ b/src/greengagelb/platform/store.py
@@ -5,7 +5,7 @@
 from twisted.internet import defer
 
 from greengagelb import errors
-from greengagelb.platform import row_answers
+from greengagelb.platform import row_decoding
 from greengagelb.platform import rows
 from greengagelb.protocol import codec
 from greengagelb.state import crashes
@@ -25,33 +25,33 @@
 MEMBERS_TABLE = 'instances'
 # Beside them stand the crashes under requests, so that no further call reads
 # them. Names of instances have no slash.
-CRASHES_PREFIX = 'crashes/'
+CRASH_KEY_PREFIX = 'crashes/'
 # The most rows in one answer, by the platform's page on its store.
-MOST_ROWS = 500
+MAX_ROWS_PER_PAGE = 500
 # In the head of each answer: how often the store has come back from a copy.
-ERA = b'store-era'
+ERA_HEADER = b'store-era'
 # Longer ones are no count, and don't fit our own datagrams.
-MOST_ERA_DIGITS = 15
+MAX_ERA_DIGITS = 15
 # How often a list of several answers is begun anew, as a copy has taken the
 # store's place meanwhile.
-MOST_LIST_TRIES = 3
-OK = 200
-GONE = 410
+MAX_LIST_ATTEMPTS = 3
+STATUS_OK = 200
+STATUS_GONE = 410
 # An answer begins within some milliseconds, and within a quarter of a second
 # while the store is slow. On a connection on which an answer was lost nothing
 # more ever comes. In seconds.
-ANSWER_SECONDS = 0.6
+ANSWER_START_TIMEOUT_SECONDS = 0.6
 # An answer has at most a megabyte of rows, by the platform's page on its
 # store; the second one is for what stands around them.
-MOST_BYTES = 2 << 20
+MAX_ANSWER_BYTES = 2 << 20
 # How long an answer may come that tells all there is, in seconds. Nothing
 # shorter could be asked for, so it only bounds what a store may hold up that
 # sends a little now and then: a megabyte takes 1.6 s on the smallest link in
 # use, of 5 Mbit/s, and that has callers to serve besides.
-WHOLE_SECONDS = 10.0
+LIST_TRANSFER_TIMEOUT_SECONDS = 10.0
 # The same for changes. What there is may be far less than what has changed,
 # and then comes sooner.
-CHANGES_SECONDS = 1.0
+CHANGES_TRANSFER_TIMEOUT_SECONDS = 1.0
 
 
 class PlatformStore:
@@ -67,28 +67,30 @@
         """Ask at another address from now on."""
         self.address = address
 
-    def get(
+    def get_rows(
         self, target: str, seconds: float, coming_seconds: float
     ) -> defer.Deferred:
         """Return the rows in a good answer to a reading call."""
         host = (b'Host', str(self.address).encode())
         request = http_client.WireRequest(b'GET', target.encode(), (host,))
-        asked = self.ask(request, seconds, coming_seconds)
-        return asked.addCallback(read_rows)
+        pending = self.send_request(request, seconds, coming_seconds)
+        return pending.addCallback(read_rows)
 
-    def write(self, change: rows.Change) -> defer.Deferred:
+    def commit_transaction(
+        self, transaction: rows.Transaction
+    ) -> defer.Deferred:
         """Carry out a change of one row."""
         headers = (
             (b'Host', str(self.address).encode()),
             (b'Content-Type', b'application/json'),
         )
-        body = codec.encode(change)
-        return self.ask(
+        body = codec.encode(transaction)
+        return self.send_request(
             http_client.WireRequest(b'POST', b'/api/rows-tx', headers, body),
-            ANSWER_SECONDS,
+            ANSWER_START_TIMEOUT_SECONDS,
         )
 
-    def ask(
+    def send_request(
         self,
         request: http_client.WireRequest,
         seconds: float,
@@ -100,27 +102,29 @@
         :class:`~greengagelb.errors.HistoryGone` and
         :class:`~greengagelb.errors.AnswerTooLong`.
         """
-        asked: defer.Deferred = defer.Deferred()
+        pending: defer.Deferred = defer.Deferred()
         question = timed_requests.TimedRequest(
             f'store {self.address}',
             self.address,
             request,
             seconds,
-            MOST_BYTES,
+            MAX_ANSWER_BYTES,
             receive_seconds=coming_seconds,
         )
-        timed_requests.send_timed_request(self.pool, question, asked.callback)
-        return asked.addCallback(check_status)
+        timed_requests.send_timed_request(
+            self.pool, question, pending.callback
+        )
+        return pending.addCallback(check_status)
 
     @defer.inlineCallbacks
-    def read_all(self, table: str) -> object:
+    def read_whole_table(self, table: str) -> object:
         """Return all rows of a table, however many answers they take.
 
         The version is that of the first answer: what changes while the others
         are fetched is then found again among the changes since. Answers of
         two eras don't belong together.
         """
-        for _ in range(MOST_LIST_TRIES):
+        for _ in range(MAX_LIST_ATTEMPTS):
             pages = yield self.read_pages(table)
             if len({page.era for page in pages}) == 1:
                 found = [row for page in pages for row in page.rows]
@@ -131,20 +135,22 @@
     def read_pages(self, table: str) -> object:
         """Return a table's answers, up to the first of another era."""
         pages = [(yield self.read_page(table, ''))]
-        last = ''
+        start_key = ''
         while pages[-1].has_more and pages[-1].era == pages[0].era:
-            last = last_key(pages[-1], last)
-            page = yield self.read_page(table, last)
-            page.rows = [row for row in page.rows if row.key != last]
+            start_key = next_page_start(pages[-1], start_key)
+            page = yield self.read_page(table, start_key)
+            page.rows = [row for row in page.rows if row.key != start_key]
             pages.append(page)
         return pages
 
-    def read_page(self, table: str, begin: str) -> defer.Deferred:
+    def read_page(self, table: str, start_key: str) -> defer.Deferred:
         """Return the rows of a table from a key on, that one included."""
-        target = f'/api/rows-get?table={table}&part=&limit={MOST_ROWS}'
-        if begin:
-            target += f'&from={urllib.parse.quote(begin, safe="")}'
-        return self.get(target, ANSWER_SECONDS, WHOLE_SECONDS)
+        target = f'/api/rows-get?table={table}&part=&limit={MAX_ROWS_PER_PAGE}'
+        if start_key:
+            target += f'&from={urllib.parse.quote(start_key, safe="")}'
+        return self.get_rows(
+            target, ANSWER_START_TIMEOUT_SECONDS, LIST_TRANSFER_TIMEOUT_SECONDS
+        )
 
     def read_changes(
         self,
@@ -155,10 +161,10 @@
         """Return the rows that have changed since a version."""
         wait = int(wait_seconds * 1000)
         since = position.version
-        return self.get(
+        return self.get_rows(
             f'/api/rows-feed?table={table}&after_rev={since}&wait_ms={wait}',
-            wait_seconds + ANSWER_SECONDS,
-            CHANGES_SECONDS,
+            wait_seconds + ANSWER_START_TIMEOUT_SECONDS,
+            CHANGES_TRANSFER_TIMEOUT_SECONDS,
         )
 
     # -- what the watch asks for --------------------------------------------
@@ -168,50 +174,52 @@
     ) -> defer.Deferred:
         """Return the configuration, or what has become of it since."""
         if position is None:
-            found = self.read_all(OPERATORS_TABLE)
+            found = self.read_whole_table(OPERATORS_TABLE)
         else:
             found = self.read_changes(OPERATORS_TABLE, position, wait_seconds)
-        return found.addCallback(configuration_of)
+        return found.addCallback(configuration_from_rows)
 
     def read_engines(
         self, position: positions.StorePosition | None
     ) -> defer.Deferred:
         """Return the list of engines, or what has changed in it since."""
         if position is None:
-            found = self.read_all(ENGINES_TABLE)
+            found = self.read_whole_table(ENGINES_TABLE)
         else:
             found = self.read_changes(ENGINES_TABLE, position, 0.0)
-        return found.addCallback(engines_of)
+        return found.addCallback(engines_from_rows)
 
     def register(self, member: hints.Member) -> defer.Deferred:
         """Write this instance's own entry."""
         row = rows.NewRow(
             MEMBERS_TABLE, '', member.name, rows.encode_value(member)
         )
-        return self.write(rows.Change([], [row], []))
+        return self.commit_transaction(rows.Transaction([], [row], []))
 
     def unregister(self, member: hints.Member) -> defer.Deferred:
         """Remove this instance's own entry."""
         row = rows.RowName(MEMBERS_TABLE, '', member.name)
-        return self.write(rows.Change([], [], [row]))
+        return self.commit_transaction(rows.Transaction([], [], [row]))
 
     def read_members(self) -> defer.Deferred:
         """Return the entries of all instances."""
-        return self.read_all(MEMBERS_TABLE).addCallback(members_of)
+        return self.read_whole_table(MEMBERS_TABLE).addCallback(
+            members_from_rows
+        )
 
     def write_crashes(self, kept: crashes.StoredCrashes) -> defer.Deferred:
         """Write the crashes under a request."""
-        key = CRASHES_PREFIX + kept.fingerprint
+        key = CRASH_KEY_PREFIX + kept.fingerprint
         row = rows.NewRow(MEMBERS_TABLE, '', key, rows.encode_value(kept))
-        return self.write(rows.Change([], [row], []))
+        return self.commit_transaction(rows.Transaction([], [row], []))
 
     def delete_crashes(self, fingerprint: str) -> defer.Deferred:
         """Remove the crashes under a request."""
-        row = rows.RowName(MEMBERS_TABLE, '', CRASHES_PREFIX + fingerprint)
-        return self.write(rows.Change([], [], [row]))
+        row = rows.RowName(MEMBERS_TABLE, '', CRASH_KEY_PREFIX + fingerprint)
+        return self.commit_transaction(rows.Transaction([], [], [row]))
 
 
-def last_key(page: rows.Rows, before: str) -> str:
+def next_page_start(page: rows.Rows, previous_start: str) -> str:
     """Return the key with which the next page is to begin.
 
     Raises :class:`~greengagelb.errors.ProtocolError` where the page brings
@@ -219,12 +227,12 @@
     the store would never have told the whole list.
     """
     for row in reversed(page.rows):
-        if row.key and row.key != before and is_text(row.key):
+        if row.key and row.key != previous_start and is_encodable(row.key):
             return row.key
     raise errors.ProtocolError('page of rows does not lead on')
 
 
-def is_text(key: str) -> bool:
+def is_encodable(key: str) -> bool:
     """Return whether a key can be sent; half a surrogate pair can't."""
     try:
         key.encode()
@@ -233,7 +241,7 @@
     return True
 
 
-def members_of(found: rows.Rows) -> store_watch.MembersRead:
+def members_from_rows(found: rows.Rows) -> store_watch.MembersRead:
     """Return the instances in some rows, and the crashes beside them."""
     members = []
     kept = []
@@ -242,13 +250,15 @@
         if row.tombstone:
             continue
         try:
-            if row.key.startswith(CRASHES_PREFIX):
-                kept.append(rows.read_crashes(row, CRASHES_PREFIX))
+            if row.key.startswith(CRASH_KEY_PREFIX):
+                kept.append(rows.read_crashes(row, CRASH_KEY_PREFIX))
             else:
                 members.append(rows.read_member(row))
         except errors.ProtocolError as exc:
             mistakes[row.key] = str(exc)
-    return store_watch.MembersRead(tuple(members), told(mistakes), tuple(kept))
+    return store_watch.MembersRead(
+        tuple(members), unusable_entries_from(mistakes), tuple(kept)
+    )
 
 
 def check_status(answer: timed_requests.Answer) -> timed_requests.Answer:
@@ -258,16 +268,16 @@
     if answer.response is None:
         raise errors.PlatformUnavailable(answer.detail)
     status = answer.response.status_code
-    if status == GONE:
+    if status == STATUS_GONE:
         raise errors.HistoryGone('changes are no longer kept')
-    if status != OK:
+    if status != STATUS_OK:
         raise errors.PlatformUnavailable(f'status {status}')
     return answer
 
 
 def read_rows(answer: timed_requests.Answer) -> rows.Rows:
     """Return the rows in an answer, with the era in its head."""
-    found = row_answers.read_rows(answer.body)
+    found = row_decoding.read_rows(answer.body)
     found.era = read_era(answer)
     return found
 
@@ -275,27 +285,27 @@
 def read_era(answer: timed_requests.Answer) -> int:
     """Return the era that an answer states, if it is a whole number."""
     fields = tuple(answer.response.headers.raw_items())
-    stated = http1.first_header_value(fields, ERA) or b''
-    if not stated.isdigit() or len(stated) > MOST_ERA_DIGITS:
+    stated = http1.first_header_value(fields, ERA_HEADER) or b''
+    if not stated.isdigit() or len(stated) > MAX_ERA_DIGITS:
         return positions.NO_ERA
     return int(stated)
 
 
-def configuration_of(found: rows.Rows) -> store_watch.ConfigurationRead:
+def configuration_from_rows(found: rows.Rows) -> store_watch.ConfigurationRead:
     """Return the configuration among some rows."""
     table = None
     mistake = ''
     for row in found.rows:
         if row.key == CONFIGURATION_KEY and not row.tombstone:
             try:
-                table = rows.read_table(row)
+                table = rows.read_route_table(row)
                 mistake = ''
             except errors.ProtocolError as exc:
                 mistake = str(exc)
     return store_watch.ConfigurationRead(found.position, table, mistake)
 
 
-def engines_of(found: rows.Rows) -> store_watch.EnginesRead:
+def engines_from_rows(found: rows.Rows) -> store_watch.EnginesRead:
     """Return the entries of engines among some rows.
 
     Of several changes of one row the last one counts; that an engine said in
@@ -315,11 +325,14 @@
         except errors.ProtocolError as exc:
             mistakes[row.key] = str(exc)
     return store_watch.EnginesRead(
-        found.position, tuple(entries), tuple(removed), told(mistakes)
+        found.position,
+        tuple(entries),
+        tuple(removed),
+        unusable_entries_from(mistakes),
     )
 
 
-def told(
+def unusable_entries_from(
     mistakes: dict[str, str],
 ) -> tuple[unusable_entries.UnusableEntry, ...]:
     """Return mistakes by the keys of their rows as they are told."""
--- a/src/greengagelb/platform/checks.py
+++ b/src/greengagelb/platform/validation.py
@@ -11,18 +11,18 @@
 from greengagelb import errors
 from greengagelb.state.relay import engines
 
-MOST_PORT = 65_535
+MAX_PORT = 65_535
 # Digits only, in ASCII: other digits are no number to everybody.
-PORT = re.compile('[0-9]{1,5}')
+PORT_PATTERN = re.compile('[0-9]{1,5}')
 # A header has no control characters, and no spaces at its ends.
-HEADER_TEXT = re.compile(
+HEADER_TEXT_PATTERN = re.compile(
     r'[^\x00-\x20\x7f]([^\x00-\x1f\x7f]*[^\x00-\x20\x7f])?'
 )
 # A path in a request is visible ASCII.
-PATH = re.compile('/[!-~]*')
+PATH_PATTERN = re.compile('/[!-~]*')
 
 
-def read_host(text: str) -> str:
+def parse_host(text: str) -> str:
     """Return an IP number that one machine can be reached at.
 
     Raises :class:`~greengagelb.errors.ProtocolError`. Names are none: they
@@ -37,32 +37,32 @@
     return text
 
 
-def read_address(text: str) -> engines.Address:
+def parse_address(text: str) -> engines.Address:
     """Return the address in ``IP:PORT``."""
     host, _, port = text.rpartition(':')
-    if not PORT.fullmatch(port):
+    if not PORT_PATTERN.fullmatch(port):
         raise errors.ProtocolError('port is no number')
-    if not 0 < int(port) <= MOST_PORT:
+    if not 0 < int(port) <= MAX_PORT:
         raise errors.ProtocolError('port is out of range')
-    return engines.Address(read_host(host), int(port))
+    return engines.Address(parse_host(host), int(port))
 
 
-def read_header_text(text: str, name: str) -> str:
+def check_header_text(text: str, name: str) -> str:
     """Return a text that can stand in a header."""
-    if not HEADER_TEXT.fullmatch(text):
+    if not HEADER_TEXT_PATTERN.fullmatch(text):
         raise errors.ProtocolError(f'{name} can not stand in a header')
     return text
 
 
-def read_identity(text: str) -> str:
+def check_engine_identity(text: str) -> str:
     """Return what an engine is named by in requests and answers."""
     if not text.isascii():
         raise errors.ProtocolError('identity is not ASCII')
-    return read_header_text(text, 'identity')
+    return check_header_text(text, 'identity')
 
 
-def read_path(text: str, name: str) -> str:
+def check_path(text: str, name: str) -> str:
     """Return a path that can be asked for."""
-    if not PATH.fullmatch(text):
+    if not PATH_PATTERN.fullmatch(text):
         raise errors.ProtocolError(f'{name} is no path')
     return text
--- a/src/greengagelb/platform/wire.py
+++ b/src/greengagelb/platform/wire.py
@@ -12,49 +12,49 @@
 from greengagelb.transport.relay import http1
 from greengagelb.transport.relay import http_client
 
-REQUEST_ID = b'Request-Id'
+REQUEST_ID_HEADER = b'Request-Id'
 # How long the sender still waits, in milliseconds: a time left, although its
 # name says deadline.
-TIME_LEFT = b'Request-Deadline'
-RESUME_AFTER = b'Last-Event-Id'
-KEY = b'Authorization'
-KEY_SCHEME = b'bearer '
-ACCOUNT = b'Tenant'
-EXPECTED_ENGINE = b'Expect-Instance'
-PRIORITY = b'Request-Priority'
+TIME_LEFT_HEADER = b'Request-Deadline'
+RESUME_AFTER_HEADER = b'Last-Event-Id'
+API_KEY_HEADER = b'Authorization'
+API_KEY_SCHEME = b'bearer '
+ACCOUNT_HEADER = b'Tenant'
+EXPECTED_ENGINE_HEADER = b'Expect-Instance'
+PRIORITY_HEADER = b'Request-Priority'
 # Tokens of the prompt, and the most tokens of the output.
-TOKEN_COUNTS = b'Token-Counts'
+TOKEN_COUNTS_HEADER = b'Token-Counts'
 # Parts of the prompt as ID:TOKENS; the last one belongs to one conversation.
-PROMPT_PARTS = b'Prompt-Prefix'
+PROMPT_PARTS_HEADER = b'Prompt-Prefix'
 # The engine that gets a copy of the run's memory as it grows.
-COPY_TO = b'Kv-Backup'
+COPY_TO_HEADER = b'Kv-Backup'
 # The engine that holds a copy, and the run's name there.
-COPY_FROM = b'Kv-From'
-SIGNATURE = b'Engine-Seal'
-NOT_RUN = b'Not-Executed'
-ENGINE = b'Instance-Id'
+COPY_FROM_HEADER = b'Kv-From'
+SIGNATURE_HEADER = b'Engine-Seal'
+NOT_RUN_HEADER = b'Not-Executed'
+ENGINE_ID_HEADER = b'Instance-Id'
 # Running, waiting, slots.
-LOAD = b'Engine-Load'
+LOAD_HEADER = b'Engine-Load'
 # The requests a second that the engine takes from all instances together.
-LIMIT = b'Server-Limit'
+RATE_LIMIT_HEADER = b'Server-Limit'
 # What an engine tells of itself without a free slot.
-PROBE_TARGET = b'/api/report'
+REPORT_PATH = b'/api/report'
 # Has an engine copy a run's memory.
-COPY_TARGET = b'/api/kv-move'
+COPY_PATH = b'/api/kv-move'
 # The status of an engine that is not the one that was expected.
-WRONG_ENGINE = 421
+WRONG_ENGINE_STATUS = 421
 # What a caller may not set: it is the system's to say, or a secret.
-NOT_PASSED_ON = frozenset(
+BLOCKED_HEADERS = frozenset(
     name.lower()
     for name in (
-        KEY,
-        ACCOUNT,
-        TIME_LEFT,
-        RESUME_AFTER,
-        EXPECTED_ENGINE,
-        PRIORITY,
-        COPY_TO,
-        COPY_FROM,
+        API_KEY_HEADER,
+        ACCOUNT_HEADER,
+        TIME_LEFT_HEADER,
+        RESUME_AFTER_HEADER,
+        EXPECTED_ENGINE_HEADER,
+        PRIORITY_HEADER,
+        COPY_TO_HEADER,
+        COPY_FROM_HEADER,
         b'Kv-Fetch',
         b'Hold',
         b'Pin-Ms',
@@ -64,10 +64,10 @@
     )
 )
 # A caller that states no time gets what its route allows at the most.
-NO_TIME_STATED = 3600.0
+DEFAULT_TIMEOUT_SECONDS = 3600.0
 
 
-class CopyOrder(msgspec.Struct):
+class CopyRequest(msgspec.Struct):
     """Copy the run of the request ``id`` to the engine at ``to``."""
 
     id: str
@@ -109,12 +109,12 @@
         kept = tuple(
             (name, value)
             for name, value in http1.select_end_to_end_headers(fields)
-            if name.lower() not in NOT_PASSED_ON
+            if name.lower() not in BLOCKED_HEADERS
         )
-        left = read_number(fields, TIME_LEFT)
-        seconds = NO_TIME_STATED if left is None else left / 1000.0
-        host = single(fields, b'Host') or b''
-        request_id = single(fields, REQUEST_ID)
+        left = read_integer_header(fields, TIME_LEFT_HEADER)
+        seconds = DEFAULT_TIMEOUT_SECONDS if left is None else left / 1000.0
+        host = single_header_value(fields, b'Host') or b''
+        request_id = single_header_value(fields, REQUEST_ID_HEADER)
         if not request_id:
             raise errors.ProtocolError('request without an id')
         return requests.CallerRequest(
@@ -125,11 +125,11 @@
             kept,
             body,
             request_id.decode('latin-1'),
-            read_key(fields),
+            read_api_key(fields),
             received_at,
             received_at + seconds,
-            read_number(fields, RESUME_AFTER),
-            read_prompt(fields),
+            read_integer_header(fields, RESUME_AFTER_HEADER),
+            read_prompt_sizes(fields),
         )
 
     def write_send(
@@ -140,19 +140,23 @@
         left = max(1, int((send.deadline - now) * 1000))
         headers = [
             *request.headers,
-            (TIME_LEFT, str(left).encode()),
-            (EXPECTED_ENGINE, send.engine.engine.encode()),
-            (PRIORITY, str(send.priority).encode()),
+            (TIME_LEFT_HEADER, str(left).encode()),
+            (EXPECTED_ENGINE_HEADER, send.engine.engine.encode()),
+            (PRIORITY_HEADER, str(send.priority).encode()),
         ]
         if send.account:
-            headers.append((ACCOUNT, send.account.encode()))
+            headers.append((ACCOUNT_HEADER, send.account.encode()))
         if send.resume_after is not None:
-            headers.append((RESUME_AFTER, str(send.resume_after).encode()))
+            headers.append(
+                (RESUME_AFTER_HEADER, str(send.resume_after).encode())
+            )
         if send.copy_to is not None:
-            headers.append((COPY_TO, str(send.copy_to.address).encode()))
+            headers.append(
+                (COPY_TO_HEADER, str(send.copy_to.address).encode())
+            )
         if send.copy_from is not None:
             held = f'{send.copy_from.address}/{send.copy_from.name}'
-            headers.append((COPY_FROM, held.encode()))
+            headers.append((COPY_FROM_HEADER, held.encode()))
         return http_client.WireRequest(
             request.method, request.target, tuple(headers), request.body
         )
@@ -161,17 +165,21 @@
         """Return the head of an engine's answer."""
         fields = tuple(response.headers.raw_items())
         status = response.status_code
-        engine = http1.first_header_value(fields, ENGINE.lower()) or b''
+        engine = (
+            http1.first_header_value(fields, ENGINE_ID_HEADER.lower()) or b''
+        )
         return requests.AnswerHead(
             status,
             bytes(response.reason),
             http1.select_end_to_end_headers(fields),
-            http1.first_header_value(fields, SIGNATURE.lower()) is not None,
-            status == WRONG_ENGINE
-            or http1.first_header_value(fields, NOT_RUN.lower()) is not None,
-            read_load(http1.first_header_value(fields, LOAD.lower())),
+            http1.first_header_value(fields, SIGNATURE_HEADER.lower())
+            is not None,
+            status == WRONG_ENGINE_STATUS
+            or http1.first_header_value(fields, NOT_RUN_HEADER.lower())
+            is not None,
+            parse_load(http1.first_header_value(fields, LOAD_HEADER.lower())),
             engine.decode('latin-1'),
-            limit_header.parse_limit(values(fields, LIMIT)),
+            limit_header.parse_limit(header_values(fields, RATE_LIMIT_HEADER)),
         )
 
     def is_answer_to(
@@ -182,7 +190,7 @@
         Refusals may come without the id of what they refuse.
         """
         fields = tuple(response.headers.raw_items())
-        echoed = http1.first_header_value(fields, REQUEST_ID.lower())
+        echoed = http1.first_header_value(fields, REQUEST_ID_HEADER.lower())
         if echoed is None:
             return response.status_code >= 400
         return echoed == send.request.request_id.encode('latin-1')
@@ -192,15 +200,15 @@
     ) -> http_client.WireRequest:
         """Return a request that an engine answers while it lives."""
         host = (b'Host', str(engine.address).encode())
-        return http_client.WireRequest(b'GET', PROBE_TARGET, (host,))
+        return http_client.WireRequest(b'GET', REPORT_PATH, (host,))
 
     def read_started_at_ms(self, status: int, body: bytes) -> int:
         """Return when an engine that was probed says that it was started."""
-        return read_report(status, body).born
+        return parse_report(status, body).born
 
     def read_has_model_memory(self, status: int, body: bytes) -> bool:
         """Return whether what was probed is a model engine, and stays one."""
-        report = read_report(status, body)
+        report = parse_report(status, body)
         return report.kv_total > 0 and report.state != rows.DRAINING
 
     def write_copy_request(
@@ -208,13 +216,13 @@
     ) -> http_client.WireRequest:
         """Return the order to copy a run's memory."""
         body = msgspec.json.encode(
-            CopyOrder(copy.request_id, str(copy.target.address))
+            CopyRequest(copy.request_id, str(copy.target.address))
         )
         headers = (
             (b'Host', str(copy.source.address).encode()),
             (b'Content-Type', b'application/json'),
         )
-        return http_client.WireRequest(b'POST', COPY_TARGET, headers, body)
+        return http_client.WireRequest(b'POST', COPY_PATH, headers, body)
 
     def read_copy_handle(self, status: int, body: bytes) -> str:
         """Return the handle in the answer to such an order, or ''."""
@@ -234,7 +242,7 @@
         by whoever is there, and runs nowhere.
         """
         host = (b'Host', str(engine.address).encode())
-        expected = (EXPECTED_ENGINE, engine.engine.encode())
+        expected = (EXPECTED_ENGINE_HEADER, engine.engine.encode())
         return http_client.WireRequest(b'GET', path.encode(), (host, expected))
 
     def read_event_number(self, raw: bytes) -> int:
@@ -246,7 +254,7 @@
         raise errors.ProtocolError('event without a number')
 
 
-def read_report(status: int, body: bytes) -> Report:
+def parse_report(status: int, body: bytes) -> Report:
     """Return what an engine tells of itself; nothing if it can't be read."""
     if status != 200:
         return Report()
@@ -256,22 +264,22 @@
         return Report()
 
 
-def values(fields: requests.Headers, name: bytes) -> list[bytes]:
+def header_values(fields: requests.Headers, name: bytes) -> list[bytes]:
     """Return all values of a field."""
     return [v for n, v in fields if n.lower() == name.lower()]
 
 
-def single(fields: requests.Headers, name: bytes) -> bytes | None:
+def single_header_value(fields: requests.Headers, name: bytes) -> bytes | None:
     """Return a field's value; two of them would leave open which counts."""
-    found = values(fields, name)
+    found = header_values(fields, name)
     if len(found) > 1:
         raise errors.ProtocolError(f'{name.decode()} stands twice')
     return found[0] if found else None
 
 
-def read_number(fields: requests.Headers, name: bytes) -> int | None:
+def read_integer_header(fields: requests.Headers, name: bytes) -> int | None:
     """Return a field that holds a whole number."""
-    value = single(fields, name)
+    value = single_header_value(fields, name)
     if value is None:
         return None
     if not value.isdigit() or len(value) > 12:
@@ -279,28 +287,28 @@
     return int(value)
 
 
-def read_key(fields: requests.Headers) -> str | None:
+def read_api_key(fields: requests.Headers) -> str | None:
     """Return the API key that a caller shows."""
-    value = single(fields, KEY)
-    if value is None or not value.lower().startswith(KEY_SCHEME):
+    value = single_header_value(fields, API_KEY_HEADER)
+    if value is None or not value.lower().startswith(API_KEY_SCHEME):
         return None
-    return value[len(KEY_SCHEME) :].strip().decode('latin-1')
+    return value[len(API_KEY_SCHEME) :].strip().decode('latin-1')
 
 
-def read_prompt(fields: requests.Headers) -> requests.Prompt | None:
+def read_prompt_sizes(fields: requests.Headers) -> requests.Prompt | None:
     """Return the sizes of a generation, if the request states them."""
-    counts = single(fields, TOKEN_COUNTS)
+    counts = single_header_value(fields, TOKEN_COUNTS_HEADER)
     if counts is None:
         return None
     read, _, made = counts.partition(b',')
     if not read.strip().isdigit() or not made.strip().isdigit():
         raise errors.ProtocolError('token counts are not two numbers')
-    parts = single(fields, PROMPT_PARTS) or b''
+    parts = single_header_value(fields, PROMPT_PARTS_HEADER) or b''
     own = parts.rsplit(b',', 1)[-1].partition(b':')[0].strip()
     return requests.Prompt(int(read), int(made), own.decode('latin-1'))
 
 
-def read_load(value: bytes | None) -> engines.EngineLoad | None:
+def parse_load(value: bytes | None) -> engines.EngineLoad | None:
     """Return an engine's load, or None if it tells none that can be read."""
     if value is None:
         return None
--- a/tests/cli/test_check_config.py
+++ b/tests/cli/test_check_config.py
@@ -55,7 +55,7 @@
     )
 
 
-def test_template_that_nobody_filled_is_refused(tmp_path):
+def test_unfilled_template_is_rejected(tmp_path):
     """The template itself is given as the settings file.
 
     An instance of that file would have no address to serve at.
--- a/tests/cli/test_help_and_mistakes.py
+++ b/tests/cli/test_help_and_mistakes.py
@@ -16,7 +16,10 @@
     for command in commands.COMMANDS:
         assert command.summary in shown.output
     for code in Code:
-        assert f'{code.value}  {help_texts.MEANINGS[code]}' in shown.output
+        assert (
+            f'{code.value}  {help_texts.EXIT_CODE_MEANINGS[code]}'
+            in shown.output
+        )
 
 
 @pytest.mark.parametrize('command', commands.COMMANDS, ids=lambda c: c.name)
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -25,12 +25,12 @@
 )
 
 
-def other(**changed):
+def alter_page(**changed):
     fields = {name: getattr(GOOD, name) for name in GOOD.__slots__}
     return in_force.InstanceReport(**{**fields, **changed})
 
 
-def page_of(**changed):
+def render_metrics_page(**changed):
     """Return the page of metrics of an instance."""
     figures = relay_metrics.RelayMetrics()
     sample = {
@@ -49,7 +49,7 @@
 
 def test_a_page_of_metrics_is_read():
     """Guards against a command that no page of this release satisfies."""
-    found = metrics_page.parse_page(page_of())
+    found = metrics_page.parse_page(render_metrics_page())
     assert (found.name, found.data_centre) == ('a', 'north')
     assert found.stopping
     assert found.settings_digest == 4_000_000_000
@@ -61,7 +61,9 @@
 def test_a_page_without_an_age_of_the_store_is_read():
     """Guards against instances that are left out as they follow no store."""
     assert (
-        metrics_page.parse_page(page_of(store_seconds=None)).store_seconds
+        metrics_page.parse_page(
+            render_metrics_page(store_seconds=None)
+        ).store_seconds
         is None
     )
 
@@ -72,14 +74,16 @@
         b'',
         b'\xff\xfe',
         b'<html>hello</html>',
-        page_of(identity=None),
-        page_of().replace(b'settings_digest 4000000000', b'settings_digest x'),
-        page_of().replace(b'engines 6', b'engines -1'),
-        page_of().replace(b'engines 6', b'engines nan'),
-        page_of().replace(b'engines 6', b'engines 1e999'),
+        render_metrics_page(identity=None),
+        render_metrics_page().replace(
+            b'settings_digest 4000000000', b'settings_digest x'
+        ),
+        render_metrics_page().replace(b'engines 6', b'engines -1'),
+        render_metrics_page().replace(b'engines 6', b'engines nan'),
+        render_metrics_page().replace(b'engines 6', b'engines 1e999'),
     ],
 )
-def test_what_is_no_page_of_an_instance_is_told(raw):
+def test_invalid_metrics_page_is_rejected(raw):
     """Guards against strangers that are taken for instances."""
     with pytest.raises(errors.ProtocolError):
         metrics_page.parse_page(raw)
@@ -87,22 +91,22 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=400))
-def test_nothing_that_is_sent_ends_the_command(raw):
+def test_arbitrary_metrics_page_raises_only_protocol_errors(raw):
     """Guards against one address that hides all others."""
     try:
-        metrics_page.parse_page(page_of() + raw)
+        metrics_page.parse_page(render_metrics_page() + raw)
     except errors.ProtocolError:
         return
 
 
-def test_those_that_differ_come_first_with_the_reason():
+def test_differing_instances_come_first_with_the_reason():
     """Guards against one old file among three hundred lines."""
     found = [
         ('1.0.0.1:1', GOOD),
-        ('1.0.0.2:1', other(settings_digest=1)),
+        ('1.0.0.2:1', alter_page(settings_digest=1)),
         ('1.0.0.3:1', GOOD),
         ('1.0.0.4:1', in_force.ReportUnavailable('no answer')),
-        ('1.0.0.5:1', other(configuration_version=6, release='0.0.9')),
+        ('1.0.0.5:1', alter_page(configuration_version=6, release='0.0.9')),
     ]
     seen = in_force.compare_reports(found)
     assert [one.address for one in seen] == [
@@ -127,7 +131,7 @@
         st.one_of(
             st.builds(in_force.ReportUnavailable, st.just('gone')),
             st.builds(
-                other,
+                alter_page,
                 settings_digest=st.integers(0, 2),
                 configuration_version=st.integers(0, 2),
             ),
@@ -154,7 +158,7 @@
     ('pages', 'code'),
     [
         ([GOOD, GOOD], Code.SUCCESS),
-        ([GOOD, other(settings_digest=1)], Code.DIFFERENT),
+        ([GOOD, alter_page(settings_digest=1)], Code.DIFFERENT),
         ([GOOD, in_force.ReportUnavailable('gone')], Code.UNREACHABLE),
         ([in_force.ReportUnavailable('gone')], Code.NOTHING_FOUND),
     ],
@@ -184,10 +188,12 @@
             ('1.0.0.2:1', in_force.ReportUnavailable('gone')),
         ]
     )
-    lines = [json.loads(line) for line in command.as_json(seen).splitlines()]
+    lines = [
+        json.loads(line) for line in command.render_json(seen).splitlines()
+    ]
     assert lines[0] == {'address': '1.0.0.2:1', 'differences': ['gone']}
     assert lines[1]['settings_digest'] == 255
-    assert '1 of 2 agree' in command.as_table(seen)
+    assert '1 of 2 agree' in command.render_table(seen)
 
 
 def test_no_address_and_bad_addresses_are_mistakes(tmp_path):
@@ -213,7 +219,7 @@
             why = line.partition('no answer')[1:]
             found.append((address, in_force.ReportUnavailable(''.join(why))))
             continue
-        page_there = other(
+        page_there = alter_page(
             name=name,
             stopping=state == 'stopping',
             settings_digest=digests[digest],
@@ -224,4 +230,4 @@
             store_seconds=None,
         )
         found.append((address, page_there))
-    assert command.as_table(in_force.compare_reports(found)) == shown
+    assert command.render_table(in_force.compare_reports(found)) == shown
--- a/tests/cli/test_launcher.py
+++ b/tests/cli/test_launcher.py
@@ -12,12 +12,12 @@
 
     The one that listens later would end with "address already in use".
     """
-    port = launcher.free_port()
+    port = launcher.reserve_port()
     with socket.socket() as other, pytest.raises(OSError):
         other.bind((launcher.HOST, port))
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((launcher.HOST, port))
         listener.listen()
-        assert launcher.listens(port)
-    assert not launcher.listens(port)
+        assert launcher.is_listening(port)
+    assert not launcher.is_listening(port)
--- a/tests/common/fleet.py
+++ b/tests/common/fleet.py
@@ -23,9 +23,9 @@
 SERVICE_UNAVAILABLE = 503
 
 
-free_port = launcher.free_port
+free_port = launcher.reserve_port
 digest = launcher.digest
-listens = launcher.listens
+listens = launcher.is_listening
 
 
 @dataclasses.dataclass
@@ -128,13 +128,13 @@
         self.operator_key = OPERATOR_KEY
         self.cursor_secret = 'the-secret-of-the-test-fleet'
 
-    def end(self, popen: subprocess.Popen) -> None:
+    def terminate_process(self, popen: subprocess.Popen) -> None:
         """Kill a process that still runs, stopped ones too."""
         if popen.poll() is None:
             popen.kill()
         popen.wait()
 
-    def instance(
+    def start_instance(
         self,
         name: str,
         data_centre: str = 'kl-1',
@@ -142,8 +142,10 @@
         platform_port: int = 0,
     ) -> launcher.LaunchedProcess:
         """Start an instance, with settings that name these peers."""
-        place = launcher.Place(data_centre, tuple(peers), platform_port)
-        return super().instance(name, place)
+        location = launcher.InstanceLocation(
+            data_centre, tuple(peers), platform_port
+        )
+        return super().start_instance(name, location)
 
     def busy_engine(self) -> str:
         """Return the name of an engine that runs something."""
@@ -249,9 +251,9 @@
     """Run engines, one plain service and configured instances."""
     with Fleet(folder) as fleet:
         for number in range(engines):
-            fleet.engine(f'engine-{number}')
-        fleet.service('plain-0')
+            fleet.start_engine(f'engine-{number}')
+        fleet.start_service('plain-0')
         for number in range(instances):
-            fleet.instance(f'router-{number}')
+            fleet.start_instance(f'router-{number}')
         fleet.configure(fleet.configuration())
         yield fleet
--- a/tests/platform/test_build.py
+++ b/tests/platform/test_build.py
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.slow
 
 ROOT = pathlib.Path(__file__).parents[2]
-AT_ONCE = 6
+CONCURRENT_BUILDS = 6
 
 
 @pytest.fixture
@@ -32,11 +32,11 @@
     return tmp_path
 
 
-def build(checkout):
+def start_build(checkout):
     return subprocess.Popen(['bash', 'deploy/build.sh'], cwd=checkout)
 
 
-def runs(checkout):
+def can_import_package(checkout):
     """Return whether an instance that starts now finds the package."""
     done = subprocess.run(
         [sys.executable, '-c', 'import greengagelb'],
@@ -49,28 +49,28 @@
 
 def test_builds_at_the_same_time_leave_a_whole_package(checkout):
     """Guards against two builds that move each other's trees away."""
-    builds = [build(checkout) for _ in range(AT_ONCE)]
-    assert [one.wait() for one in builds] == [0] * AT_ONCE
-    assert runs(checkout)
+    builds = [start_build(checkout) for _ in range(CONCURRENT_BUILDS)]
+    assert [one.wait() for one in builds] == [0] * CONCURRENT_BUILDS
+    assert can_import_package(checkout)
 
 
 def test_a_build_without_a_change_leaves_what_runs_alone(checkout):
     """Guards against an instance that starts while nothing is there."""
-    assert build(checkout).wait() == 0
+    assert start_build(checkout).wait() == 0
     package = checkout / 'target' / 'deps' / 'greengagelb'
     before = package.stat().st_ino
-    assert build(checkout).wait() == 0
+    assert start_build(checkout).wait() == 0
     assert package.stat().st_ino == before
 
 
 def test_a_build_takes_in_a_change(checkout):
     """Guards against a build that is skipped though the source changed."""
-    assert build(checkout).wait() == 0
+    assert start_build(checkout).wait() == 0
     source = checkout / 'src' / 'greengagelb' / 'part39.py'
     source.write_text('NUMBER = 40\n')
-    assert build(checkout).wait() == 0
+    assert start_build(checkout).wait() == 0
     built = checkout / 'target' / 'deps' / 'greengagelb' / 'part39.py'
     assert built.read_text() == 'NUMBER = 40\n'
     (checkout / 'src' / 'greengagelb' / 'part0.py').unlink()
-    assert build(checkout).wait() == 0
+    assert start_build(checkout).wait() == 0
     assert not (built.parent / 'part0.py').exists()
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -20,7 +20,7 @@
 OWN = hints.Member('n1', 'n1-x', '127.0.0.1', 'north')
 WALL = 1_800_000_000_000
 # What fits a datagram that no link on the way has to split.
-MOST_DATAGRAM_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 
 TOLD = st.builds(
     crashes.ReportedCrash,
@@ -37,12 +37,12 @@
 
 
 @given(REPORTS)
-def test_a_report_comes_out_as_it_went_in(report):
+def test_crash_report_round_trips(report):
     raw = relay_hints.encode_hint('x', report)
     assert relay_hints.decode_datagram(raw) == ('x', report)
 
 
-def test_a_question_for_reports_comes_out_as_it_went_in():
+def test_request_for_crash_reports_round_trips():
     raw = relay_hints.encode_hint('x', crashes.CrashReportsRequest())
     assert relay_hints.decode_datagram(raw) == (
         'x',
@@ -61,7 +61,7 @@
     )
     report = crashes.CrashReport('f' * 32, told, 0.5)
     assert len(relay_hints.encode_hint('12345678', report)) < (
-        MOST_DATAGRAM_BYTES
+        MAX_DATAGRAM_BYTES
     )
 
 
@@ -99,14 +99,14 @@
         super().__init__(None, engines.Address('127.0.0.1', 1))
         self.rows = {}
 
-    def write(self, change):
-        for row in change.set_keys:
+    def commit_transaction(self, transaction):
+        for row in transaction.set_keys:
             self.rows[row.key] = rows.Row(row.key, row.value, 1)
-        for name in change.remove:
+        for name in transaction.remove:
             self.rows.pop(name.key, None)
         return defer.succeed(b'')
 
-    def read_all(self, table):
+    def read_whole_table(self, table):
         return defer.succeed(rows.Rows(list(self.rows.values()), 1))
 
     def members(self):
@@ -120,7 +120,7 @@
 )
 
 
-def test_crashes_stand_beside_the_instances():
+def test_crashes_are_read_with_the_instances():
     """Guards against crashes that are taken for an instance's bad entry."""
     found = RowStore()
     found.register(OWN)
@@ -134,7 +134,7 @@
 
 
 @pytest.mark.parametrize('key', ['crashes/other', 'crashes/'])
-def test_an_entry_of_another_writer_names_no_request(key):
+def test_crash_entry_of_another_writer_is_rejected(key):
     """Guards against entries that have innocent requests refused."""
     found = RowStore()
     text = base64.b64encode(codec.encode(KEPT)).decode()
@@ -146,7 +146,7 @@
 
 
 @given(st.integers(-5_000, 600_000))
-def test_what_is_kept_ages_by_the_clock(waited):
+def test_stored_crashes_age_by_the_wall_clock(waited):
     """Guards against blocks that never end, or end as a clock is set back."""
     report = crashes.CrashReport('f', (crashes.ReportedCrash('e', 0.25, 2.0),))
     kept = crashes.to_stored_crashes(report, WALL)
--- a/tests/platform/test_early_signals.py
+++ b/tests/platform/test_early_signals.py
@@ -8,7 +8,7 @@
 
 # Runs the platform's program up to its first import of a large library, and
 # prints how signals are handled there.
-LOOK = """
+PROGRAM = """
 import json, runpy, signal, sys
 
 class Look:
@@ -33,7 +33,7 @@
     for no reason, and a stop would look like a crash.
     """
     looked = subprocess.run(
-        [sys.executable, '-c', LOOK],
+        [sys.executable, '-c', PROGRAM],
         capture_output=True,
         text=True,
         timeout=60,
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -12,7 +12,7 @@
 import pytest
 
 from greengagelb import errors
-from greengagelb.platform import row_answers
+from greengagelb.platform import row_decoding
 from greengagelb.platform import rows
 from greengagelb.platform import store
 from greengagelb.platform import wire
@@ -32,7 +32,7 @@
     'seq': 4,
 }
 # The fields without which an entry says too little to go by.
-NEEDED = ('service', 'address', 'zone', 'slots', 'state', 'seq')
+REQUIRED_FIELDS = ('service', 'address', 'zone', 'slots', 'state', 'seq')
 MEMBER = {
     'name': 'front-1',
     'incarnation': '5a7c',
@@ -88,7 +88,7 @@
     st.floats(),
     st.sampled_from([0, -1, 0.0, 1e-308, 1e308, 10**20, 10**400, 2**63]),
 )
-JSON = st.recursive(
+ANY_JSON = st.recursive(
     st.none() | st.booleans() | NUMBERS | st.text(),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -96,7 +96,7 @@
     ),
     max_leaves=8,
 )
-DEEP = b'{"x":' + b'[' * 60_000 + b']' * 60_000 + b'}'
+DEEPLY_NESTED_JSON = b'{"x":' + b'[' * 60_000 + b']' * 60_000 + b'}'
 
 
 def row_of(key, raw):
@@ -107,10 +107,12 @@
     return row_of(key, json.dumps(value).encode())
 
 
-def altered(whole):
+def alter_fields(whole):
     """Return variants of an object with fields gone or of any JSON."""
     kept = st.sets(st.sampled_from(sorted(whole)), min_size=len(whole) - 2)
-    fields = st.dictionaries(st.sampled_from(sorted(whole)), JSON, max_size=3)
+    fields = st.dictionaries(
+        st.sampled_from(sorted(whole)), ANY_JSON, max_size=3
+    )
     return st.builds(
         lambda names, changed: {name: whole[name] for name in names} | changed,
         kept,
@@ -118,9 +120,13 @@
     )
 
 
-def values(whole):
+def row_values(whole):
     """Return what may stand in a row in place of an object."""
-    texts = st.one_of(JSON, altered(whole)).map(json.dumps).map(str.encode)
+    texts = (
+        st.one_of(ANY_JSON, alter_fields(whole))
+        .map(json.dumps)
+        .map(str.encode)
+    )
     return st.one_of(st.binary(), texts)
 
 
@@ -135,27 +141,27 @@
     )
 
 
-def engines_beside(other):
+def read_engines_around(other):
     """Read a list of two engines with another row between them."""
-    return store.engines_of(
+    return store.engines_from_rows(
         rows.Rows([row('i-1', ENGINE), other, row('i-3', ENGINE)], 9)
     )
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
-@given(st.text(max_size=200), values(ENGINE))
-@example('i-2', DEEP)
+@given(st.text(max_size=200), row_values(ENGINE))
+@example('i-2', DEEPLY_NESTED_JSON)
 @example('i-2', b'\xff\xfe')
 @example('i-2', b'null')
 @example('a\r\nb: c', json.dumps(ENGINE).encode())
-def test_any_bytes_in_an_entry_cost_nothing_but_that_entry(key, raw):
+def test_arbitrary_engine_entry_does_not_affect_other_entries(key, raw):
     """Another program writes what it likes into the list of engines.
 
     Where that spoils the reading of the whole list, all engines that start
     meanwhile get no work, and those that leave still do.
     """
     other = row_of(f'i-2{key}', raw)
-    found = engines_beside(other)
+    found = read_engines_around(other)
     names = [entry.engine for entry in found.entries]
     mistaken = [mistake.name for mistake in found.mistakes]
     assert {'i-1', 'i-3'} <= set(names)
@@ -208,33 +214,33 @@
         {'address': ['10.0.0.1', 8080]},
     ],
 )
-def test_entry_with_a_field_that_cannot_be_used_names_no_engine(change):
+def test_engine_entry_with_an_invalid_field_is_rejected(change):
     """An entry is whole but for one field, which is not as agreed.
 
     Taken for a ready engine it is sent requests. Those fail, as nobody or
     somebody else is there, and each costs its caller an attempt.
     """
-    found = engines_beside(row('i-2', {**ENGINE, **change}))
+    found = read_engines_around(row('i-2', {**ENGINE, **change}))
     assert [entry.engine for entry in found.entries] == ['i-1', 'i-3']
     [mistake] = found.mistakes
     assert mistake.name == 'i-2'
     assert mistake.reason
 
 
-@pytest.mark.parametrize('field', NEEDED)
-def test_entry_without_a_field_names_no_engine(field):
+@pytest.mark.parametrize('field', REQUIRED_FIELDS)
+def test_engine_entry_without_a_required_field_is_rejected(field):
     """An entry lacks its state or its slots, as its writer knows none.
 
     Taken as ready and with one slot, an engine that is leaving gets work.
     """
     left = {name: ENGINE[name] for name in ENGINE if name != field}
-    found = engines_beside(row('i-2', left))
+    found = read_engines_around(row('i-2', left))
     assert [mistake.name for mistake in found.mistakes] == ['i-2']
 
 
 def test_fields_that_are_not_read_may_be_missing_or_unheard_of():
-    small = {name: ENGINE[name] for name in NEEDED}
-    found = engines_beside(row('i-2', {**small, 'unheard_of': [1]}))
+    small = {name: ENGINE[name] for name in REQUIRED_FIELDS}
+    found = read_engines_around(row('i-2', {**small, 'unheard_of': [1]}))
     assert [entry.engine for entry in found.entries] == ['i-1', 'i-2', 'i-3']
     assert not found.mistakes
 
@@ -247,19 +253,19 @@
     """
     spoilt = row('i-2', {**ENGINE, 'state': 'lost'})
     good = row('i-2', ENGINE)
-    found = store.engines_of(rows.Rows([good, spoilt], 9))
+    found = store.engines_from_rows(rows.Rows([good, spoilt], 9))
     assert [mistake.name for mistake in found.mistakes] == ['i-2']
-    found = store.engines_of(rows.Rows([spoilt, good], 9))
+    found = store.engines_from_rows(rows.Rows([spoilt, good], 9))
     assert not found.mistakes
     assert [entry.engine for entry in found.entries] == ['i-2']
     gone = rows.Row('i-2', tombstone=True)
-    found = store.engines_of(rows.Rows([gone, good], 9))
+    found = store.engines_from_rows(rows.Rows([gone, good], 9))
     assert not found.removed
-    found = store.engines_of(rows.Rows([good, gone], 9))
+    found = store.engines_from_rows(rows.Rows([good, gone], 9))
     assert found.removed == ('i-2',)
 
 
-def answer_with(other):
+def encode_answer_around(other):
     """Return an answer of the store with any JSON between two rows."""
     first, last = (
         {'key': key, 'value': row(key, ENGINE).value, 'ver': 5}
@@ -272,21 +278,25 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
     st.one_of(
-        JSON,
-        altered({'key': 'i-2', 'value': 'e30=', 'ver': 5, 'tombstone': False}),
+        ANY_JSON,
+        alter_fields(
+            {'key': 'i-2', 'value': 'e30=', 'ver': 5, 'tombstone': False}
+        ),
     )
 )
 @example({'key': 'i-2', 'value': None, 'ver': 5})
 @example({'key': 'i-2', 'value': 'é', 'ver': 5})
 @example({'key': 'i-2', 'value': '\ud800', 'ver': 5})
 @example({'key': None, 'value': 'e30=', 'ver': 5})
-def test_any_row_of_an_answer_costs_nothing_but_that_row(other):
+def test_arbitrary_row_does_not_affect_other_rows(other):
     """The store passes on a row in which a value is null, or no text.
 
     An answer that is refused as a whole for it looks like a store that is
     away, for as long as the row is there.
     """
-    found = store.engines_of(row_answers.read_rows(answer_with(other)))
+    found = store.engines_from_rows(
+        row_decoding.read_rows(encode_answer_around(other))
+    )
     names = {entry.engine for entry in found.entries}
     assert {'i-1', 'i-3'} <= names
     assert found.position == positions.StorePosition(positions.NO_ERA, 9)
@@ -294,13 +304,21 @@
 
 def test_answer_that_is_no_list_of_rows_is_refused():
     """Something else than the store answers, or the answer is cut."""
-    for body in (b'', b'[]', b'{"rows":[]}', b'{"rows":3,"ver":1}', DEEP):
+    for body in (
+        b'',
+        b'[]',
+        b'{"rows":[]}',
+        b'{"rows":3,"ver":1}',
+        DEEPLY_NESTED_JSON,
+    ):
         with pytest.raises(errors.ProtocolError):
-            row_answers.read_rows(body)
+            row_decoding.read_rows(body)
 
 
 def test_row_without_a_key_is_counted_too():
-    found = store.engines_of(row_answers.read_rows(answer_with(3)))
+    found = store.engines_from_rows(
+        row_decoding.read_rows(encode_answer_around(3))
+    )
     [mistake] = found.mistakes
     assert mistake.name == ''
 
@@ -309,16 +327,18 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(values(MEMBER))
-@example(DEEP)
-def test_any_bytes_in_an_entry_of_an_instance_cost_only_that_entry(raw):
+@given(row_values(MEMBER))
+@example(DEEPLY_NESTED_JSON)
+def test_arbitrary_instance_entry_does_not_affect_other_entries(raw):
     """Another program writes into the list of instances.
 
     Where that spoils the reading of the list, no instance learns of others
     any more, and each one takes the whole budget of repeats for its own.
     """
     good = row('front-1', MEMBER)
-    found = store.members_of(rows.Rows([row_of('front-2', raw), good], 9))
+    found = store.members_from_rows(
+        rows.Rows([row_of('front-2', raw), good], 9)
+    )
     assert [m.name for m in found.members if m.name == 'front-1']
     assert len(found.members) + len(found.mistakes) == 2
     for member in found.members:
@@ -337,14 +357,14 @@
         {'data_centre': None},
     ],
 )
-def test_entry_of_an_instance_that_cannot_be_used(change):
+def test_instance_entry_with_an_invalid_field_is_rejected(change):
     """An instance's entry has a host that no datagram can be sent to.
 
     An error of the socket would end the reading of the list for good; and an
     entry under another name would hide the instance of that name.
     """
     value = {**MEMBER, 'name': 'front-2', **change}
-    found = store.members_of(rows.Rows([row('front-2', value)], 9))
+    found = store.members_from_rows(rows.Rows([row('front-2', value)], 9))
     assert not found.members
     assert [mistake.name for mistake in found.mistakes] == ['front-2']
 
@@ -352,7 +372,7 @@
 # -- the configuration -------------------------------------------------------
 
 
-def configuration_with(part, changed):
+def replace_part(part, changed):
     """Return a configuration in which one part is another one."""
     match part:
         case 'route':
@@ -373,27 +393,30 @@
     'account': ACCOUNT,
     'limits': LIMITS,
 }
-ALTERED = st.sampled_from(sorted(PARTS)).flatmap(
-    lambda part: altered(PARTS[part]).map(
-        lambda changed: configuration_with(part, changed)
+ALTERED_CONFIGURATIONS = st.sampled_from(sorted(PARTS)).flatmap(
+    lambda part: alter_fields(PARTS[part]).map(
+        lambda changed: replace_part(part, changed)
     )
 )
 
 
 def read_configuration(raw):
-    return store.configuration_of(rows.Rows([row_of('config', raw)], 9))
+    return store.configuration_from_rows(rows.Rows([row_of('config', raw)], 9))
 
 
 @settings(derandomize=True, max_examples=500, deadline=None)
-@given(st.one_of(ALTERED, JSON).map(json.dumps).map(str.encode) | st.binary())
-@example(DEEP)
+@given(
+    st.one_of(ALTERED_CONFIGURATIONS, ANY_JSON).map(json.dumps).map(str.encode)
+    | st.binary()
+)
+@example(DEEPLY_NESTED_JSON)
 # Model engines whose memory is not told: the first stream divided by it.
 @example(
     json.dumps(
-        configuration_with('service', {**MODEL_SERVICE, 'engine': {}})
+        replace_part('service', {**MODEL_SERVICE, 'engine': {}})
     ).encode()
 )
-def test_any_configuration_is_either_told_or_can_be_used(raw):
+def test_arbitrary_configuration_is_rejected_or_usable(raw):
     """The row of the configuration holds anything.
 
     An error that it raises, on reading or with the first request, would end
@@ -466,30 +489,30 @@
         ('whole', {'routes': None}),
     ],
 )
-def test_configuration_with_a_value_that_cannot_be_used(part, change):
+def test_configuration_with_an_invalid_value_is_rejected(part, change):
     """One value of a configuration is such that nothing can go by it.
 
     In force it would refuse each request of its route, or raise with it. The
     last good configuration stays in force instead.
     """
-    value = configuration_with(part, {**PARTS[part], **change})
+    value = replace_part(part, {**PARTS[part], **change})
     read = read_configuration(json.dumps(value).encode())
     assert read.table is None
     assert read.mistake
 
 
-def test_configuration_whose_names_stand_twice_is_used():
+def test_configuration_with_duplicate_names_is_accepted():
     """Nothing goes by the names of routes, and of services the last counts."""
     twice = {**CONFIG, 'routes': [ROUTE, {**ROUTE, 'prefix': '/b/'}]}
     read = read_configuration(json.dumps(twice).encode())
     assert read.table.find_route('api.example', '/b/x').name == 'r-1'
 
 
-def test_configuration_row_of_another_type_is_told():
+def test_configuration_row_with_a_null_value_is_rejected():
     """The value of the row is null: nothing can be read, and nothing goes."""
     body = json.dumps(
         {'rows': [{'key': 'config', 'value': None, 'ver': 5}], 'ver': 9}
     ).encode()
-    read = store.configuration_of(row_answers.read_rows(body))
+    read = store.configuration_from_rows(row_decoding.read_rows(body))
     assert read.table is None
     assert read.mistake
--- a/tests/platform/test_long_lists.py
+++ b/tests/platform/test_long_lists.py
@@ -7,17 +7,17 @@
 from twisted.internet import defer
 
 from greengagelb import errors
-from greengagelb.platform import row_answers
+from greengagelb.platform import row_decoding
 from greengagelb.platform import rows
 from greengagelb.platform import store
 from greengagelb.state.relay import engines
 
 # An answer holds 500 rows; the fleet to design for has 630 engines.
-PAGE = 500
-ENGINES = 630
+ROWS_PER_PAGE = 500
+ENGINE_COUNT = 630
 
 
-def entry(number):
+def engine_row(number):
     """Return an engine's row."""
     value = {
         'service': 's',
@@ -39,28 +39,32 @@
 
     def __init__(self):
         super().__init__(None, engines.Address('127.0.0.1', 1))
-        self.kept = [entry(number) for number in range(ENGINES)]
+        self.engine_rows = [
+            engine_row(number) for number in range(ENGINE_COUNT)
+        ]
         self.version = 10
 
-    def get(self, target, seconds, coming_seconds):
+    def get_rows(self, target, seconds, coming_seconds):
         path, _, query = target.partition('?')
         assert path == '/api/rows-get'
         fields = urllib.parse.parse_qs(query)
         begin = fields.get('from', [''])[0]
-        found = [row for row in self.kept if row.key >= begin]
+        found = [row for row in self.engine_rows if row.key >= begin]
         answer = rows.Rows(
-            found[:PAGE], self.version, has_more=len(found) > PAGE
+            found[:ROWS_PER_PAGE],
+            self.version,
+            has_more=len(found) > ROWS_PER_PAGE,
         )
         self.version += 1
-        return defer.succeed(decoded(answer))
+        return defer.succeed(decode_answer(answer))
 
 
-def decoded(answer):
+def decode_answer(answer):
     """Return an answer as it comes out of the store's bytes."""
-    return row_answers.read_rows(json.dumps(as_json(answer)).encode())
+    return row_decoding.read_rows(json.dumps(answer_fields(answer)).encode())
 
 
-def as_json(answer):
+def answer_fields(answer):
     """Return an answer as the store writes it."""
     return {
         'ver': answer.ver,
@@ -80,10 +84,10 @@
     """
     read = []
     PagedStore().read_engines(None).addCallback(read.append)
-    assert len({found.engine for found in read[0].entries}) == ENGINES
+    assert len({found.engine for found in read[0].entries}) == ENGINE_COUNT
 
 
-def test_pages_that_do_not_lead_on_are_refused():
+def test_repeated_page_is_rejected():
     """The store says that there is more, and sends the same page again.
 
     Asked for the next page for ever, it would keep the list from being read,
@@ -91,9 +95,9 @@
     """
 
     class StuckStore(PagedStore):
-        def get(self, target, seconds, coming_seconds):
-            answer = rows.Rows([entry(0)], self.version, has_more=True)
-            return defer.succeed(decoded(answer))
+        def get_rows(self, target, seconds, coming_seconds):
+            answer = rows.Rows([engine_row(0)], self.version, has_more=True)
+            return defer.succeed(decode_answer(answer))
 
     failed = []
     StuckStore().read_engines(None).addErrback(failed.append)
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -9,13 +9,13 @@
 
 ROOT = pathlib.Path(greengagelb.__file__).parent
 # Names that mean nothing outside of this platform.
-NAMES = [
+PLATFORM_NAMES = [
     value.decode().lower()
     for name, value in vars(wire).items()
     if name.isupper() and isinstance(value, bytes) and b'-' in value
 ] + ['rows-get', 'rows-feed', 'rows-tx', 'kv_capacity', 'max_conns', 'op/']
 # Header fields of the product's own interface, and of any HTTP service.
-STANDARD = {'last-event-id', 'request-id'}
+STANDARD_HEADERS = {'last-event-id', 'request-id'}
 FILES = [
     pytest.param(path, id=str(path.relative_to(ROOT)))
     for path in sorted(ROOT.glob('**/*.py'))
@@ -26,4 +26,6 @@
 @pytest.mark.parametrize('path', FILES)
 def test_no_other_module_knows_a_name_of_the_platform(path):
     text = path.read_text().lower()
-    assert not [n for n in NAMES if n not in STANDARD and n in text]
+    assert not [
+        n for n in PLATFORM_NAMES if n not in STANDARD_HEADERS and n in text
+    ]
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -62,7 +62,7 @@
 
 
 def test_configuration_is_decoded():
-    table = rows.read_table(row(CONFIG))
+    table = rows.read_route_table(row(CONFIG))
     assert table.version == 7
     assert table.find_route('api.example', '/a/x').name == 'r-1'
     assert table.find_route('API.EXAMPLE', '/a/b/x').name == 'r-2'
@@ -91,20 +91,22 @@
         },
     ],
 )
-def test_bad_configuration_is_told_and_the_last_good_one_stays(change):
+def test_invalid_configuration_is_rejected(change):
     """An operator's mistake, or a row that was written half.
 
     Applied as far as it can be read, it would send requests to where no route
     allows it.
     """
-    read = store.configuration_of(rows.Rows([row({**CONFIG, **change})], 9))
+    read = store.configuration_from_rows(
+        rows.Rows([row({**CONFIG, **change})], 9)
+    )
     assert read.table is None
     assert read.mistake
     assert read.position == positions.StorePosition(positions.NO_ERA, 9)
 
 
-def test_row_that_is_no_json_is_told():
-    read = store.configuration_of(rows.Rows([row(b'\xff\xfe')], 9))
+def test_row_without_valid_json_is_rejected():
+    read = store.configuration_from_rows(rows.Rows([row(b'\xff\xfe')], 9))
     assert read.mistake
 
 
@@ -131,12 +133,14 @@
 
 
 @pytest.mark.parametrize('start', [-1, 2**60, 10**40, 1.5, '17', None])
-def test_entry_whose_start_is_no_time_names_no_engine(start):
+def test_entry_with_invalid_start_time_is_rejected(start):
     """Another writer put something else where the start should stand.
 
     Taken as the greatest start of all, it would outlive all true ones.
     """
-    read = store.engines_of(rows.Rows([row({**ENGINE, 'born': start})], 9))
+    read = store.engines_from_rows(
+        rows.Rows([row({**ENGINE, 'born': start})], 9)
+    )
     assert not read.entries
     assert read.mistakes
 
@@ -150,7 +154,7 @@
         'state': 'draining',
         'seq': 4,
     }
-    found = store.engines_of(
+    found = store.engines_from_rows(
         rows.Rows(
             [
                 row(good, 'i-1'),
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -13,10 +13,17 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parents[2]
-LOCKED = re.compile(r'^([a-z0-9-]+)==([^ ]+)', re.MULTILINE)
+LOCKED_PACKAGE = re.compile(r'^([a-z0-9-]+)==([^ ]+)', re.MULTILINE)
 HASHES = re.compile(r'sha256:[0-9a-f]+')
 # What the product's own interface needs and relaying does not.
-NOT_NEEDED = ('OpenSSL', 'cryptography', 'klein', 'treq', 'werkzeug', 'zmq')
+UNNEEDED_MODULES = (
+    'OpenSSL',
+    'cryptography',
+    'klein',
+    'treq',
+    'werkzeug',
+    'zmq',
+)
 
 PROGRAM = """
 import sys
@@ -32,10 +39,10 @@
 """
 
 
-def lock(name):
+def read_lock(name):
     """Return the locked packages, each with its version and hashes."""
     text = (ROOT / 'requirements' / f'{name}.lock').read_text('utf-8')
-    starts = list(LOCKED.finditer(text))
+    starts = list(LOCKED_PACKAGE.finditer(text))
     ends = [found.start() for found in starts[1:]] + [len(text)]
     return {
         found[1]: (found[2], HASHES.findall(text[found.start() : end]))
@@ -43,10 +50,10 @@
     }
 
 
-def imported():
+def imported_modules():
     """Return the modules of an instance that is about to serve."""
     done = subprocess.run(
-        [sys.executable, '-c', PROGRAM.format(blocked=NOT_NEEDED)],
+        [sys.executable, '-c', PROGRAM.format(blocked=UNNEEDED_MODULES)],
         capture_output=True,
         text=True,
         check=True,
@@ -56,20 +63,22 @@
 
 def test_instance_starts_with_what_is_locked_for_it():
     """A package that is missing shows at the first start, on all machines."""
-    assert not set(NOT_NEEDED) & {name.lower() for name in lock('relay')}
-    assert 'greengagelb.transport.relay.instance' in imported()
+    assert not set(UNNEEDED_MODULES) & {
+        name.lower() for name in read_lock('relay')
+    }
+    assert 'greengagelb.transport.relay.instance' in imported_modules()
 
 
 def test_locked_versions_are_those_of_the_tests():
     """Tests with other versions would say nothing of what runs."""
-    tested = lock('dev')
-    for name, locked in lock('relay').items():
+    tested = read_lock('dev')
+    for name, locked in read_lock('relay').items():
         assert tested[name] == locked
 
 
 def test_decisions_of_the_other_interface_are_not_imported():
     """Each module takes its part of the time until callers are served."""
-    names = imported()
+    names = imported_modules()
     assert 'greengagelb.coordination.node' not in names
     assert 'greengagelb.coordination.fleet.routing' not in names
 
--- a/tests/process/test_calls_across_instances.py
+++ b/tests/process/test_calls_across_instances.py
@@ -139,9 +139,9 @@
     Lookups sent to it would otherwise wait until their deadline.
     """
     with fleet.Fleet(tmp_path) as running:
-        running.service('plain-0')
-        running.service('plain-1')
-        running.instance('router-0')
+        running.start_service('plain-0')
+        running.start_service('plain-1')
+        running.start_instance('router-0')
         running.configure(running.configuration())
         running.services['plain-0'].send_signal(signal.SIGSTOP)
         headers = fleet.bearer(fleet.ACCOUNT_KEY)
--- a/tests/process/test_crashing_requests.py
+++ b/tests/process/test_crashing_requests.py
@@ -24,10 +24,10 @@
     """Run two instances, with engines and services that crash on a text."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(UPSTREAMS):
-            running.engine(f'engine-{number}')
-            running.service(f'plain-{number}')
-        first = running.instance('router-0')
-        running.instance('router-1', peers=(first,))
+            running.start_engine(f'engine-{number}')
+            running.start_service(f'plain-{number}')
+        first = running.start_instance('router-0')
+        running.start_instance('router-1', peers=(first,))
         running.configure(running.configuration())
         for process in (*running.engines.values(), *running.services.values()):
             faults = {'dies_of': CRASHING_TEXT}
--- a/tests/process/test_fleet_membership.py
+++ b/tests/process/test_fleet_membership.py
@@ -67,8 +67,8 @@
         list_all_instances(running)
         first = running.instances['router-0']
         set_faults(running, outage=True)
-        seeded = running.instance('router-8', peers=[first])
-        unseeded = running.instance('router-9')
+        seeded = running.start_instance('router-8', peers=[first])
+        unseeded = running.start_instance('router-9')
         running.wait_for_all()
         fleet.wait_until(
             lambda: fleet.ask(seeded.port, '/readyz').status == 200
@@ -80,7 +80,7 @@
 
 
 def start_isolated_instance(running):
-    isolated = running.instance(
+    isolated = running.start_instance(
         'router-cut',
         peers=[running.instances['router-0']],
         platform_port=fleet.free_port(),
@@ -150,8 +150,8 @@
         for process in old:
             process.popen.kill()
             process.popen.wait()
-        first = running.instance('router-0')
-        second = running.instance('router-1', peers=[first])
+        first = running.start_instance('router-0')
+        second = running.start_instance('router-1', peers=[first])
         for process in (first, second):
             fleet.wait_until(lambda p=process: fleet.listens(p.port))
             assert fleet.ask(process.port, '/readyz').status == 503
--- a/tests/process/test_fleet_orders.py
+++ b/tests/process/test_fleet_orders.py
@@ -51,8 +51,10 @@
             assert reader.finish_reason == 'length'
             assert reader.tokens == reader.right_answer()
         port = running.engines['engine-0'].port
-        running.end(running.engines['engine-0'].popen)
+        running.terminate_process(running.engines['engine-0'].popen)
         words = ['stand-in', 'engine', f'--port={port}', '--name=engine-0']
-        running.engines['engine-0'] = running.start('again', words, [port])
+        running.engines['engine-0'] = running.start_process(
+            'again', words, [port]
+        )
         fleet.wait_until(lambda: fleet.listens(port))
         fleet.wait_until(lambda: versions(running) == {'2'}, ROLLOUT_SECONDS)
--- a/tests/process/test_fleet_plans.py
+++ b/tests/process/test_fleet_plans.py
@@ -105,9 +105,9 @@
     """
     with fleet.Fleet(tmp_path) as running:
         running.platform.send_signal(signal.SIGSTOP)
-        running.engine('engine-0')
-        running.service('plain-0')
-        router = running.instance('router-0')
+        running.start_engine('engine-0')
+        running.start_service('plain-0')
+        router = running.start_instance('router-0')
         fleet.wait_until(lambda: fleet.listens(router.operator_port))
         first = fleet.ask(
             router.operator_port,
--- a/tests/process/test_fleet_stops.py
+++ b/tests/process/test_fleet_stops.py
@@ -120,7 +120,7 @@
         )
         for number in range(3):
             old = running.instances[f'router-{number}']
-            new = running.instance(f'router-{number + 3}')
+            new = running.start_instance(f'router-{number + 3}')
             running.wait_for_all()
             fleet.wait_until(
                 lambda p=new: fleet.ask(p.port, '/readyz').status == 200
--- a/tests/process/test_limited_upstreams.py
+++ b/tests/process/test_limited_upstreams.py
@@ -23,10 +23,10 @@
 def limited_fleet(tmp_path):
     """Run two instances with one service that announces a limit."""
     with fleet.Fleet(tmp_path) as running:
-        service = running.service('plain-0')
-        running.engine('engine-0')
-        first = running.instance('router-0')
-        running.instance('router-1', peers=(first,))
+        service = running.start_service('plain-0')
+        running.start_engine('engine-0')
+        first = running.start_instance('router-0')
+        running.start_instance('router-1', peers=(first,))
         running.configure(running.configuration())
         time.sleep(STARTUP_SECONDS)
         faults = {'limit': str(LIMIT)}
--- a/tests/process/test_streams_under_failures.py
+++ b/tests/process/test_streams_under_failures.py
@@ -20,10 +20,10 @@
     """Run a fleet whose engines sample different tokens in each attempt."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(3):
-            running.engine(f'engine-{number}', '--sampled')
-        running.service('plain-0')
+            running.start_engine(f'engine-{number}', '--sampled')
+        running.start_service('plain-0')
         for number in range(2):
-            running.instance(f'router-{number}')
+            running.start_instance(f'router-{number}')
         wanted = running.configuration()
         wanted['services'][0]['recovery'] = {'least_stall': MIN_STALL_SECONDS}
         running.configure(wanted)
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -254,7 +254,7 @@
         self.eras = list(eras)
         self.read = 0
 
-    def get(self, target, seconds, coming_seconds):
+    def get_rows(self, target, seconds, coming_seconds):
         self.read += 1
         row = rows.Row(f'k{self.read}', 'e30=', self.read)
         last = len(self.eras) == 1
@@ -265,7 +265,7 @@
 def test_a_list_from_two_eras_is_read_anew():
     """Guards against a list combined from two histories."""
     read = []
-    ListStore(4, 5, 5, 5).read_all('t').addCallback(read.append)
+    ListStore(4, 5, 5, 5).read_whole_table('t').addCallback(read.append)
     assert [row.key for row in read[0].rows] == ['k3', 'k4']
     assert read[0].position == positions.StorePosition(5, 3)
 
@@ -273,7 +273,9 @@
 def test_a_list_that_changes_its_era_again_and_again_is_given_up():
     """Guards against a read that never ends."""
     failed = []
-    ListStore(1, 2, 3, 4, 5, 6, 7).read_all('t').addErrback(failed.append)
+    ListStore(1, 2, 3, 4, 5, 6, 7).read_whole_table('t').addErrback(
+        failed.append
+    )
     assert failed[0].check(errors.PlatformUnavailable)
 
 
