--- a/tests/cli/test_check_config.py
+++ b/tests/cli/test_check_config.py
@@ -17,7 +17,7 @@
     pathlib.Path(greengagelb.__file__).parent / 'platform' / 'settings.ini'
 )
 # What a deployment fills the template with.
-FIELDS = {
+PLACEHOLDER_VALUES = {
     'node_name': 'north-3',
     'zone': 'north',
     'listen.front': '127.1.0.3:8080',
@@ -33,13 +33,15 @@
 }
 
 
-def filled():
+def fill_template():
     """Return the template with a value in each of its places."""
     text = TEMPLATE.read_text('utf-8')
-    return re.sub(r'\{\{([^}]+)\}\}', lambda m: FIELDS[m.group(1)], text)
+    return re.sub(
+        r'\{\{([^}]+)\}\}', lambda m: PLACEHOLDER_VALUES[m.group(1)], text
+    )
 
 
-def check(tmp_path, text):
+def check_settings(tmp_path, text):
     """Run the command on a file of that text; return its path as well."""
     path = tmp_path / 'a.ini'
     path.write_text(text, 'utf-8')
@@ -47,10 +49,10 @@
 
 
 def test_filled_template_is_valid(tmp_path):
-    told, _ = check(tmp_path, filled())
-    assert told.complaint == ''
-    assert told.code == Code.SUCCESS
-    assert told.output == (
+    outcome, _ = check_settings(tmp_path, fill_template())
+    assert outcome.complaint == ''
+    assert outcome.code == Code.SUCCESS
+    assert outcome.output == (
         'settings of north-3 are valid for python3 -m greengagelb.platform\n'
     )
 
@@ -60,22 +62,24 @@
 
     An instance of that file would have no address to serve at.
     """
-    told, path = check(tmp_path, TEMPLATE.read_text('utf-8'))
-    assert told.code == Code.BAD_SETTINGS
-    assert f'{path}: [instance] caller_address: write' in told.complaint
+    outcome, path = check_settings(tmp_path, TEMPLATE.read_text('utf-8'))
+    assert outcome.code == Code.BAD_SETTINGS
+    assert f'{path}: [instance] caller_address: write' in outcome.complaint
 
 
-@pytest.mark.parametrize('field', FIELDS)
+@pytest.mark.parametrize('field', PLACEHOLDER_VALUES)
 def test_field_that_the_platform_has_no_value_for_is_told(tmp_path, field):
     """The platform writes nothing where it has no value."""
     place = '{{' + field + '}}'
     lines = TEMPLATE.read_text('utf-8').splitlines()
     key = next(line for line in lines if place in line).split(' = ')[0]
     text = TEMPLATE.read_text('utf-8').replace(place, '')
-    text = re.sub(r'\{\{([^}]+)\}\}', lambda m: FIELDS[m.group(1)], text)
-    told, _ = check(tmp_path, text)
-    assert told.code == Code.BAD_SETTINGS
-    assert f'] {key}: write ' in told.complaint
+    text = re.sub(
+        r'\{\{([^}]+)\}\}', lambda m: PLACEHOLDER_VALUES[m.group(1)], text
+    )
+    outcome, _ = check_settings(tmp_path, text)
+    assert outcome.code == Code.BAD_SETTINGS
+    assert f'] {key}: write ' in outcome.complaint
 
 
 @pytest.mark.parametrize(
@@ -155,30 +159,36 @@
     ],
 )
 def test_mistake_is_told_with_section_and_key(tmp_path, old, new, part):
-    assert old in filled()
-    told, path = check(tmp_path, filled().replace(old, new, 1))
-    assert told.code == Code.BAD_SETTINGS
-    assert told.output == ''
-    complaint = told.complaint.removeprefix('greengagelb: settings-invalid: ')
+    assert old in fill_template()
+    outcome, path = check_settings(
+        tmp_path, fill_template().replace(old, new, 1)
+    )
+    assert outcome.code == Code.BAD_SETTINGS
+    assert outcome.output == ''
+    complaint = outcome.complaint.removeprefix(
+        'greengagelb: settings-invalid: '
+    )
     assert complaint.startswith(f'{path}: {part}')
     assert complaint.count('\n') == 1
 
 
 def test_only_the_first_of_two_mistakes_is_told(tmp_path):
-    text = filled().replace('ratio = 0.8', 'ratio = x')
-    told, _ = check(tmp_path, text.replace('grace_seconds = 8', 'grace = 8'))
-    assert '[retries] ratio' in told.complaint
-    assert 'grace' not in told.complaint
+    text = fill_template().replace('ratio = 0.8', 'ratio = x')
+    outcome, _ = check_settings(
+        tmp_path, text.replace('grace_seconds = 8', 'grace = 8')
+    )
+    assert '[retries] ratio' in outcome.complaint
+    assert 'grace' not in outcome.complaint
 
 
 def test_settings_of_the_own_interface_are_told_apart(tmp_path):
-    told, _ = check(tmp_path, settings_files.GOOD)
-    assert told.code == Code.SUCCESS
-    assert told.output == 'settings of a are valid for greengagelb serve\n'
-    told, _ = check(
+    outcome, _ = check_settings(tmp_path, settings_files.GOOD)
+    assert outcome.code == Code.SUCCESS
+    assert outcome.output == 'settings of a are valid for greengagelb serve\n'
+    outcome, _ = check_settings(
         tmp_path, settings_files.GOOD + '[store]\naddress = 127.0.0.1:1\n'
     )
-    assert 'unknown section [store]; write one of' in told.complaint
+    assert 'unknown section [store]; write one of' in outcome.complaint
 
 
 def test_help_tells_how_the_kind_of_a_file_is_known():
@@ -188,7 +198,7 @@
     assert '[store]' in shown
 
 
-def compare(tmp_path, old, new):
+def compare_settings(tmp_path, old, new):
     """Run the command on two texts."""
     before, after = tmp_path / 'old.ini', tmp_path / 'new.ini'
     before.write_text(old, 'utf-8')
@@ -202,10 +212,10 @@
     tmp_path,
 ):
     """Guards against staff who dread to edit a settings file."""
-    new = filled().replace('grace_seconds = 8', 'grace_seconds = 9')
-    told = compare(tmp_path, filled(), new)
-    assert told.code == Code.SUCCESS
-    [_, head, row] = told.output.splitlines()
+    new = fill_template().replace('grace_seconds = 8', 'grace_seconds = 9')
+    outcome = compare_settings(tmp_path, fill_template(), new)
+    assert outcome.code == Code.SUCCESS
+    [_, head, row] = outcome.output.splitlines()
     assert head.split()[:4] == ['section', 'key', 'old', 'new']
     assert row.split()[:4] == ['stop', 'grace_seconds', '8.0', '9.0']
     assert 'on a reload' in row
@@ -213,52 +223,56 @@
 
 def test_a_change_that_needs_a_new_start_has_a_code_of_its_own(tmp_path):
     """Guards against a script that reloads and believes it has done it."""
-    new = filled().replace('data_centre = north', 'data_centre = south')
-    told = compare(tmp_path, filled(), new)
-    assert told.code == Code.NEEDS_START
-    assert 'at the next start' in told.output
+    new = fill_template().replace('data_centre = north', 'data_centre = south')
+    outcome = compare_settings(tmp_path, fill_template(), new)
+    assert outcome.code == Code.NEEDS_START
+    assert 'at the next start' in outcome.output
 
 
 def test_equal_settings_written_in_another_way_are_no_change(tmp_path):
     """Guards against a report that goes by the text of a file."""
-    new = filled().replace('grace_seconds = 8', 'grace_seconds = 8.00')
-    told = compare(tmp_path, filled(), new + '\n# a comment\n')
-    assert told.code == Code.SUCCESS
-    assert 'nothing differs' in told.output
+    new = fill_template().replace('grace_seconds = 8', 'grace_seconds = 8.00')
+    outcome = compare_settings(
+        tmp_path, fill_template(), new + '\n# a comment\n'
+    )
+    assert outcome.code == Code.SUCCESS
+    assert 'nothing differs' in outcome.output
 
 
 def test_secrets_are_not_shown(tmp_path):
     """Guards against secrets in the log of a script."""
     secret = 'fedcba9876543210'
     new = settings_files.GOOD.replace('0123456789abcdef', secret)
-    told = compare(tmp_path, settings_files.GOOD, new)
-    assert told.code == Code.NEEDS_START
-    assert 'cursor_secret' in told.output
-    assert secret not in told.output
-    assert '0123456789abcdef' not in told.output
+    outcome = compare_settings(tmp_path, settings_files.GOOD, new)
+    assert outcome.code == Code.NEEDS_START
+    assert 'cursor_secret' in outcome.output
+    assert secret not in outcome.output
+    assert '0123456789abcdef' not in outcome.output
 
 
 def test_a_mistake_in_the_old_file_is_told_by_its_name(tmp_path):
     """Guards against a mistake that is looked for in the wrong file."""
-    told = compare(tmp_path, filled().replace('= 8', '= no'), filled())
-    assert told.code == Code.BAD_SETTINGS
-    assert 'old.ini' in told.complaint
+    outcome = compare_settings(
+        tmp_path, fill_template().replace('= 8', '= no'), fill_template()
+    )
+    assert outcome.code == Code.BAD_SETTINGS
+    assert 'old.ini' in outcome.complaint
 
 
 def test_settings_of_two_programs_are_not_compared(tmp_path):
     """Guards against a list of differences that means nothing."""
-    told = compare(tmp_path, settings_files.GOOD, filled())
-    assert told.code == Code.USAGE
-    assert 'another kind' in told.complaint
+    outcome = compare_settings(tmp_path, settings_files.GOOD, fill_template())
+    assert outcome.code == Code.USAGE
+    assert 'another kind' in outcome.complaint
 
 
 def test_the_page_shows_what_the_command_prints(tmp_path):
     """Guards against a page that tells of another program than this one."""
-    named = filled().replace('name = north-3', 'name = relay-0')
+    named = fill_template().replace('name = north-3', 'name = relay-0')
     new = named.replace('grace_seconds = 8', 'grace_seconds = 9')
     new = new.replace('data_centre = north', 'data_centre = south')
-    told = compare(tmp_path, named, new)
+    outcome = compare_settings(tmp_path, named, new)
     page = (ROOT / 'docs' / 'settings-platform.md').read_text('utf-8')
     shown = page.partition('<!-- output against -->\n')[2]
     shown = shown.partition('<!-- end against -->')[0]
-    assert textwrap.dedent(shown) == told.output
+    assert textwrap.dedent(shown) == outcome.output
--- a/tests/cli/test_help_and_mistakes.py
+++ b/tests/cli/test_help_and_mistakes.py
@@ -53,11 +53,11 @@
     ],
 )
 def test_mistake_is_told_with_a_code_on_standard_error(words, part):
-    told = runner.run_here(*words)
-    assert told.code == Code.USAGE
-    assert told.output == ''
-    assert told.complaint.startswith('greengagelb: bad-command: ')
-    assert part in told.complaint
+    outcome = runner.run_here(*words)
+    assert outcome.code == Code.USAGE
+    assert outcome.output == ''
+    assert outcome.complaint.startswith('greengagelb: bad-command: ')
+    assert part in outcome.complaint
 
 
 def test_operator_key_comes_from_file_or_environment_only(
@@ -68,8 +68,8 @@
     assert '--operator_key_file=FILE' in runner.run_here(*words).complaint
     empty = tmp_path / 'key'
     empty.write_text('\n')
-    told = runner.run_here(*words, f'--operator_key_file={empty}')
-    assert f'{empty} is empty' in told.complaint
+    outcome = runner.run_here(*words, f'--operator_key_file={empty}')
+    assert f'{empty} is empty' in outcome.complaint
     assert 'no_such' not in runner.run_here('status', '--help').output
     assert runner.run_here(*words, '--operator_key=x').code == Code.USAGE
 
@@ -77,6 +77,6 @@
 def test_settings_mistake_has_an_exit_code_of_its_own(tmp_path):
     path = tmp_path / 'a.ini'
     path.write_text('[instance]\nport = 1\n')
-    told = runner.run_here('check-config', f'--settings={path}')
-    assert told.code == Code.BAD_SETTINGS
-    assert f'settings-invalid: {path}: [instance] port' in told.complaint
+    outcome = runner.run_here('check-config', f'--settings={path}')
+    assert outcome.code == Code.BAD_SETTINGS
+    assert f'settings-invalid: {path}: [instance] port' in outcome.complaint
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -147,11 +147,11 @@
     answers = [p for p in pages if isinstance(p, in_force.InstanceReport)]
     for value in {page.digest for page in answers}:
         same = sum(page.digest == value for page in answers)
-        told = sum(
+        differing = sum(
             any(why.startswith('settings') for why in one.differences)
             for one in seen
         )
-        assert same <= len(answers) - told
+        assert same <= len(answers) - differing
 
 
 @pytest.mark.parametrize(
@@ -199,9 +199,9 @@
 def test_no_address_and_bad_addresses_are_mistakes(tmp_path):
     """Guards against a command that finds that nothing differs."""
     assert runner.run_here('in-force').code == Code.USAGE
-    told = runner.run_here('in-force', '--pages=nowhere:1')
-    assert told.code == Code.USAGE
-    assert '--pages=nowhere:1' in told.complaint
+    outcome = runner.run_here('in-force', '--pages=nowhere:1')
+    assert outcome.code == Code.USAGE
+    assert '--pages=nowhere:1' in outcome.complaint
     missing = runner.run_here('in-force', f'--pages_file={tmp_path}/none')
     assert missing.code == Code.USAGE
 
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -12,7 +12,7 @@
 from greengagelb.state.relay import requests
 from tests.common import relay_world
 
-FIELDS = (
+REQUEST_HEADERS = (
     (b'Host', b'api.example:80'),
     (b'Request-Id', b'abc'),
     (b'Request-Deadline', b'1500'),
@@ -20,14 +20,14 @@
 )
 
 
-def read(*fields):
+def read_request(*fields):
     head = h11.Request(
-        method=b'POST', target=b'/a/b?c', headers=[*FIELDS, *fields]
+        method=b'POST', target=b'/a/b?c', headers=[*REQUEST_HEADERS, *fields]
     )
     return wire.PlatformDialect().read_request(7, head, b'body', 100.0)
 
 
-def written(request, **fields):
+def write_request_headers(request, **fields):
     """Return the header fields with which an engine gets a request."""
     entry = relay_world.engine('i-1', 's', 'north')
     given = {
@@ -43,7 +43,7 @@
 
 
 def test_request_is_decoded():
-    request = read(
+    request = read_request(
         (b'Token-Counts', b'8000,780'),
         (b'Prompt-Prefix', b'aa:200,bb:7800'),
         (b'Last-Event-Id', b'12'),
@@ -72,7 +72,7 @@
     Guessed, a caller could get another's answer or parts of its own twice.
     """
     with pytest.raises(errors.ProtocolError):
-        read(*fields)
+        read_request(*fields)
 
 
 @pytest.mark.parametrize(
@@ -93,58 +93,67 @@
     Taken at its word, it would work at the other's expense, or read what is
     not its own.
     """
-    assert b'forged' not in written(read((name, b'forged'))).values()
+    assert (
+        b'forged'
+        not in write_request_headers(read_request((name, b'forged'))).values()
+    )
 
 
 def test_key_is_not_passed_on():
-    assert b'authorization' not in written(read())
+    assert b'authorization' not in write_request_headers(read_request())
 
 
 def test_engine_gets_the_time_that_is_left():
-    assert written(read())[b'request-deadline'] == b'750'
+    assert write_request_headers(read_request())[b'request-deadline'] == b'750'
 
 
 def test_resumed_run_names_position_and_both_copies():
     one = requests.CopyName(engines.Address('10.0.0.2', 80), 'abc')
     two = relay_world.engine('i-3', 's', 'west')
-    found = written(read(), resume_after=12, copy_from=one, copy_to=two)
+    found = write_request_headers(
+        read_request(), resume_after=12, copy_from=one, copy_to=two
+    )
     assert found[b'last-event-id'] == b'12'
     assert found[b'kv-from'] == b'10.0.0.2:80/abc'
     assert found[b'kv-backup'] == str(two.address).encode()
 
 
-def answer(status, *fields):
+def read_answer(status, *fields):
     response = h11.Response(status_code=status, headers=list(fields))
     return wire.PlatformDialect().read_answer_head(response)
 
 
 def test_refusals_that_promise_not_to_have_run():
-    assert answer(503, (b'Not-Executed', b'1')).not_run
-    assert answer(421, (b'Instance-Id', b'i-9')).not_run
-    assert not answer(503).not_run
-    assert not answer(500, (b'Engine-Seal', b'x')).not_run
+    assert read_answer(503, (b'Not-Executed', b'1')).not_run
+    assert read_answer(421, (b'Instance-Id', b'i-9')).not_run
+    assert not read_answer(503).not_run
+    assert not read_answer(500, (b'Engine-Seal', b'x')).not_run
 
 
 def test_load_that_can_not_be_read_is_left_out():
-    found = answer(200, (b'Engine-Load', b'3,0,8')).load
+    found = read_answer(200, (b'Engine-Load', b'3,0,8')).load
     assert found == engines.EngineLoad(3, 0, 8)
-    assert answer(200, (b'Engine-Load', b'3;0')).load is None
+    assert read_answer(200, (b'Engine-Load', b'3;0')).load is None
 
 
 def test_answer_to_another_request_is_told_apart():
     entry = relay_world.engine('i-1', 's', 'north')
     send = relay_actions.Send(
-        7, 1, entry, read(), 'cottages', 3, 101.0, stream=False
+        7, 1, entry, read_request(), 'cottages', 3, 101.0, stream=False
     )
     dialect = wire.PlatformDialect()
-    mine = h11.Response(status_code=200, headers=[(b'Request-Id', b'abc')])
-    other = h11.Response(status_code=200, headers=[(b'Request-Id', b'xyz')])
-    nameless = h11.Response(status_code=200, headers=[])
-    shed = h11.Response(status_code=503, headers=[])
-    assert dialect.is_answer_to(mine, send)
-    assert not dialect.is_answer_to(other, send)
-    assert not dialect.is_answer_to(nameless, send)
-    assert dialect.is_answer_to(shed, send)
+    own_answer = h11.Response(
+        status_code=200, headers=[(b'Request-Id', b'abc')]
+    )
+    other_answer = h11.Response(
+        status_code=200, headers=[(b'Request-Id', b'xyz')]
+    )
+    answer_without_id = h11.Response(status_code=200, headers=[])
+    refusal = h11.Response(status_code=503, headers=[])
+    assert dialect.is_answer_to(own_answer, send)
+    assert not dialect.is_answer_to(other_answer, send)
+    assert not dialect.is_answer_to(answer_without_id, send)
+    assert dialect.is_answer_to(refusal, send)
 
 
 @pytest.mark.parametrize(
@@ -197,7 +206,7 @@
 def test_a_limit_is_read_from_an_answer(values, rate):
     """Guards against limits that are read as none, or none as one."""
     fields = [(b'Server-Limit', value) for value in values]
-    assert answer(200, *fields).limit == rate
+    assert read_answer(200, *fields).limit == rate
 
 
 @pytest.mark.parametrize(
@@ -216,7 +225,7 @@
 def test_an_unusable_limit_leaves_the_answer_as_it_is(values):
     """Guards against bad limits that end an answer or are taken for one."""
     fields = [(b'Server-Limit', value) for value in values]
-    found = answer(200, *fields)
+    found = read_answer(200, *fields)
     assert isinstance(found.limit, limits.UnusableLimit)
     assert len(found.limit.text) <= limit_header.MAX_TEXT_CHARACTERS
     assert found.status == 200
