--- a/src/greengagelb/cli/check_config.py
+++ b/src/greengagelb/cli/check_config.py
@@ -1,4 +1,4 @@
-"""The subcommand that checks a settings file, of whichever kind it is."""
+"""The subcommand that checks a settings file of either program."""
 
 from collections.abc import Callable
 import dataclasses
@@ -58,7 +58,7 @@
 
 
 def check_config(words: list[str]) -> int:
-    """Read a settings file, say that it is good and what it changes."""
+    """Validate a settings file, and print what it changes."""
     if not serve.SETTINGS.value:
         raise errors.CommandError('write --settings=FILE')
     path = pathlib.Path(serve.SETTINGS.value)
@@ -74,7 +74,7 @@
 def print_changes(
     kind: SettingsKind, path: pathlib.Path, new: AnySettings
 ) -> exit_codes.ExitCode:
-    """Tell what differs from the settings in a file, and when it counts."""
+    """Print the changes since another file, and when they take effect."""
     if detect_kind(path) is not kind:
         raise errors.CommandError(
             f'{path} is of another kind; compare settings of one program'
@@ -101,8 +101,8 @@
 def detect_kind(path: pathlib.Path) -> SettingsKind:
     """Return the kind that most sections of a file belong to.
 
-    A section that is misspelt or of the other kind is then told as unknown
-    beside those of the kind that its writer meant.
+    A section that is misspelt or belongs to the other kind is then reported as
+    unknown, together with the sections of the kind that the file is meant for.
     """
     given = settings.parse_file(path).sections()
     return max(
--- a/src/greengagelb/cli/commands.py
+++ b/src/greengagelb/cli/commands.py
@@ -1,4 +1,4 @@
-"""The table of subcommands: what each one does, takes and is called."""
+"""The table of subcommands, with their names, arguments and flags."""
 
 from collections.abc import Callable
 import dataclasses
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Command:
-    """One subcommand; ``run`` takes the words after its name.
+    """One subcommand; ``run`` takes the positional arguments after its name.
 
-    ``flags`` names the flags that it reads. Any other flag is refused rather
-    than ignored, since its user expected an effect.
+    ``flags`` names the flags that it reads. Any other flag is rejected rather
+    than ignored, because its user expects it to have an effect.
     """
 
     name: str
@@ -152,5 +152,5 @@
 
 
 def find_command(name: str) -> Command | None:
-    """Return the command of that name, if there is one."""
+    """Return the command of a name, or None."""
     return next((c for c in COMMANDS if c.name == name), None)
--- a/src/greengagelb/cli/demo.py
+++ b/src/greengagelb/cli/demo.py
@@ -1,8 +1,8 @@
-"""The command that shows the main job on a small fleet of its own.
+"""The command that demonstrates recovery on a small local fleet.
 
-It starts the platform, engines and a plain service as stand-ins and two
-instances, kills the engine in the middle of a streamed answer, and checks
-that the caller holds the whole answer exactly as generated.
+It starts two instances and stand-ins for the platform, engines and a plain
+service, kills the engine in the middle of a streamed answer, and checks that
+the caller receives the whole answer exactly as generated.
 """
 
 import dataclasses
@@ -47,7 +47,7 @@
 
 
 def demo(words: list[str]) -> int:
-    """Run the demonstration; 0 if everything held."""
+    """Run the demonstration; return 0 if all checks passed."""
     print_step(
         'starting the platform, three engines, a plain service, two instances'
     )
@@ -84,13 +84,13 @@
 
 
 def print_step(line: str) -> None:
-    """Tell the user what happens."""
+    """Print a line on the progress of the demonstration."""
     sys.stdout.write(f'== {line}\n')
     sys.stdout.flush()
 
 
 def check_promise(holds: bool, promise: str) -> None:
-    """Say that a promise held, or raise that it did not."""
+    """Print a promise that holds; raise if it does not hold."""
     if not holds:
         raise errors.DemoFailed(f'this does not hold: {promise}')
     print_step(f'checked: {promise}')
@@ -99,7 +99,7 @@
 def stop_processes(
     fleet: launcher.Launcher, interrupted: interruption.Interruption
 ) -> None:
-    """Stop every process that is left by SIGTERM."""
+    """Stop every process that still runs, by SIGTERM."""
     for process in fleet.processes():
         interrupted.raise_if_signalled()
         if process.popen.poll() is not None:
@@ -112,9 +112,10 @@
 
 @dataclasses.dataclass(slots=True)
 class StreamedAnswer:
-    """What the caller holds of the streamed answer.
+    """The part of the streamed answer that the caller has received.
 
-    ``killed_at`` is a monotonic time, or None before the kill.
+    ``killed_at`` is the monotonic time in seconds at which the engine was
+    killed, or None before.
     """
 
     tokens: list[str] = dataclasses.field(default_factory=list)
@@ -126,7 +127,7 @@
 
 
 class Demonstration:
-    """The caller's and the operator's part of the demonstration."""
+    """The requests of the caller and of the operator."""
 
     def __init__(
         self, reactor: interfaces.IReactorCore, fleet: launcher.Launcher
@@ -144,14 +145,12 @@
         ]
 
     async def run_steps(self) -> None:
-        """Show one step after the other."""
+        """Run all steps in order."""
         await self.configure()
         await self.show_stream()
         await self.show_charge()
         await self.show_timeline()
 
-    # -- operator -----------------------------------------------------------
-
     async def configure(self) -> None:
         """Plan and confirm a configuration, and wait until it is in force."""
         intent = plan_state.ReplaceConfiguration(self.fleet.configuration())
@@ -166,7 +165,7 @@
     async def wait_until_ready(
         self, process: launcher.LaunchedProcess
     ) -> None:
-        """Return once an instance says that it is ready."""
+        """Return once an instance reports that it is ready."""
         deadline = self.reactor.seconds() + READY_TIMEOUT_SECONDS
         while self.reactor.seconds() < deadline:
             response = await self.treq.get(url_of(process, '/readyz'))
@@ -176,8 +175,6 @@
             await task.deferLater(self.reactor, 0.05)
         raise errors.DemoFailed(f'{process.name} is not ready in time')
 
-    # -- stream -------------------------------------------------------------
-
     async def show_stream(self) -> None:
         """Stream an answer and kill the engine in the middle."""
         first = next(iter(self.fleet.instances.values()))
@@ -219,7 +216,7 @@
     def handle_event(
         self, event: sse.ServerSentEvent, draft: StreamedAnswer
     ) -> None:
-        """Keep and print what an event brings."""
+        """Store and print the tokens of an event; kill the engine halfway."""
         if event.data == b'[DONE]':
             return
         if event.kind:
@@ -241,10 +238,10 @@
     def print_resume_delay(
         self, chunk: caller_api.ChatChunk, draft: StreamedAnswer
     ) -> None:
-        """Say how long the caller waited for the next token.
+        """Print how long the caller waited for the first token after the kill.
 
-        What was on its way when the engine died arrives at once and is not
-        taken for the stream going on.
+        Tokens that were in flight when the engine was killed arrive at once
+        and do not count.
         """
         if draft.has_resumed or draft.killed_at is None:
             return
@@ -275,13 +272,13 @@
     async def fetch_report(
         self, process: launcher.LaunchedProcess
     ) -> engine_api.EngineReport:
-        """Return what an engine says of itself."""
+        """Return an engine's report on itself."""
         response = await self.treq.get(url_of(process, '/v1/report'))
         raw = await response.content()
         return codec.decode(raw, engine_api.EngineReport)
 
     def check_answer(self, draft: StreamedAnswer) -> None:
-        """Check the answer against an engine that never failed."""
+        """Compare the answer with that of an engine that never failed."""
         sys.stdout.write('\n')
         killed_names = [
             process.name
@@ -299,8 +296,6 @@
             draft.finish_reason == 'length', 'the answer is complete'
         )
 
-    # -- charge -------------------------------------------------------------
-
     async def show_charge(self) -> None:
         """Send one charge through both instances."""
         answers = []
@@ -328,10 +323,8 @@
         raw = await response.content()
         return sum(msgspec.json.decode(raw, type=dict[str, int]).values())
 
-    # -- time line ----------------------------------------------------------
-
     async def show_timeline(self) -> None:
-        """Print what the instances recorded of the draft."""
+        """Print the events that the instances recorded for the draft."""
         selection = timeline_state.Selection(request=DRAFT_KEY)
         parts = await operator_client.query_instances(
             self.operator_clients, lambda client: client.timeline(selection)
@@ -355,7 +348,7 @@
 
 
 def print_tokens(draft: StreamedAnswer) -> None:
-    """Print tokens as they come, a few on each line."""
+    """Print the tokens that have not been printed, a few on each line."""
     for token in draft.tokens[draft.printed_tokens :]:
         sys.stdout.write(token)
         draft.printed_tokens += 1
--- a/src/greengagelb/cli/event_loop.py
+++ b/src/greengagelb/cli/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs the event loop once for a command that ends by itself."""
+"""Runs the event loop once, for a command that ends by itself."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -24,13 +24,12 @@
 def run_coroutine(
     work: Callable[[interfaces.IReactorCore], Coroutine[Any, Any, T]],
 ) -> T:
-    """Return what a coroutine returns, or raise what it raises.
+    """Run a coroutine; return its result or raise its exception.
 
     A reactor can't be started twice in a process, so a command calls this
-    once, with everything it has to do.
+    once, with all of its work.
     """
-    # The reactor is installed by its import, so that happens only where one
-    # is run.
+    # Importing the reactor installs it, so only commands that run one do so.
     from twisted.internet import reactor  # noqa: PLC0415
 
     outcomes: list[Any] = []
@@ -44,8 +43,8 @@
         defer.Deferred.fromCoroutine(work(reactor)).addBoth(finish)
 
     def record_interruption() -> None:
-        # A signal stops the loop. The work then fails with whatever the lost
-        # connections bring, which would hide that it was interrupted.
+        # A signal stops the loop. The coroutine then fails because its
+        # connections are lost, which would hide the interruption.
         if not outcomes:
             outcomes.append(failure.Failure(Interrupted(SIGNALLED_MESSAGE)))
 
--- a/src/greengagelb/cli/exit_codes.py
+++ b/src/greengagelb/cli/exit_codes.py
@@ -4,15 +4,16 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit code tells a script; the values never change.
+    """The exit codes that scripts rely on; the values never change.
 
-    ``UNREACHABLE`` means that at least one instance gave no answer, so what
-    was printed may be a part of the whole. ``REFUSED`` means that an instance
-    answered and said no; the code on standard error tells why. ``UNSETTLED``
-    means that the change may or may not have taken effect. ``NEEDS_START``
-    means that a process that runs takes a change of settings in part or not at
-    all. ``DIFFERENT`` means that all instances answered and some have other
-    settings, or not what was waited for; ``NOTHING_FOUND`` that none answered.
+    ``UNREACHABLE`` means that at least one instance gave no answer, so the
+    output may be incomplete. ``REFUSED`` means that an instance rejected the
+    request; the code on standard error says why. ``UNSETTLED`` means that the
+    change may or may not have taken effect. ``NEEDS_START`` means that a
+    running process applies a change of settings only in part or not at all.
+    ``DIFFERENT`` means that all instances answered and some have different
+    settings, or do not meet the awaited condition; ``NOTHING_FOUND`` that no
+    instance answered.
     """
 
     SUCCESS = 0
--- a/src/greengagelb/cli/explain.py
+++ b/src/greengagelb/cli/explain.py
@@ -1,8 +1,8 @@
-"""The command that tells the story of a request from log files.
+"""The command that reconstructs the events of a request from log files.
 
-On call there are only logs: the instance that served a request may be gone.
-The lines of all instances can be given in any order, with anything in front
-of them that a log collector adds.
+It needs only logs, because the instance that served a request may no longer
+exist. The lines of all instances can be given in any order, with any prefix
+that a log collector adds.
 """
 
 from collections.abc import Iterable
@@ -14,13 +14,13 @@
 from greengagelb import errors
 from greengagelb.state import timeline
 
-# Seconds around a request within which what an instance or an engine went
-# through may be its cause.
+# Events of an instance or an engine within this time around a request may have
+# affected it.
 CONTEXT_SECONDS = 3.0
 
 
 def explain(words: list[str]) -> int:
-    """Show the events of one request, and what happened around it."""
+    """Print the events of a request, and events around it."""
     if not words:
         raise errors.CommandError('explain: write the id of a request')
     request, *files = words
@@ -31,7 +31,7 @@
 
 
 def read_events(lines: Iterable[str]) -> Iterator[timeline.TimelineEvent]:
-    """Return the events in log lines; other lines are left out."""
+    """Return the events in log lines; other lines are skipped."""
     for line in lines:
         event = parse_line(line)
         if event is not None:
@@ -39,7 +39,7 @@
 
 
 def parse_line(line: str) -> timeline.TimelineEvent | None:
-    """Return the event in a log line, if it holds one."""
+    """Return the event in a log line, or None."""
     try:
         fields = json.loads(line[line.index('{') :])
         milliseconds, _, count = fields['stamp'].partition('.')
@@ -60,10 +60,10 @@
 def select_events(
     request: str, events: list[timeline.TimelineEvent]
 ) -> list[timeline.TimelineEvent]:
-    """Return what concerns a request, in order.
+    """Return the events that concern a request, in order.
 
-    That is its own events, and around their time what its instances did
-    besides serving others and what became of its engines.
+    These are its own events, and events of its instances and engines close to
+    them in time that belong to no request.
     """
     request_events = [event for event in events if event.request == request]
     if not request_events:
@@ -84,7 +84,7 @@
 
 
 def render(events: list[timeline.TimelineEvent]) -> str:
-    """Return a story as lines, with the time since its first event."""
+    """Return events as lines, with the seconds since the first one."""
     start = events[0].stamp.milliseconds
     return ''.join(
         f'{(event.stamp.milliseconds - start) / 1000.0:8.3f}  '
--- a/src/greengagelb/cli/help_texts.py
+++ b/src/greengagelb/cli/help_texts.py
@@ -1,4 +1,4 @@
-"""What ``--help`` prints."""
+"""The output of ``--help``."""
 
 from absl import flags
 
@@ -28,7 +28,7 @@
 
 
 def render_overview() -> str:
-    """Return the help on the whole program."""
+    """Return the help for the whole program."""
     width = max(len(command.name) for command in commands.COMMANDS)
     lines = [HEADER, 'commands:']
     lines += [
@@ -44,7 +44,7 @@
 
 
 def render_command_help(command: commands.Command) -> str:
-    """Return the help on one command."""
+    """Return the help for one command."""
     lines = [
         f'usage: greengagelb {command.name} {command.arguments}'.rstrip(),
         '',
--- a/src/greengagelb/cli/in_force.py
+++ b/src/greengagelb/cli/in_force.py
@@ -1,4 +1,4 @@
-"""The subcommand that shows what is in force on which instance."""
+"""The subcommand that shows what is in force on each instance."""
 
 from collections.abc import Callable
 import dataclasses
@@ -42,7 +42,6 @@
     'deadline_seconds', 30.0, 'How long to wait, in seconds.'
 )
 AS_JSON = flags.DEFINE_boolean('json', False, 'Print JSON, a line for each.')
-# How long after one look the next one follows, in seconds.
 POLL_INTERVAL_SECONDS = 0.5
 COLUMNS = (
     'ADDRESS',
@@ -63,7 +62,7 @@
 
 
 def show_in_force(words: list[str]) -> int:
-    """Show what is in force where; wait for it if that is asked for."""
+    """Print what is in force on each instance; wait if a flag asks for it."""
     addresses = read_addresses()
     condition = condition_from_flags()
 
@@ -81,7 +80,7 @@
 
 
 def read_addresses() -> list[operator_client.Address]:
-    """Return the addresses that the flags name, each once."""
+    """Return the addresses in the flags, without duplicates."""
     texts = list(PAGES.value)
     if PAGES_FILE.value is not None:
         try:
@@ -100,7 +99,7 @@
 
 
 def condition_from_flags() -> Condition | None:
-    """Return what all instances are to have, or None."""
+    """Return the condition that instances have to meet, or None."""
     version, digest = WAIT_FOR_VERSION.value, WAIT_FOR_DIGEST.value
     if version is None and digest is None:
         return None
@@ -119,7 +118,11 @@
     addresses: list[operator_client.Address],
     condition: Condition | None,
 ) -> list[in_force.ComparedReport]:
-    """Return what is found, at once or when all have what is wanted."""
+    """Return the state of the instances.
+
+    With a condition, polls until all instances meet it or the deadline is
+    over.
+    """
     deadline = reactor.seconds() + DEADLINE_SECONDS.value
     last_progress = ''
     while True:
@@ -147,14 +150,14 @@
     page: in_force.InstanceReport | in_force.ReportUnavailable,
     condition: Condition,
 ) -> bool:
-    """Return whether an instance has what is waited for."""
+    """Return whether an instance answered and meets the condition."""
     return isinstance(page, in_force.InstanceReport) and condition(page)
 
 
 def exit_code_of(
     seen: list[in_force.ComparedReport], condition: Condition | None
 ) -> exit_codes.ExitCode:
-    """Return the exit code: the worst of what was seen."""
+    """Return the exit code for the state of the instances."""
     answered = [
         one for one in seen if isinstance(one.found, in_force.InstanceReport)
     ]
@@ -172,14 +175,14 @@
 
 
 def render_table(seen: list[in_force.ComparedReport]) -> str:
-    """Return a line for each instance, and how many agree."""
+    """Return a table row for each instance, and how many agree."""
     rows = [list(COLUMNS), *map(row_of, seen)]
     agree = sum(not one.differences for one in seen)
     return tables.render(rows) + f'{agree} of {len(seen)} agree\n'
 
 
 def row_of(seen: in_force.ComparedReport) -> list[str]:
-    """Return the cells of one instance."""
+    """Return the table cells of one instance."""
     differs = '; '.join(seen.differences)
     match seen.found:
         case in_force.ReportUnavailable():
--- a/src/greengagelb/cli/interruption.py
+++ b/src/greengagelb/cli/interruption.py
@@ -1,4 +1,4 @@
-"""Signals to a command that has started other processes."""
+"""Signal handling for a command that has started other processes."""
 
 import signal
 
@@ -8,12 +8,12 @@
 
 
 class Interruption:
-    """Remembers a signal until the command can act on it.
+    """Keeps a signal until the command checks for it.
 
-    A signal that ended this process at once would leave the others running.
-    An error raised from within the handler could come between the start of a
-    process and the moment at which its end is arranged, and leave that one.
-    So the command asks, at places of its own choice.
+    If a signal ended this process at once, the processes that it started would
+    go on running. An exception raised in the handler could come between the
+    start of a process and the registration of its cleanup, and leave that
+    process running. So the command checks for signals where it is safe.
     """
 
     def __init__(self) -> None:
@@ -31,14 +31,14 @@
         for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)
         if exception[0] is None:
-            # One that came after the last look at it counts too.
+            # A signal may have come after the last check.
             self.raise_if_signalled()
 
     def handle_signal(self, number: int, frame: object) -> None:
-        """Take in a signal."""
+        """Note that a signal has arrived."""
         self.signalled = True
 
     def raise_if_signalled(self) -> None:
-        """Raise if a signal has come."""
+        """Raise ``Interrupted`` if a signal has arrived."""
         if self.signalled:
             raise event_loop.Interrupted(event_loop.SIGNALLED_MESSAGE)
--- a/src/greengagelb/cli/launcher.py
+++ b/src/greengagelb/cli/launcher.py
@@ -1,7 +1,7 @@
-"""Starts the processes of the demonstration and ends them again.
+"""Starts and stops the processes of the demonstration.
 
-The program itself never starts a process: only ``greengagelb demo`` uses
-this, in place of the operator who would start them on many machines.
+Only ``greengagelb demo`` starts processes. In a deployment, operators start
+them on many machines.
 """
 
 from collections.abc import Callable
@@ -30,7 +30,7 @@
 
 
 class LaunchedProcess:
-    """A process that this one has started."""
+    """A child process."""
 
     def __init__(
         self,
@@ -61,24 +61,28 @@
 
     @property
     def served_ports(self) -> list[int]:
-        """Return the ports that are asked over HTTP.
+        """Return the ports that serve HTTP.
 
-        An instance opens one after the other, so that its first port answers
-        a moment before its second.
+        An instance opens them one after the other, so its first port answers
+        slightly before its second.
         """
         return self.ports[:2]
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, as a crash would."""
+        """Kill the process, to simulate a crash."""
         self.popen.kill()
         self.popen.wait()
 
     def stop(self) -> int:
-        """Ask the process to stop, and return its exit code."""
+        """Send SIGTERM and return the exit code.
+
+        Raises :class:`~greengagelb.errors.DemoFailed` if the process does not
+        exit in time.
+        """
         self.popen.send_signal(signal.SIGTERM)
         try:
             return self.popen.wait(STOP_TIMEOUT_SECONDS)
@@ -88,9 +92,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceLocation:
-    """Where an instance stands, and which others its settings name.
+    """The data centre, peers and platform of an instance.
 
-    ``platform_port`` 0 stands for that of the launcher's own platform.
+    ``platform_port`` 0 means the port of the launcher's own platform.
     """
 
     data_centre: str = DATA_CENTRE
@@ -99,7 +103,7 @@
 
 
 class Launcher(contextlib.ExitStack):
-    """A small fleet on loopback; whatever is left is killed on exit."""
+    """A small fleet on loopback; ends processes that still run on exit."""
 
     poll_seconds = 0.2
     heartbeat_seconds = 0.5
@@ -129,7 +133,7 @@
     def start_process(
         self, name: str, words: list[str], ports: list[int]
     ) -> LaunchedProcess:
-        """Start the program with these arguments; its output goes to a log."""
+        """Start the program with arguments; its output goes to a log file."""
         log_path = self.folder / f'{name}.log'
         popen = subprocess.Popen(
             [*program_arguments(), *words],
@@ -141,7 +145,7 @@
         return LaunchedProcess(name, popen, ports, log_path)
 
     def terminate_process(self, popen: subprocess.Popen) -> None:
-        """End a process that still runs, if it can by itself."""
+        """Terminate a process that still runs; kill it after 1 s."""
         if popen.poll() is None:
             popen.terminate()
             with contextlib.suppress(subprocess.TimeoutExpired):
@@ -242,7 +246,7 @@
         )
 
     def log_tails(self) -> str:
-        """Return the end of each log, for a report of what went wrong."""
+        """Return the last lines of each log, for the report of a failure."""
         parts = []
         for path in sorted(self.folder.glob('*.log')):
             lines = path.read_text('utf-8', 'replace').splitlines()[-5:]
@@ -251,9 +255,9 @@
 
 
 def program_arguments() -> list[str]:
-    """Return the words that start this program once more.
+    """Return the arguments that start this program.
 
-    Within the one-file archive there is no module of that name to run.
+    Inside the single-file archive, ``-m`` finds no module of that name.
     """
     if zipfile.is_zipfile(sys.argv[0]):
         return [sys.executable, sys.argv[0]]
@@ -271,15 +275,15 @@
 
 
 def reserve_port() -> int:
-    """Return a port that nobody uses, kept for this process's children.
-
-    The system gives outgoing connections ports from 32768 up, at any time,
-    so the port is drawn from below. It stays bound here: otherwise another
-    launcher, or this one, could draw it again before the process that it is
-    meant for listens, which then fails with "address already in use".
-    Address reuse is switched on once it is bound, so that a process which
-    sets it too, as Twisted and zmq do, may listen all the same, while the
-    next one to draw the port is refused.
+    """Return an unused port, reserved for this process's children.
+
+    The operating system may assign ports from 32768 up to outgoing connections
+    at any time, so the port is chosen below that. It stays bound here, because
+    otherwise this launcher or another one could choose it again before the
+    process that it is meant for listens, which would then fail with "address
+    already in use". Address reuse is enabled after binding, so that a process
+    which also enables it, as Twisted and zmq do, can listen on the port, while
+    a launcher that tries to reserve it again can't bind it.
     """
     while True:
         port = secrets.choice(PORT_RANGE)
@@ -295,12 +299,12 @@
 
 
 def digest(key: str) -> str:
-    """Return the digest under which a key is kept."""
+    """Return the digest that is stored in place of a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def is_listening(port: int) -> bool:
-    """Return whether somebody listens on a port."""
+    """Return whether a process listens on a port."""
     try:
         with socket.create_connection((HOST, port), timeout=1.0):
             return True
@@ -313,16 +317,20 @@
     check_interrupted: Callable[[], None],
     timeout_seconds: float = 30.0,
 ) -> None:
-    """Return once all processes listen; raise if one ends or takes long.
+    """Return once all processes listen.
 
-    ``check`` is called now and again, and may raise.
+    Calls ``check_interrupted`` while waiting, which may raise. Raises
+    :class:`~greengagelb.errors.DemoFailed` if a process ends or the timeout
+    passes.
     """
     deadline = time.monotonic() + timeout_seconds
     for process in processes:
         while not all(is_listening(port) for port in process.served_ports):
             check_interrupted()
             if process.popen.poll() is not None:
-                raise errors.DemoFailed(f'{process.name} ended by itself')
+                raise errors.DemoFailed(f'{process.name} exited unexpectedly')
             if time.monotonic() > deadline:
-                raise errors.DemoFailed(f'{process.name} does not listen')
+                raise errors.DemoFailed(
+                    f'{process.name} does not listen in time'
+                )
             time.sleep(0.02)
--- a/src/greengagelb/cli/main.py
+++ b/src/greengagelb/cli/main.py
@@ -1,4 +1,4 @@
-"""Entry point of the ``greengagelb`` program: picks the subcommand."""
+"""Entry point of the ``greengagelb`` program: selects the subcommand."""
 
 import importlib.metadata
 import sys
@@ -26,7 +26,7 @@
 
 
 def select_command(words: list[str]) -> tuple[commands.Command, list[str]]:
-    """Return the command that is named, and the words after its name."""
+    """Return the command that is named, and its positional arguments."""
     if not words:
         raise errors.CommandError('write a command; see greengagelb --help')
     command = commands.find_command(words[0])
@@ -43,7 +43,7 @@
 
 
 def check_flags(command: commands.Command) -> None:
-    """Refuse a flag that belongs to another command."""
+    """Raise if a flag of another command is given."""
     known = {name for c in commands.COMMANDS for name in c.flags}
     for name in sorted(known - set(command.flags)):
         if flags.FLAGS[name].present:
@@ -77,7 +77,7 @@
 
 
 def parse_flags(arguments: list[str]) -> list[str]:
-    """Return the arguments that are no flags; answer a call for help."""
+    """Return the positional arguments; print help or the version and exit."""
     if '--version' in arguments[1:]:
         version = importlib.metadata.version('greengagelb')
         sys.stdout.write(f'greengagelb {version}\n')
@@ -95,7 +95,7 @@
 
 
 def select_help(arguments: list[str]) -> str:
-    """Return the help that the arguments ask for."""
+    """Return the help for the command in the arguments, or the overview."""
     for word in arguments:
         command = commands.find_command(word)
         if command is not None:
--- a/src/greengagelb/cli/operator_flags.py
+++ b/src/greengagelb/cli/operator_flags.py
@@ -1,4 +1,4 @@
-"""Flags that every operators' command has, and what they stand for."""
+"""Flags that all commands for operators share."""
 
 import os
 import pathlib
@@ -26,7 +26,7 @@
 
 
 def operator_addresses() -> list[operator_client.Address]:
-    """Return the addresses that the flags name, at least one."""
+    """Return the addresses in the flag; raise if there is none."""
     if not OPERATOR.value:
         raise errors.CommandError('write --operator=IP:PORT[,IP:PORT...]')
     return [parse_address(text) for text in OPERATOR.value]
@@ -35,7 +35,7 @@
 def parse_address(
     text: str, flag: str = 'operator'
 ) -> operator_client.Address:
-    """Return the address in ``IP:PORT``; IPv6 numbers stand in brackets."""
+    """Parse ``IP:PORT``; IPv6 addresses are in brackets."""
     host, _, port = text.strip().rpartition(':')
     try:
         return operator_client.Address(
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -1,4 +1,4 @@
-"""The operators' commands: plan, show-plan, confirm and status."""
+"""The commands for operators: plan, show-plan, confirm and status."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -45,7 +45,7 @@
 
 
 def plan(words: list[str]) -> int:
-    """Ask for the plan of an intent; nothing takes effect yet."""
+    """Request and print the plan for an intent; nothing takes effect yet."""
     intent = read_intent()
     made = ask_first_instance(lambda client: client.propose_plan(intent))
     sys.stdout.write(render_plan(made))
@@ -57,7 +57,7 @@
 
 
 def show_plan(words: list[str]) -> int:
-    """Show a plan that was made before."""
+    """Print an existing plan."""
     plan_id = only_argument(words, 'show-plan PLAN_ID')
     sys.stdout.write(
         render_plan(ask_first_instance(lambda c: c.show_plan(plan_id)))
@@ -78,7 +78,7 @@
 
 
 def status(words: list[str]) -> int:
-    """Show what all instances say of themselves."""
+    """Print the status that each instance reports."""
     addresses = operator_flags.operator_addresses()
     key = operator_flags.operator_key()
 
@@ -97,7 +97,7 @@
 
 
 def exit_code_of(answers: list[Any]) -> exit_codes.ExitCode:
-    """Return the exit code where some instances may not have answered."""
+    """Return the exit code for answers, some of which may be missing."""
     code = exit_codes.ExitCode.SUCCESS
     for answer in answers:
         match answer:
@@ -111,18 +111,18 @@
 
 
 def only_argument(words: list[str], usage: str) -> str:
-    """Return the only argument of a command."""
+    """Return the only argument of a command; raise if there are others."""
     if len(words) != 1:
         raise errors.CommandError(f'write greengagelb {usage}')
     return words[0]
 
 
 def ask_first_instance(work: PlanCall) -> plan_state.Plan:
-    """Ask the first of the given instances; the others are not needed.
+    """Send a call to the first of the given instances.
 
-    An instance that can't be reached was not changed by this command, but
-    the command does not go on to the next by itself: a confirmation whose
-    answer was lost may have taken effect, and the operator has to look.
+    The call is not repeated at the next instance if the first one can't be
+    reached: a confirmation whose answer was lost may have taken effect, and
+    the operator has to check that.
     """
     address = operator_flags.operator_addresses()[0]
     key = operator_flags.operator_key()
@@ -136,7 +136,7 @@
 
 
 def read_intent() -> plan_state.Intent:
-    """Return the one intent that the flags state."""
+    """Return the intent in the flags; raise unless there is exactly one."""
     flags_given = (DRAIN, RETURN_UPSTREAM, CONFIGURATION, INTENT)
     if sum(flag.value is not None for flag in flags_given) != 1:
         raise errors.CommandError(
@@ -155,12 +155,12 @@
 
 
 def read_configuration(raw: bytes) -> configuration_state.Configuration:
-    """Return the configuration in a message."""
+    """Decode a configuration."""
     return codec.decode(raw, configuration_state.Configuration)
 
 
 def read_json(name: str, read: Callable[[bytes], T]) -> T:
-    """Return the message in a JSON file, validated."""
+    """Return the validated message in a JSON file."""
     try:
         return read(pathlib.Path(name).read_bytes())
     except (OSError, errors.ProtocolError) as exc:
@@ -185,7 +185,7 @@
 
 
 def capacity_line(capacity: plan_state.Capacity) -> str:
-    """Return one line on the places of a pool or of an account in it."""
+    """Return a line on the places of a pool, or of an account in a pool."""
     owner = f'pool {capacity.pool}'
     if capacity.account:
         owner += f', account {capacity.account}'
@@ -198,7 +198,7 @@
 def render_status(
     answers: list[operator_api.Status | operator_client.NoAnswer],
 ) -> str:
-    """Return a table of all instances, and how far the newest version is."""
+    """Return a table of instances, and how many have the newest version."""
     rows = [
         ['INSTANCE', 'DATA CENTRE', 'VERSION', 'STATE', 'RUNNING', 'WAITING']
     ]
@@ -222,7 +222,7 @@
 
 
 def missing_notes(answer: operator_api.Status) -> list[str]:
-    """Return which instances lack the version, as this one sees them."""
+    """Return notes on instances that this one sees with an older version."""
     return [
         f'{answer.process} sees an older version on {name}'
         for name in answer.missing
@@ -230,7 +230,7 @@
 
 
 def status_row(answer: operator_api.Status) -> list[str]:
-    """Return the cells of one instance."""
+    """Return the table cells of one instance."""
     state = 'serving' if answer.configuration_version else 'not configured'
     if answer.stopping:
         state = 'stopping'
--- a/src/greengagelb/cli/serve.py
+++ b/src/greengagelb/cli/serve.py
@@ -14,17 +14,16 @@
 
 
 def read_settings() -> settings.Settings:
-    """Return the settings that the flags name."""
+    """Return the settings in the file that the flag names."""
     if not SETTINGS.value:
         raise errors.CommandError('write --settings=FILE')
     return settings.read_settings(pathlib.Path(SETTINGS.value))
 
 
 def serve(words: list[str]) -> int:
-    """Run one instance until it is asked to stop and nothing is in flight."""
+    """Run an instance until a stop is requested and nothing is in flight."""
     found = read_settings()
-    # The reactor is installed by its import, so that happens only where one
-    # is run.
+    # Importing the reactor installs it, so only commands that run one do so.
     from twisted.internet import reactor  # noqa: PLC0415
 
     from greengagelb.coordination import events  # noqa: PLC0415
@@ -41,8 +40,8 @@
         try:
             served_instance.start()
         except errors.CannotListen as exc:
-            # Another process has the port. The loop would go on without it
-            # and the instance would look alive while nobody reaches it.
+            # Another process uses the port. Without stopping the reactor, the
+            # process would go on running although nobody can reach it.
             sys.stderr.write(f'greengagelb: {exc.code}: {exc}\n')
             outcomes.append(exit_codes.ExitCode.FAILURE)
             reactor.stop()
--- a/src/greengagelb/cli/standin.py
+++ b/src/greengagelb/cli/standin.py
@@ -1,4 +1,4 @@
-"""The subcommand that runs a replacement of an outside system."""
+"""The subcommand that runs a stand-in for an external system."""
 
 from absl import flags
 
--- a/src/greengagelb/cli/tables.py
+++ b/src/greengagelb/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables of text with aligned columns."""
+"""Text tables with aligned columns."""
 
 COLUMN_GAP = '  '
 
@@ -18,10 +18,10 @@
 
 
 def replace_unprintable(cell: str) -> str:
-    """Return a cell without characters that would act on a terminal.
+    """Return a cell with unprintable characters replaced.
 
-    Request ids come from callers. One that holds an escape sequence could
-    otherwise rewrite what an operator sees.
+    Request ids come from callers. An escape sequence in one could otherwise
+    change what the operator's terminal shows.
     """
     return ''.join(
         character if character.isprintable() else '?' for character in cell
--- a/src/greengagelb/cli/timeline.py
+++ b/src/greengagelb/cli/timeline.py
@@ -1,4 +1,4 @@
-"""The command that shows the time line of events over all processes."""
+"""The command that prints a time line of the events of all processes."""
 
 import datetime
 import sys
@@ -46,7 +46,7 @@
 
 
 def timeline(words: list[str]) -> int:
-    """Show the events of all given instances, merged."""
+    """Print the merged events of all given instances."""
     addresses = operator_flags.operator_addresses()
     key = operator_flags.operator_key()
     selection = timeline_state.Selection(
@@ -70,7 +70,7 @@
 def merge_events(
     parts: list[InstanceAnswer],
 ) -> list[timeline_state.TimelineEvent]:
-    """Return the events of all parts in the order of their stamps."""
+    """Return the events of all instances in the order of their stamps."""
     events = []
     for part in parts:
         match part:
@@ -82,7 +82,7 @@
 def render(
     parts: list[InstanceAnswer], selection: timeline_state.Selection
 ) -> str:
-    """Return the merged time line as text, and what may be missing in it."""
+    """Return the merged time line, with notes on what may be missing."""
     events = merge_events(parts)
     lines = ''
     if events:
@@ -96,7 +96,7 @@
 
 
 def row_of(event: timeline_state.TimelineEvent, start: int) -> list[str]:
-    """Return the cells of an event; ``start`` is in milliseconds."""
+    """Return the table cells of an event; ``start`` is in milliseconds."""
     since = event.stamp.milliseconds - start
     moment = datetime.datetime.fromtimestamp(
         event.stamp.milliseconds / 1000, datetime.UTC
@@ -116,10 +116,10 @@
 
 
 def truncate_cell(cell: str) -> str:
-    """Return a cell that leaves room for the others on a screen.
+    """Return a cell that is truncated to the maximum width.
 
-    Callers choose their request ids, and one long id would push all other
-    columns out of sight.
+    Callers choose their request ids, and one long id would push the other
+    columns off the screen.
     """
     if len(cell) <= MAX_CELL_WIDTH:
         return cell
@@ -129,7 +129,7 @@
 def notes_of(
     part: InstanceAnswer, selection: timeline_state.Selection
 ) -> list[str]:
-    """Return what a reader has to know of a part that is not whole."""
+    """Return notes on what is missing in the answer of an instance."""
     match part:
         case operator_client.NoAnswer(address, _, reason):
             return [f'{address} gave no events, they are missing: {reason}']
--- a/src/greengagelb/platform/__init__.py
+++ b/src/greengagelb/platform/__init__.py
@@ -1,6 +1,5 @@
-"""The users' platform: its names, formats and calls.
+"""Adapter for the users' platform: its names, formats and calls.
 
-What stands here is turned once into the product's own types and back. No
-module of this folder decides anything, and no other module knows a name of
-the platform's.
+The modules here convert between the platform's formats and the product's own
+types and make no decisions. No other module uses a name of the platform.
 """
--- a/src/greengagelb/platform/__main__.py
+++ b/src/greengagelb/platform/__main__.py
@@ -1,8 +1,9 @@
-"""The program of an instance: ``python3 -m greengagelb.platform``.
+"""Runs an instance: ``python3 -m greengagelb.platform``.
 
-Signals are handled before anything large is imported, which takes half a
-second. Until then the usual handling would end the process: a reload would
-take an instance out, and a stop would look like a crash.
+Signal handlers are installed before any large library is imported, because
+the imports take half a second. The default handlers would end the process
+meanwhile: a reload would stop the instance, and a stop would look like a
+crash.
 """
 
 import gc
@@ -11,13 +12,13 @@
 
 
 def main() -> int:
-    """Handle signals, then run an instance."""
-    # The settings are about to be read anyway.
+    """Install signal handlers, then run an instance."""
+    # A reload has no effect yet: the settings are read after the imports.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Nothing is under way yet, so there is nothing to finish.
+    # No request is in flight yet, so the process can exit at once.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    # What is imported stays. Searched for garbage again and again meanwhile,
-    # it takes a tenth longer until an instance serves.
+    # Imported objects are never freed. Garbage collection during the imports
+    # makes an instance's start take a tenth longer.
     gc.disable()
 
     from greengagelb.platform import process  # noqa: PLC0415
--- a/src/greengagelb/platform/process.py
+++ b/src/greengagelb/platform/process.py
@@ -1,7 +1,7 @@
-"""Runs one instance on the platform, from its settings to its end.
+"""Runs one instance on the platform, from reading its settings to its exit.
 
-Imports no more than serving needs. What the other commands use would take
-half as much memory again on machines that are paid for by memory.
+Imports only what serving needs. The modules of the other commands would add
+half as much memory again, on machines that are paid for by memory.
 """
 
 import gc
@@ -20,14 +20,14 @@
 
 SETTINGS_VARIABLE = 'GREENGAGELB_SETTINGS'
 LOG_FLUSH_INTERVAL_SECONDS = 0.5
-# The platform says by a signal that the file has changed, but not always.
+# The platform sends a signal when the file has changed, but not always.
 SETTINGS_POLL_INTERVAL_SECONDS = 1.0
 
 read_settings = relay_settings.read_relay_settings
 
 
 def main() -> int:
-    """Run until the platform asks to stop and nothing is under way."""
+    """Run until a stop is requested and no request is in flight."""
     try:
         path = pathlib.Path(os.environ.get(SETTINGS_VARIABLE, ''))
         settings = read_settings(path)
@@ -38,15 +38,15 @@
 
 
 def run(settings: relay_settings.RelaySettings, path: pathlib.Path) -> int:
-    """Run an instance with good settings, read from ``path``."""
-    # The reactor is installed by its import; what the others import takes an
-    # installed one for granted.
+    """Run an instance with valid settings that were read from ``path``."""
+    # Importing the reactor installs it; the modules imported below rely on an
+    # installed reactor.
     from twisted.internet import reactor  # noqa: PLC0415
 
     from greengagelb.transport import recorder  # noqa: PLC0415
     from greengagelb.transport.relay import instance  # noqa: PLC0415
 
-    # From here on only what requests leave behind is searched.
+    # Excludes the imported objects from garbage collection from here on.
     gc.freeze()
     gc.enable()
     reactors.use_monotonic_clock(reactor)
@@ -69,7 +69,7 @@
     relay_instance.loop.call_periodically(
         SETTINGS_POLL_INTERVAL_SECONDS, watched_file.check_for_change
     )
-    # A busy loop looks late; the time for a stop counts from the signal.
+    # A busy loop runs the call late; the grace period starts at the signal.
     signal.signal(
         signal.SIGTERM,
         lambda *_: reactor.callFromThread(
--- a/src/greengagelb/platform/row_decoding.py
+++ b/src/greengagelb/platform/row_decoding.py
@@ -1,4 +1,4 @@
-"""Rows out of the store's answers, of which each may be anything."""
+"""Decodes rows in the store's answers; any row may be malformed."""
 
 import json
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class UntypedRows(msgspec.Struct):
-    """An answer whose rows may be of any type."""
+    """An answer whose rows may have any type."""
 
     rows: list[Any]
     ver: int
@@ -19,7 +19,7 @@
 
 
 class RowKey(msgspec.Struct):
-    """As much of a row as names it."""
+    """The key of a row; other fields are ignored."""
 
     key: str
 
@@ -27,9 +27,12 @@
 def read_rows(body: bytes) -> rows.Rows:
     """Return the rows in an answer.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` where it is no answer of
-    a store. A row that is of another type is only noted: with the answer
-    refused for it, the store would seem away for as long as that row is there.
+    A malformed row is returned with its ``mistake`` set. If the whole answer
+    were rejected for it, the store would appear unavailable for as long as
+    that row exists.
+
+    Raises :class:`~greengagelb.errors.ProtocolError` if the body is not an
+    answer of the store.
     """
     try:
         return codec.decode(body, rows.Rows)
@@ -38,30 +41,30 @@
 
 
 def read_rows_individually(body: bytes) -> rows.Rows:
-    """Return the rows in an answer of which some are not as agreed.
+    """Return the rows in an answer that contains malformed rows.
 
-    Read by the parser that also accepts texts which are no Unicode; the
-    other one is the faster.
+    Uses the standard library's parser, which is slower than msgspec's but
+    also accepts strings that are not valid Unicode.
     """
     try:
         document = json.loads(body.decode('utf-8', 'replace'))
         found = msgspec.convert(document, UntypedRows)
     except (ValueError, RecursionError) as exc:
-        raise errors.ProtocolError(f'no rows: {exc}') from exc
+        raise errors.ProtocolError(f'not a list of rows: {exc}') from exc
     answer = rows.Rows([], found.ver, found.has_more)
     for value in found.rows:
         try:
             answer.rows.append(msgspec.convert(value, rows.Row))
         except msgspec.ValidationError as exc:
             key = key_of_row(value)
-            # Those without a key are one for whoever counts mistakes.
+            # All rows without a key count as the same mistake.
             mistake = str(exc) if key else 'row without a key'
             answer.rows.append(rows.Row(key, mistake=mistake))
     return answer
 
 
 def key_of_row(value: object) -> str:
-    """Return the key of a row of any type, empty where it has none."""
+    """Return the key of a row of any type; empty if it has none."""
     try:
         return msgspec.convert(value, RowKey).key
     except msgspec.ValidationError:
--- a/src/greengagelb/platform/rows.py
+++ b/src/greengagelb/platform/rows.py
@@ -18,19 +18,19 @@
 
 T = TypeVar('T')
 
-# Bounds of what can be calculated with and told to other instances. Figures
-# beyond them would raise with the first request that they are used for.
+# Ranges that can be used in calculations and sent to other instances. Values
+# outside them would raise with the first request that uses them.
 Counter = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 Amount = Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Count = Annotated[int, msgspec.Meta(ge=1, le=2**31 - 1)]
 PriorityNumber = Annotated[int, msgspec.Meta(ge=0, le=2**31 - 1)]
 Weight = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
-# Eleven days at the most: a timer for longer can't be waited for.
+# At most eleven days: longer timers can't be waited for.
 Milliseconds = Annotated[float, msgspec.Meta(ge=0.0, le=1e9)]
 Timeout = Annotated[float, msgspec.Meta(gt=0.0, le=1e9)]
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
-# As long as the store's keys may be. Ten entries with longer names would not
-# fit the datagram in which the neighbours are told of them.
+# The maximum length of a key of the store. Ten entries with longer names would
+# not fit into the datagram that sends them to neighbouring instances.
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 DataCentreName = Annotated[str, msgspec.Meta(max_length=200)]
 
@@ -40,8 +40,8 @@
     'streaming': routes.RepeatPolicy.STREAM,
 }
 DRAINING = 'draining'
-# The greatest whole number that every reader of JSON takes in exactly. As
-# milliseconds it is far beyond any date, and it fits our own datagrams.
+# The largest integer that every JSON parser reads exactly. In milliseconds it
+# is far beyond any date, and it fits our own datagrams.
 MAX_MILLISECONDS = 2**53
 StartMilliseconds = Annotated[int, msgspec.Meta(ge=0, le=MAX_MILLISECONDS)]
 
@@ -49,7 +49,8 @@
 class Row(msgspec.Struct):
     """A row of any table; ``tombstone`` marks one that was removed.
 
-    ``mistake`` tells why a row that was sent is none; its key may be empty.
+    ``mistake`` says why a row that was received is malformed; the key of such
+    a row may be empty.
     """
 
     key: str
@@ -60,9 +61,9 @@
 
 
 class Rows(msgspec.Struct):
-    """Rows as of one moment; ``ver`` is the store's newest version.
+    """A snapshot of rows; ``ver`` is the store's newest version.
 
-    ``era`` is from the head of the answer.
+    ``era`` comes from a header field of the answer.
     """
 
     rows: list[Row]
@@ -72,12 +73,12 @@
 
     @property
     def position(self) -> positions.StorePosition:
-        """Return from where to read on."""
+        """Return the position from which to read later changes."""
         return positions.StorePosition(self.era, self.ver)
 
 
 class RowName(msgspec.Struct):
-    """Names a row."""
+    """The full name of a row."""
 
     table: str
     part: str
@@ -85,7 +86,7 @@
 
 
 class NewRow(msgspec.Struct):
-    """A row to be written; ``value`` is base64."""
+    """A row to write; ``value`` is base64."""
 
     table: str
     part: str
@@ -94,7 +95,7 @@
 
 
 class Transaction(msgspec.Struct):
-    """A transaction: rows that must have a version, to write, to remove."""
+    """A transaction: rows with an expected version, to write, to remove."""
 
     expected_rev: list[RowName]
     set_keys: list[NewRow]
@@ -102,7 +103,7 @@
 
 
 class WireSplit(msgspec.Struct):
-    """A service's part of a route."""
+    """A service's share of a route."""
 
     service: str
     weight: Weight
@@ -127,7 +128,7 @@
 
 
 class WireEngines(msgspec.Struct):
-    """What the model engines of a service have."""
+    """The properties of the model engines of a service."""
 
     slots: Count = 1
     kv_capacity: Amount = 0
@@ -137,7 +138,7 @@
 
 
 class WireService(msgspec.Struct):
-    """A service; ``engine`` is there for model engines only."""
+    """A service; ``engine`` is present for model engines only."""
 
     name: str
     max_conns: Count = 100
@@ -146,7 +147,7 @@
 
 
 class WireLimits(msgspec.Struct):
-    """What callers may send."""
+    """Limits on the requests of callers."""
 
     header_bytes: Count = 16_384
     max_body_bytes: Amount = 4 << 20
@@ -175,9 +176,9 @@
 class WireEngine(msgspec.Struct):
     """An engine's entry; its key is the engine's identity.
 
-    Entries of other writers may have anything in them. Fields without a
-    default are those that are read here: what they leave unsaid can't be
-    guessed. Of the others only the type counts.
+    Entries of other writers may contain anything. Fields without a default
+    are required because they are used here and a missing value can't be
+    guessed. For the other fields only the type is checked.
     """
 
     service: Name
@@ -192,23 +193,29 @@
 
 
 def encode_value(value: object) -> str:
-    """Return what a row is to hold."""
+    """Return an object encoded as the value of a row."""
     return base64.b64encode(codec.encode(value)).decode()
 
 
 def decode_value(row: Row, kind: type[T]) -> T:
-    """Return what a row holds."""
+    """Return the decoded value of a row.
+
+    Raises :class:`~greengagelb.errors.ProtocolError`.
+    """
     if row.mistake:
         raise errors.ProtocolError(row.mistake)
     try:
         raw = base64.b64decode(row.value, validate=True)
     except ValueError as exc:
-        raise errors.ProtocolError('row is not base64') from exc
+        raise errors.ProtocolError('value of row is not base64') from exc
     return codec.decode(raw, kind)
 
 
 def read_route_table(row: Row) -> routes.RouteTable:
-    """Return the configuration in a row."""
+    """Return the configuration in a row.
+
+    Raises :class:`~greengagelb.errors.ProtocolError`.
+    """
     config = decode_value(row, WireConfig)
     services = {service.name for service in config.services}
     found = tuple(read_route(route) for route in config.routes)
@@ -236,7 +243,7 @@
         )
     if not route.prefix.startswith('/'):
         raise errors.ProtocolError(
-            f'route {route.name}: prefix begins with no slash'
+            f'route {route.name}: prefix does not begin with a slash'
         )
     shares = tuple(
         routes.ServiceShare(part.service, part.weight)
@@ -244,7 +251,7 @@
         if part.weight > 0
     )
     if route.split and not shares:
-        raise errors.ProtocolError(f'route {route.name}: no part has a weight')
+        raise errors.ProtocolError(f'route {route.name}: all weights are 0')
     return routes.Route(
         route.name,
         route.host.lower(),
@@ -273,7 +280,7 @@
 
 
 def read_model_engines(model: WireEngines) -> routes.ModelEngines:
-    """Return what the model engines of a service have."""
+    """Return the properties of the model engines of a service."""
     return routes.ModelEngines(
         model.slots,
         model.kv_capacity,
@@ -296,7 +303,7 @@
 def read_accounts(
     tenants: list[WireAccount] | None,
 ) -> dict[bytes, routes.Account] | None:
-    """Return the accounts by the digests of their keys."""
+    """Return the accounts by the digests of their API keys."""
     if tenants is None:
         return None
     return {
@@ -307,7 +314,7 @@
 
 
 def read_account(account: WireAccount) -> routes.Account:
-    """Return an account; engines are told its name in a header."""
+    """Return an account; its name is sent to engines in a header."""
     name = validation.check_header_text(account.name, 'name of an account')
     return routes.Account(name, account.priority)
 
@@ -315,8 +322,8 @@
 def read_engine(row: Row) -> engines.EngineEntry:
     """Return an engine's entry.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` where it names no engine
-    that a request could be sent to.
+    Raises :class:`~greengagelb.errors.ProtocolError` if no request could be
+    sent to the engine.
     """
     engine = decode_value(row, WireEngine)
     return engines.EngineEntry(
@@ -332,7 +339,7 @@
 
 
 def read_member(row: Row) -> hints.Member:
-    """Return the entry of an instance of ours."""
+    """Return the entry of one of our instances."""
     member = decode_value(row, hints.Member)
     if member.name != row.key:
         raise errors.ProtocolError('entry names another instance')
@@ -343,7 +350,7 @@
 
 
 def read_crashes(row: Row, prefix: str) -> crashes.StoredCrashes:
-    """Return the crashes under a request."""
+    """Return the crashes that are stored for a request."""
     kept = decode_value(row, crashes.StoredCrashes)
     if prefix + kept.fingerprint != row.key:
         raise errors.ProtocolError('entry names another request')
--- a/src/greengagelb/platform/store.py
+++ b/src/greengagelb/platform/store.py
@@ -1,4 +1,4 @@
-"""The calls of the platform's store."""
+"""Calls to the platform's store."""
 
 import urllib.parse
 
@@ -21,41 +21,40 @@
 OPERATORS_TABLE = 'op'
 CONFIGURATION_KEY = 'config'
 ENGINES_TABLE = 'servers'
-# A table of our own: one row for each instance, by its name.
+# Our own table, with one row for each instance; the key is its name.
 MEMBERS_TABLE = 'instances'
-# Beside them stand the crashes under requests, so that no further call reads
-# them. Names of instances have no slash.
+# Crashes by request are kept in the same table, so that reading them takes no
+# further call. Names of instances contain no slash.
 CRASH_KEY_PREFIX = 'crashes/'
-# The most rows in one answer, by the platform's page on its store.
+# According to the platform's documentation of its store.
 MAX_ROWS_PER_PAGE = 500
-# In the head of each answer: how often the store has come back from a copy.
+# Header field of each answer: how often the store was restored from a copy.
 ERA_HEADER = b'store-era'
-# Longer ones are no count, and don't fit our own datagrams.
+# Longer numbers are no plausible count and don't fit our own datagrams.
 MAX_ERA_DIGITS = 15
-# How often a list of several answers is begun anew, as a copy has taken the
-# store's place meanwhile.
+# How often the read of a list of several pages is tried, as it has to start
+# again when the store is restored from a copy between two pages.
 MAX_LIST_ATTEMPTS = 3
 STATUS_OK = 200
 STATUS_GONE = 410
-# An answer begins within some milliseconds, and within a quarter of a second
-# while the store is slow. On a connection on which an answer was lost nothing
-# more ever comes. In seconds.
+# An answer begins within a few milliseconds, or within 0.25 s while the store
+# is slow. A connection on which an answer was lost receives nothing more.
 ANSWER_START_TIMEOUT_SECONDS = 0.6
-# An answer has at most a megabyte of rows, by the platform's page on its
-# store; the second one is for what stands around them.
+# An answer has at most 1 MB of rows, according to the platform's documentation
+# of its store; the second megabyte is for the JSON around them.
 MAX_ANSWER_BYTES = 2 << 20
-# How long an answer may come that tells all there is, in seconds. Nothing
-# shorter could be asked for, so it only bounds what a store may hold up that
-# sends a little now and then: a megabyte takes 1.6 s on the smallest link in
-# use, of 5 Mbit/s, and that has callers to serve besides.
+# Bounds the transfer of an answer with a whole list. No shorter answer could
+# be requested instead, so this only limits how long a store that sends slowly
+# can delay the read: 1 MB takes 1.6 s on the slowest link in use, of 5 Mbit/s,
+# which also carries the callers' traffic.
 LIST_TRANSFER_TIMEOUT_SECONDS = 10.0
-# The same for changes. What there is may be far less than what has changed,
-# and then comes sooner.
+# The same for an answer with changes. It is shorter because the whole list may
+# be far smaller than the changes, and can then be read sooner.
 CHANGES_TRANSFER_TIMEOUT_SECONDS = 1.0
 
 
 class PlatformStore:
-    """Reads the store; the watch decides what to read and when."""
+    """Client of the store; the store watch decides what to read and when."""
 
     def __init__(
         self, pool: http_client.ConnectionPool, address: engines.Address
@@ -64,13 +63,17 @@
         self.address = address
 
     def use_address(self, address: engines.Address) -> None:
-        """Ask at another address from now on."""
+        """Send further requests to another address."""
         self.address = address
 
     def get_rows(
         self, target: str, seconds: float, coming_seconds: float
     ) -> defer.Deferred:
-        """Return the rows in a good answer to a reading call."""
+        """Fetch the rows that a target of the store returns.
+
+        ``seconds`` limits the time until the answer begins, and
+        ``coming_seconds`` the time of its transfer.
+        """
         host = (b'Host', str(self.address).encode())
         request = http_client.WireRequest(b'GET', target.encode(), (host,))
         pending = self.send_request(request, seconds, coming_seconds)
@@ -79,7 +82,7 @@
     def commit_transaction(
         self, transaction: rows.Transaction
     ) -> defer.Deferred:
-        """Carry out a change of one row."""
+        """Send a transaction to the store."""
         headers = (
             (b'Host', str(self.address).encode()),
             (b'Content-Type', b'application/json'),
@@ -96,7 +99,7 @@
         seconds: float,
         coming_seconds: float = 0.0,
     ) -> defer.Deferred:
-        """Return a good answer.
+        """Send a request and return its answer once the status is good.
 
         Raises :class:`~greengagelb.errors.PlatformUnavailable`,
         :class:`~greengagelb.errors.HistoryGone` and
@@ -120,20 +123,25 @@
     def read_whole_table(self, table: str) -> object:
         """Return all rows of a table, however many answers they take.
 
-        The version is that of the first answer: what changes while the others
-        are fetched is then found again among the changes since. Answers of
-        two eras don't belong together.
+        The version is that of the first answer, so that rows which change
+        while the other pages are fetched are read again with the changes since
+        then. Pages of different eras can't be combined.
+
+        Raises :class:`~greengagelb.errors.PlatformUnavailable` if the era
+        changes during each attempt.
         """
         for _ in range(MAX_LIST_ATTEMPTS):
             pages = yield self.read_pages(table)
             if len({page.era for page in pages}) == 1:
                 found = [row for page in pages for row in page.rows]
                 return rows.Rows(found, pages[0].ver, era=pages[0].era)
-        raise errors.PlatformUnavailable('store came back within a list')
+        raise errors.PlatformUnavailable(
+            'store was restored while a list was read'
+        )
 
     @defer.inlineCallbacks
     def read_pages(self, table: str) -> object:
-        """Return a table's answers, up to the first of another era."""
+        """Return the pages of a table, up to the first one of another era."""
         pages = [(yield self.read_page(table, ''))]
         start_key = ''
         while pages[-1].has_more and pages[-1].era == pages[0].era:
@@ -144,7 +152,7 @@
         return pages
 
     def read_page(self, table: str, start_key: str) -> defer.Deferred:
-        """Return the rows of a table from a key on, that one included."""
+        """Return the rows of a table from ``start_key`` on, inclusive."""
         target = f'/api/rows-get?table={table}&part=&limit={MAX_ROWS_PER_PAGE}'
         if start_key:
             target += f'&from={urllib.parse.quote(start_key, safe="")}'
@@ -158,7 +166,7 @@
         position: positions.StorePosition,
         wait_seconds: float,
     ) -> defer.Deferred:
-        """Return the rows that have changed since a version."""
+        """Return the rows that have changed since a position."""
         wait = int(wait_seconds * 1000)
         since = position.version
         return self.get_rows(
@@ -167,12 +175,10 @@
             CHANGES_TRANSFER_TIMEOUT_SECONDS,
         )
 
-    # -- what the watch asks for --------------------------------------------
-
     def read_configuration(
         self, position: positions.StorePosition | None, wait_seconds: float
     ) -> defer.Deferred:
-        """Return the configuration, or what has become of it since."""
+        """Return the configuration, or its changes since a position."""
         if position is None:
             found = self.read_whole_table(OPERATORS_TABLE)
         else:
@@ -182,7 +188,7 @@
     def read_engines(
         self, position: positions.StorePosition | None
     ) -> defer.Deferred:
-        """Return the list of engines, or what has changed in it since."""
+        """Return the list of engines, or its changes since a position."""
         if position is None:
             found = self.read_whole_table(ENGINES_TABLE)
         else:
@@ -208,32 +214,32 @@
         )
 
     def write_crashes(self, kept: crashes.StoredCrashes) -> defer.Deferred:
-        """Write the crashes under a request."""
+        """Write the crashes that are kept for a request."""
         key = CRASH_KEY_PREFIX + kept.fingerprint
         row = rows.NewRow(MEMBERS_TABLE, '', key, rows.encode_value(kept))
         return self.commit_transaction(rows.Transaction([], [row], []))
 
     def delete_crashes(self, fingerprint: str) -> defer.Deferred:
-        """Remove the crashes under a request."""
+        """Remove the crashes that are kept for a request."""
         row = rows.RowName(MEMBERS_TABLE, '', CRASH_KEY_PREFIX + fingerprint)
         return self.commit_transaction(rows.Transaction([], [], [row]))
 
 
 def next_page_start(page: rows.Rows, previous_start: str) -> str:
-    """Return the key with which the next page is to begin.
+    """Return the key at which the next page begins.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` where the page brings
-    no key but the one that it began with: asked for the same again and again,
-    the store would never have told the whole list.
+    Raises :class:`~greengagelb.errors.ProtocolError` if the page has no key
+    other than the one that it was requested from: the same page would be
+    requested forever.
     """
     for row in reversed(page.rows):
         if row.key and row.key != previous_start and is_encodable(row.key):
             return row.key
-    raise errors.ProtocolError('page of rows does not lead on')
+    raise errors.ProtocolError('page of rows has no key for the next page')
 
 
 def is_encodable(key: str) -> bool:
-    """Return whether a key can be sent; half a surrogate pair can't."""
+    """Return whether a key can be sent; a lone surrogate can't."""
     try:
         key.encode()
     except UnicodeEncodeError:
@@ -242,7 +248,7 @@
 
 
 def members_from_rows(found: rows.Rows) -> store_watch.MembersRead:
-    """Return the instances in some rows, and the crashes beside them."""
+    """Return the instances and the kept crashes in some rows."""
     members = []
     kept = []
     mistakes = {}
@@ -262,28 +268,30 @@
 
 
 def check_status(answer: timed_requests.Answer) -> timed_requests.Answer:
-    """Return a good answer, or raise what is wrong with it."""
+    """Return an answer with a good status; raise an error for any other."""
     if answer.too_long:
         raise errors.AnswerTooLong(answer.detail)
     if answer.response is None:
         raise errors.PlatformUnavailable(answer.detail)
     status = answer.response.status_code
     if status == STATUS_GONE:
-        raise errors.HistoryGone('changes are no longer kept')
+        raise errors.HistoryGone(
+            'store no longer has the changes since this version'
+        )
     if status != STATUS_OK:
         raise errors.PlatformUnavailable(f'status {status}')
     return answer
 
 
 def read_rows(answer: timed_requests.Answer) -> rows.Rows:
-    """Return the rows in an answer, with the era in its head."""
+    """Return the rows in an answer, with the era in its header."""
     found = row_decoding.read_rows(answer.body)
     found.era = read_era(answer)
     return found
 
 
 def read_era(answer: timed_requests.Answer) -> int:
-    """Return the era that an answer states, if it is a whole number."""
+    """Return the era in an answer's header, or ``NO_ERA`` if it is invalid."""
     fields = tuple(answer.response.headers.raw_items())
     stated = http1.first_header_value(fields, ERA_HEADER) or b''
     if not stated.isdigit() or len(stated) > MAX_ERA_DIGITS:
@@ -308,8 +316,9 @@
 def engines_from_rows(found: rows.Rows) -> store_watch.EnginesRead:
     """Return the entries of engines among some rows.
 
-    Of several changes of one row the last one counts; that an engine said in
-    an earlier one that it leaves is kept.
+    The last of several changes of a row decides whether it was removed or is
+    invalid. Earlier valid entries are returned too, so that an engine's notice
+    that it is leaving is not lost.
     """
     entries = []
     removed: dict[str, None] = {}
@@ -335,7 +344,7 @@
 def unusable_entries_from(
     mistakes: dict[str, str],
 ) -> tuple[unusable_entries.UnusableEntry, ...]:
-    """Return mistakes by the keys of their rows as they are told."""
+    """Return mistakes, given by the keys of their rows."""
     return tuple(
         unusable_entries.UnusableEntry(key, why)
         for key, why in mistakes.items()
--- a/src/greengagelb/platform/wire.py
+++ b/src/greengagelb/platform/wire.py
@@ -1,4 +1,4 @@
-"""Requests and answers as the platform's callers and engines write them."""
+"""Converts requests and answers from and to the platform's formats."""
 
 import h11
 import msgspec
@@ -13,8 +13,8 @@
 from greengagelb.transport.relay import http_client
 
 REQUEST_ID_HEADER = b'Request-Id'
-# How long the sender still waits, in milliseconds: a time left, although its
-# name says deadline.
+# The time that the sender still waits, in milliseconds: a remaining time,
+# although the header's name says deadline.
 TIME_LEFT_HEADER = b'Request-Deadline'
 RESUME_AFTER_HEADER = b'Last-Event-Id'
 API_KEY_HEADER = b'Authorization'
@@ -22,28 +22,28 @@
 ACCOUNT_HEADER = b'Tenant'
 EXPECTED_ENGINE_HEADER = b'Expect-Instance'
 PRIORITY_HEADER = b'Request-Priority'
-# Tokens of the prompt, and the most tokens of the output.
+# Tokens of the prompt, and the maximum number of output tokens.
 TOKEN_COUNTS_HEADER = b'Token-Counts'
-# Parts of the prompt as ID:TOKENS; the last one belongs to one conversation.
+# Prompt parts as ID:TOKENS; the last one is specific to a conversation.
 PROMPT_PARTS_HEADER = b'Prompt-Prefix'
-# The engine that gets a copy of the run's memory as it grows.
+# The engine that the run's memory is copied to as it grows.
 COPY_TO_HEADER = b'Kv-Backup'
-# The engine that holds a copy, and the run's name there.
+# The engine that holds a copy of the memory, and the run's name there.
 COPY_FROM_HEADER = b'Kv-From'
 SIGNATURE_HEADER = b'Engine-Seal'
 NOT_RUN_HEADER = b'Not-Executed'
 ENGINE_ID_HEADER = b'Instance-Id'
 # Running, waiting, slots.
 LOAD_HEADER = b'Engine-Load'
-# The requests a second that the engine takes from all instances together.
+# The requests per second that the engine accepts from all instances together.
 RATE_LIMIT_HEADER = b'Server-Limit'
-# What an engine tells of itself without a free slot.
+# An engine answers this without a free slot.
 REPORT_PATH = b'/api/report'
-# Has an engine copy a run's memory.
+# Makes an engine copy a run's memory.
 COPY_PATH = b'/api/kv-move'
-# The status of an engine that is not the one that was expected.
+# The status that an engine other than the expected one answers with.
 WRONG_ENGINE_STATUS = 421
-# What a caller may not set: it is the system's to say, or a secret.
+# Not taken from callers: set by the system itself, or secret.
 BLOCKED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -63,27 +63,28 @@
         b'Content-Length',
     )
 )
-# A caller that states no time gets what its route allows at the most.
+# For callers that send no deadline; the time limit of the route still applies.
 DEFAULT_TIMEOUT_SECONDS = 3600.0
 
 
 class CopyRequest(msgspec.Struct):
-    """Copy the run of the request ``id`` to the engine at ``to``."""
+    """Asks an engine to copy the run of request ``id`` to address ``to``."""
 
     id: str
     to: str
 
 
 class CopyAnswer(msgspec.Struct):
-    """The copy is there, under ``handle``."""
+    """Says that the copy is complete; ``handle`` is its name."""
 
     handle: str
 
 
 class Report(msgspec.Struct):
-    """What an engine tells of itself; ``born`` is when it was started.
+    """An engine's report on itself.
 
-    ``kv_total`` is the memory of a model engine, in tokens.
+    ``born`` is its start in Unix milliseconds, ``kv_total`` the memory of a
+    model engine in tokens.
     """
 
     born: rows.StartMilliseconds = engines.UNKNOWN_START
@@ -92,7 +93,7 @@
 
 
 class PlatformDialect:
-    """Translates heads of requests and answers."""
+    """Converts requests and answers between the platform and the product."""
 
     def read_request(
         self,
@@ -116,7 +117,7 @@
         host = single_header_value(fields, b'Host') or b''
         request_id = single_header_value(fields, REQUEST_ID_HEADER)
         if not request_id:
-            raise errors.ProtocolError('request without an id')
+            raise errors.ProtocolError('request has no id')
         return requests.CallerRequest(
             exchange,
             head.method,
@@ -135,7 +136,7 @@
     def write_send(
         self, send: relay_actions.Send, now: float
     ) -> http_client.WireRequest:
-        """Return a request as its engine gets it."""
+        """Return a request as it is sent to its engine."""
         request = send.request
         left = max(1, int((send.deadline - now) * 1000))
         headers = [
@@ -185,9 +186,9 @@
     def is_answer_to(
         self, response: h11.Response, send: relay_actions.Send
     ) -> bool:
-        """Return whether an answer is the one to a send.
+        """Return whether an answer belongs to a send.
 
-        Refusals may come without the id of what they refuse.
+        Error answers may lack the id of the request.
         """
         fields = tuple(response.headers.raw_items())
         echoed = http1.first_header_value(fields, REQUEST_ID_HEADER.lower())
@@ -198,23 +199,23 @@
     def write_probe(
         self, engine: engines.EngineEntry
     ) -> http_client.WireRequest:
-        """Return a request that an engine answers while it lives."""
+        """Return a request that an engine answers while it is alive."""
         host = (b'Host', str(engine.address).encode())
         return http_client.WireRequest(b'GET', REPORT_PATH, (host,))
 
     def read_started_at_ms(self, status: int, body: bytes) -> int:
-        """Return when an engine that was probed says that it was started."""
+        """Return an engine's start from its answer to a probe."""
         return parse_report(status, body).born
 
     def read_has_model_memory(self, status: int, body: bytes) -> bool:
-        """Return whether what was probed is a model engine, and stays one."""
+        """Return whether a probed engine is a model engine, not draining."""
         report = parse_report(status, body)
         return report.kv_total > 0 and report.state != rows.DRAINING
 
     def write_copy_request(
         self, copy: relay_actions.CopyRun
     ) -> http_client.WireRequest:
-        """Return the order to copy a run's memory."""
+        """Return the request to copy a run's memory."""
         body = msgspec.json.encode(
             CopyRequest(copy.request_id, str(copy.target.address))
         )
@@ -225,7 +226,7 @@
         return http_client.WireRequest(b'POST', COPY_PATH, headers, body)
 
     def read_copy_handle(self, status: int, body: bytes) -> str:
-        """Return the handle in the answer to such an order, or ''."""
+        """Return the handle in the answer to a copy request, or ''."""
         if status != 200:
             return ''
         try:
@@ -236,10 +237,10 @@
     def write_identity_request(
         self, engine: engines.EngineEntry, path: str
     ) -> http_client.WireRequest:
-        """Return a request whose answer names the engine that answers.
+        """Return a request whose answer contains the engine's identity.
 
-        One that expects an engine which is not there any more is answered
-        by whoever is there, and runs nowhere.
+        If another engine now has the address, it answers instead and, as it
+        is not the expected engine, does not run the request.
         """
         host = (b'Host', str(engine.address).encode())
         expected = (EXPECTED_ENGINE_HEADER, engine.engine.encode())
@@ -251,11 +252,11 @@
             name, _, value = line.partition(b':')
             if name == b'id' and value.strip().isdigit():
                 return int(value)
-        raise errors.ProtocolError('event without a number')
+        raise errors.ProtocolError('event has no number')
 
 
 def parse_report(status: int, body: bytes) -> Report:
-    """Return what an engine tells of itself; nothing if it can't be read."""
+    """Return an engine's report; an empty one if it can't be decoded."""
     if status != 200:
         return Report()
     try:
@@ -265,30 +266,36 @@
 
 
 def header_values(fields: requests.Headers, name: bytes) -> list[bytes]:
-    """Return all values of a field."""
+    """Return all values of a header field."""
     return [v for n, v in fields if n.lower() == name.lower()]
 
 
 def single_header_value(fields: requests.Headers, name: bytes) -> bytes | None:
-    """Return a field's value; two of them would leave open which counts."""
+    """Return the value of a header field that may occur only once.
+
+    Raises :class:`~greengagelb.errors.ProtocolError` if it is repeated, as
+    either value could be the intended one.
+    """
     found = header_values(fields, name)
     if len(found) > 1:
-        raise errors.ProtocolError(f'{name.decode()} stands twice')
+        raise errors.ProtocolError(f'{name.decode()} is given twice')
     return found[0] if found else None
 
 
 def read_integer_header(fields: requests.Headers, name: bytes) -> int | None:
-    """Return a field that holds a whole number."""
+    """Return the value of a header field that contains an integer."""
     value = single_header_value(fields, name)
     if value is None:
         return None
     if not value.isdigit() or len(value) > 12:
-        raise errors.ProtocolError(f'{name.decode()} is not a whole number')
+        raise errors.ProtocolError(
+            f'{name.decode()} is not an integer of up to 12 digits'
+        )
     return int(value)
 
 
 def read_api_key(fields: requests.Headers) -> str | None:
-    """Return the API key that a caller shows."""
+    """Return the API key in a caller's request."""
     value = single_header_value(fields, API_KEY_HEADER)
     if value is None or not value.lower().startswith(API_KEY_SCHEME):
         return None
@@ -296,7 +303,7 @@
 
 
 def read_prompt_sizes(fields: requests.Headers) -> requests.Prompt | None:
-    """Return the sizes of a generation, if the request states them."""
+    """Return the token counts of a generation, if the request has them."""
     counts = single_header_value(fields, TOKEN_COUNTS_HEADER)
     if counts is None:
         return None
@@ -309,7 +316,7 @@
 
 
 def parse_load(value: bytes | None) -> engines.EngineLoad | None:
-    """Return an engine's load, or None if it tells none that can be read."""
+    """Return an engine's load, or None if it is missing or malformed."""
     if value is None:
         return None
     parts = value.split(b',')
--- a/tests/cli/test_check_config.py
+++ b/tests/cli/test_check_config.py
@@ -1,4 +1,4 @@
-"""What ``check-config`` says of the settings of relaying instances."""
+"""``check-config`` on the settings of relaying instances."""
 
 import pathlib
 import re
@@ -16,7 +16,7 @@
 TEMPLATE = (
     pathlib.Path(greengagelb.__file__).parent / 'platform' / 'settings.ini'
 )
-# What a deployment fills the template with.
+# Values that a deployment fills into the template.
 PLACEHOLDER_VALUES = {
     'node_name': 'north-3',
     'zone': 'north',
@@ -34,7 +34,7 @@
 
 
 def fill_template():
-    """Return the template with a value in each of its places."""
+    """Return the template with all placeholders filled in."""
     text = TEMPLATE.read_text('utf-8')
     return re.sub(
         r'\{\{([^}]+)\}\}', lambda m: PLACEHOLDER_VALUES[m.group(1)], text
@@ -42,7 +42,7 @@
 
 
 def check_settings(tmp_path, text):
-    """Run the command on a file of that text; return its path as well."""
+    """Run the command on a file with a text; return the path as well."""
     path = tmp_path / 'a.ini'
     path.write_text(text, 'utf-8')
     return runner.run_here('check-config', f'--settings={path}'), path
@@ -58,9 +58,9 @@
 
 
 def test_unfilled_template_is_rejected(tmp_path):
-    """The template itself is given as the settings file.
+    """Guards against accepting the template itself as a settings file.
 
-    An instance of that file would have no address to serve at.
+    An instance with that file would have no address to listen on.
     """
     outcome, path = check_settings(tmp_path, TEMPLATE.read_text('utf-8'))
     assert outcome.code == Code.BAD_SETTINGS
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize('field', PLACEHOLDER_VALUES)
 def test_field_that_the_platform_has_no_value_for_is_told(tmp_path, field):
-    """The platform writes nothing where it has no value."""
+    """The platform leaves a placeholder empty if it has no value for it."""
     place = '{{' + field + '}}'
     lines = TEMPLATE.read_text('utf-8').splitlines()
     key = next(line for line in lines if place in line).split(' = ')[0]
@@ -211,7 +211,7 @@
 def test_a_change_that_a_running_process_takes_is_told_with_its_effect(
     tmp_path,
 ):
-    """Guards against staff who dread to edit a settings file."""
+    """Guards against changes whose effect on a process is unclear."""
     new = fill_template().replace('grace_seconds = 8', 'grace_seconds = 9')
     outcome = compare_settings(tmp_path, fill_template(), new)
     assert outcome.code == Code.SUCCESS
@@ -222,7 +222,7 @@
 
 
 def test_a_change_that_needs_a_new_start_has_a_code_of_its_own(tmp_path):
-    """Guards against a script that reloads and believes it has done it."""
+    """Guards against scripts that reload where a restart is needed."""
     new = fill_template().replace('data_centre = north', 'data_centre = south')
     outcome = compare_settings(tmp_path, fill_template(), new)
     assert outcome.code == Code.NEEDS_START
@@ -230,7 +230,7 @@
 
 
 def test_equal_settings_written_in_another_way_are_no_change(tmp_path):
-    """Guards against a report that goes by the text of a file."""
+    """Guards against a comparison of texts in place of values."""
     new = fill_template().replace('grace_seconds = 8', 'grace_seconds = 8.00')
     outcome = compare_settings(
         tmp_path, fill_template(), new + '\n# a comment\n'
@@ -240,7 +240,7 @@
 
 
 def test_secrets_are_not_shown(tmp_path):
-    """Guards against secrets in the log of a script."""
+    """Guards against secrets in the output of a script."""
     secret = 'fedcba9876543210'
     new = settings_files.GOOD.replace('0123456789abcdef', secret)
     outcome = compare_settings(tmp_path, settings_files.GOOD, new)
@@ -251,7 +251,7 @@
 
 
 def test_a_mistake_in_the_old_file_is_told_by_its_name(tmp_path):
-    """Guards against a mistake that is looked for in the wrong file."""
+    """Guards against an error message that names the wrong file."""
     outcome = compare_settings(
         tmp_path, fill_template().replace('= 8', '= no'), fill_template()
     )
@@ -260,14 +260,14 @@
 
 
 def test_settings_of_two_programs_are_not_compared(tmp_path):
-    """Guards against a list of differences that means nothing."""
+    """Guards against a meaningless list of differences."""
     outcome = compare_settings(tmp_path, settings_files.GOOD, fill_template())
     assert outcome.code == Code.USAGE
     assert 'another kind' in outcome.complaint
 
 
 def test_the_page_shows_what_the_command_prints(tmp_path):
-    """Guards against a page that tells of another program than this one."""
+    """Guards against documentation that is out of date."""
     named = fill_template().replace('name = north-3', 'name = relay-0')
     new = named.replace('grace_seconds = 8', 'grace_seconds = 9')
     new = new.replace('data_centre = north', 'data_centre = south')
--- a/tests/cli/test_help_and_mistakes.py
+++ b/tests/cli/test_help_and_mistakes.py
@@ -1,4 +1,4 @@
-"""What a stranger reads, and how each mistake on the command line is told."""
+"""Help texts, and the messages for mistakes on the command line."""
 
 import pytest
 
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -1,4 +1,4 @@
-"""What is in force on which instance, as the command compares it."""
+"""The comparison of what is in force on each instance."""
 
 import json
 import pathlib
@@ -31,7 +31,7 @@
 
 
 def render_metrics_page(**changed):
-    """Return the page of metrics of an instance."""
+    """Return the metrics page of an instance."""
     figures = relay_metrics.RelayMetrics()
     sample = {
         'identity': metrics.Identity('a', 'north'),
@@ -48,7 +48,7 @@
 
 
 def test_a_page_of_metrics_is_read():
-    """Guards against a command that no page of this release satisfies."""
+    """Guards against a command that can't read this release's metrics."""
     found = metrics_page.parse_page(render_metrics_page())
     assert (found.name, found.data_centre) == ('a', 'north')
     assert found.stopping
@@ -59,7 +59,7 @@
 
 
 def test_a_page_without_an_age_of_the_store_is_read():
-    """Guards against instances that are left out as they follow no store."""
+    """Guards against rejecting instances that read no store."""
     assert (
         metrics_page.parse_page(
             render_metrics_page(store_seconds=None)
@@ -84,7 +84,7 @@
     ],
 )
 def test_invalid_metrics_page_is_rejected(raw):
-    """Guards against strangers that are taken for instances."""
+    """Guards against treating other servers as instances."""
     with pytest.raises(errors.ProtocolError):
         metrics_page.parse_page(raw)
 
@@ -92,7 +92,7 @@
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=400))
 def test_arbitrary_metrics_page_raises_only_protocol_errors(raw):
-    """Guards against one address that hides all others."""
+    """Guards against one address whose answer ends the whole command."""
     try:
         metrics_page.parse_page(render_metrics_page() + raw)
     except errors.ProtocolError:
@@ -100,7 +100,7 @@
 
 
 def test_differing_instances_come_first_with_the_reason():
-    """Guards against one old file among three hundred lines."""
+    """Guards against missing one outdated instance among three hundred."""
     found = [
         ('1.0.0.1:1', GOOD),
         ('1.0.0.2:1', alter_page(settings_digest=1)),
@@ -140,7 +140,7 @@
     )
 )
 def test_each_address_has_one_line_and_most_agree_with_most(pages):
-    """Guards against addresses that are lost, and a wrong majority."""
+    """Guards against missing addresses and a wrong majority."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
     seen = in_force.compare_reports(found)
     assert sorted(one.address for one in seen) == sorted(a for a, _ in found)
@@ -164,13 +164,13 @@
     ],
 )
 def test_scripts_can_tell_what_was_found(pages, code):
-    """Guards against a roll-out that goes on while instances differ."""
+    """Guards against a rollout that continues while instances differ."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
     assert command.exit_code_of(in_force.compare_reports(found), None) is code
 
 
 def test_what_is_waited_for_decides_and_not_the_majority():
-    """Guards against a wait that ends as all agree on the old version."""
+    """Guards against a wait that ends when all agree on the old version."""
     seen = in_force.compare_reports([('1.0.0.1:1', GOOD), ('1.0.0.2:1', GOOD)])
 
     def has(page):
@@ -181,7 +181,7 @@
 
 
 def test_lines_of_json_hold_what_the_table_does():
-    """Guards against scripts that have to read a table."""
+    """Guards against scripts that have to parse a table."""
     seen = in_force.compare_reports(
         [
             ('1.0.0.1:1', GOOD),
@@ -197,7 +197,7 @@
 
 
 def test_no_address_and_bad_addresses_are_mistakes(tmp_path):
-    """Guards against a command that finds that nothing differs."""
+    """Guards against reporting agreement when no instance was asked."""
     assert runner.run_here('in-force').code == Code.USAGE
     outcome = runner.run_here('in-force', '--pages=nowhere:1')
     assert outcome.code == Code.USAGE
@@ -207,7 +207,7 @@
 
 
 def test_the_page_shows_the_table_that_the_command_prints():
-    """Guards against a page that tells of another program than this one."""
+    """Guards against documentation that is out of date."""
     page = (ROOT / 'docs' / 'OPERATIONS.md').read_text('utf-8')
     shown = page.partition('<!-- output in-force -->\n')[2]
     shown = textwrap.dedent(shown.partition('   <!-- end in-force')[0])
--- a/tests/cli/test_launcher.py
+++ b/tests/cli/test_launcher.py
@@ -1,4 +1,4 @@
-"""Ports for the demonstration's and the tests' processes."""
+"""Reserved ports for the processes of the demonstration and the tests."""
 
 import socket
 
@@ -8,9 +8,9 @@
 
 
 def test_port_is_given_to_one_launcher_only_and_can_be_listened_on():
-    """Two fleets start at the same time and draw the same port.
+    """Guards against two fleets that choose the same port at the same time.
 
-    The one that listens later would end with "address already in use".
+    The process that listens later would fail with "address already in use".
     """
     port = launcher.reserve_port()
     with socket.socket() as other, pytest.raises(OSError):
--- a/tests/platform/test_build.py
+++ b/tests/platform/test_build.py
@@ -1,4 +1,4 @@
-"""The build that the platform runs in a checkout, maybe twice at a time."""
+"""The build script, which the platform may run concurrently."""
 
 import pathlib
 import shutil
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def checkout(tmp_path):
-    """Return a checkout with a small package, and nothing to install."""
+    """Return a checkout with a small package and no missing dependencies."""
     for name in ('deploy/build.sh', 'requirements/relay.lock'):
         (tmp_path / name).parent.mkdir()
         shutil.copy(ROOT / name, tmp_path / name)
@@ -37,7 +37,7 @@
 
 
 def can_import_package(checkout):
-    """Return whether an instance that starts now finds the package."""
+    """Return whether an instance that starts now could import the package."""
     done = subprocess.run(
         [sys.executable, '-c', 'import greengagelb'],
         cwd=checkout / 'target' / 'deps',
@@ -48,14 +48,14 @@
 
 
 def test_builds_at_the_same_time_leave_a_whole_package(checkout):
-    """Guards against two builds that move each other's trees away."""
+    """Guards against concurrent builds that move each other's directories."""
     builds = [start_build(checkout) for _ in range(CONCURRENT_BUILDS)]
     assert [one.wait() for one in builds] == [0] * CONCURRENT_BUILDS
     assert can_import_package(checkout)
 
 
 def test_a_build_without_a_change_leaves_what_runs_alone(checkout):
-    """Guards against an instance that starts while nothing is there."""
+    """Guards against an instance that starts while the package is missing."""
     assert start_build(checkout).wait() == 0
     package = checkout / 'target' / 'deps' / 'greengagelb'
     before = package.stat().st_ino
@@ -64,7 +64,7 @@
 
 
 def test_a_build_takes_in_a_change(checkout):
-    """Guards against a build that is skipped though the source changed."""
+    """Guards against a build that is skipped although the source changed."""
     assert start_build(checkout).wait() == 0
     source = checkout / 'src' / 'greengagelb' / 'part39.py'
     source.write_text('NUMBER = 40\n')
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of crashes, and what the store keeps."""
+"""Crash reports between instances, and crashes kept in the store."""
 
 import base64
 
@@ -19,7 +19,7 @@
 
 OWN = hints.Member('n1', 'n1-x', '127.0.0.1', 'north')
 WALL = 1_800_000_000_000
-# What fits a datagram that no link on the way has to split.
+# The largest datagram that no link has to fragment.
 MAX_DATAGRAM_BYTES = 1400
 
 TOLD = st.builds(
@@ -53,7 +53,7 @@
 def test_the_longest_report_fits_a_datagram():
     """Guards against reports that a lossy link loses more often than others.
 
-    Split into packets, each of them has to arrive.
+    A fragmented datagram is lost with any of its fragments.
     """
     life = f'i-{"f" * 10} {WALL}'
     told = tuple(
@@ -66,7 +66,7 @@
 
 
 def test_heartbeats_of_a_release_without_crashes_are_understood():
-    """Guards against instances that go deaf while a release is replaced."""
+    """Guards against ignored heartbeats while releases are mixed."""
     old = msgspec.msgpack.encode(
         ['n-x', ['h', 'n', '1.2.3.4', 'north', False]]
     )
@@ -84,14 +84,11 @@
     ],
 )
 def test_names_without_bound_are_refused(report):
-    """Guards against memory that a stranger's datagrams fill."""
+    """Guards against datagrams of strangers that use unbounded memory."""
     with pytest.raises(errors.ProtocolError):
         relay_hints.decode_datagram(relay_hints.encode_hint('x', report))
 
 
-# -- the store --------------------------------------------------------------
-
-
 class RowStore(store.PlatformStore):
     """A store of rows in memory."""
 
@@ -121,7 +118,7 @@
 
 
 def test_crashes_are_read_with_the_instances():
-    """Guards against crashes that are taken for an instance's bad entry."""
+    """Guards against crashes that are read as invalid instance entries."""
     found = RowStore()
     found.register(OWN)
     found.write_crashes(KEPT)
@@ -135,7 +132,7 @@
 
 @pytest.mark.parametrize('key', ['crashes/other', 'crashes/'])
 def test_crash_entry_of_another_writer_is_rejected(key):
-    """Guards against entries that have innocent requests refused."""
+    """Guards against entries of others that get harmless requests refused."""
     found = RowStore()
     text = base64.b64encode(codec.encode(KEPT)).decode()
     found.rows[key] = rows.Row(key, text, 1)
@@ -147,7 +144,7 @@
 
 @given(st.integers(-5_000, 600_000))
 def test_stored_crashes_age_by_the_wall_clock(waited):
-    """Guards against blocks that never end, or end as a clock is set back."""
+    """Guards against blocks that never end, or end as a clock goes back."""
     report = crashes.CrashReport('f', (crashes.ReportedCrash('e', 0.25, 2.0),))
     kept = crashes.to_stored_crashes(report, WALL)
     [told] = crashes.to_crash_report(kept, WALL + waited).crashes
--- a/tests/platform/test_early_signals.py
+++ b/tests/platform/test_early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come while an instance is still starting."""
+"""Signals that arrive while an instance is starting."""
 
 import json
 import subprocess
@@ -26,11 +26,11 @@
 
 @pytest.mark.slow
 def test_signals_are_handled_before_anything_large_is_imported():
-    """The settings change, or a stop is asked for, while a process starts.
+    """Guards against a signal that ends a process while it starts.
 
-    Its libraries take half a second to import. Until then the usual handling
-    of the signal would end the process: a reload would take an instance out
-    for no reason, and a stop would look like a crash.
+    Importing the libraries takes half a second. Until then the default handler
+    would end the process: a reload would stop the instance, and a stop would
+    look like a crash.
     """
     looked = subprocess.run(
         [sys.executable, '-c', PROGRAM],
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store that other writers have written."""
+"""Rows in the platform's store that were written by other programs."""
 
 import base64
 import ipaddress
@@ -31,7 +31,6 @@
     'cold_left_ms': 0,
     'seq': 4,
 }
-# The fields without which an entry says too little to go by.
 REQUIRED_FIELDS = ('service', 'address', 'zone', 'slots', 'state', 'seq')
 MEMBER = {
     'name': 'front-1',
@@ -108,7 +107,7 @@
 
 
 def alter_fields(whole):
-    """Return variants of an object with fields gone or of any JSON."""
+    """Return variants of an object with fields missing or replaced."""
     kept = st.sets(st.sampled_from(sorted(whole)), min_size=len(whole) - 2)
     fields = st.dictionaries(
         st.sampled_from(sorted(whole)), ANY_JSON, max_size=3
@@ -121,7 +120,7 @@
 
 
 def row_values(whole):
-    """Return what may stand in a row in place of an object."""
+    """Return arbitrary values of a row, some similar to an object."""
     texts = (
         st.one_of(ANY_JSON, alter_fields(whole))
         .map(json.dumps)
@@ -142,7 +141,7 @@
 
 
 def read_engines_around(other):
-    """Read a list of two engines with another row between them."""
+    """Read a list of two valid engines with another row between them."""
     return store.engines_from_rows(
         rows.Rows([row('i-1', ENGINE), other, row('i-3', ENGINE)], 9)
     )
@@ -155,10 +154,10 @@
 @example('i-2', b'null')
 @example('a\r\nb: c', json.dumps(ENGINE).encode())
 def test_arbitrary_engine_entry_does_not_affect_other_entries(key, raw):
-    """Another program writes what it likes into the list of engines.
+    """Guards against an invalid engine entry that fails the whole read.
 
-    Where that spoils the reading of the whole list, all engines that start
-    meanwhile get no work, and those that leave still do.
+    Engines that start would then get no work, and engines that leave would
+    still get some.
     """
     other = row_of(f'i-2{key}', raw)
     found = read_engines_around(other)
@@ -215,10 +214,10 @@
     ],
 )
 def test_engine_entry_with_an_invalid_field_is_rejected(change):
-    """An entry is whole but for one field, which is not as agreed.
+    """Guards against requests to an engine with one invalid field.
 
-    Taken for a ready engine it is sent requests. Those fail, as nobody or
-    somebody else is there, and each costs its caller an attempt.
+    They would reach nobody or another program, and each would cost its caller
+    an attempt.
     """
     found = read_engines_around(row('i-2', {**ENGINE, **change}))
     assert [entry.engine for entry in found.entries] == ['i-1', 'i-3']
@@ -229,9 +228,9 @@
 
 @pytest.mark.parametrize('field', REQUIRED_FIELDS)
 def test_engine_entry_without_a_required_field_is_rejected(field):
-    """An entry lacks its state or its slots, as its writer knows none.
+    """Guards against defaults for fields that the writer left out.
 
-    Taken as ready and with one slot, an engine that is leaving gets work.
+    With a default state and slot count, a leaving engine would get work.
     """
     left = {name: ENGINE[name] for name in ENGINE if name != field}
     found = read_engines_around(row('i-2', left))
@@ -246,10 +245,10 @@
 
 
 def test_last_change_of_a_row_counts():
-    """One answer has two changes of an entry, the second one unusable.
+    """Guards against outdated changes when a row changes twice in an answer.
 
-    An engine that would still be used after it gets work though its entry
-    names none; and one that was mended in the meantime would get none.
+    An engine whose last entry is invalid would get work, and one whose entry
+    was corrected would get none.
     """
     spoilt = row('i-2', {**ENGINE, 'state': 'lost'})
     good = row('i-2', ENGINE)
@@ -266,7 +265,7 @@
 
 
 def encode_answer_around(other):
-    """Return an answer of the store with any JSON between two rows."""
+    """Return an answer with any JSON value between two valid rows."""
     first, last = (
         {'key': key, 'value': row(key, ENGINE).value, 'ver': 5}
         for key in ('i-1', 'i-3')
@@ -289,10 +288,9 @@
 @example({'key': 'i-2', 'value': '\ud800', 'ver': 5})
 @example({'key': None, 'value': 'e30=', 'ver': 5})
 def test_arbitrary_row_does_not_affect_other_rows(other):
-    """The store passes on a row in which a value is null, or no text.
+    """Guards against one malformed row that fails the whole answer.
 
-    An answer that is refused as a whole for it looks like a store that is
-    away, for as long as the row is there.
+    The store would appear unavailable for as long as the row exists.
     """
     found = store.engines_from_rows(
         row_decoding.read_rows(encode_answer_around(other))
@@ -303,7 +301,7 @@
 
 
 def test_answer_that_is_no_list_of_rows_is_refused():
-    """Something else than the store answers, or the answer is cut."""
+    """Another program answers in place of the store, or truncated data."""
     for body in (
         b'',
         b'[]',
@@ -323,17 +321,14 @@
     assert mistake.name == ''
 
 
-# -- instances ---------------------------------------------------------------
-
-
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(row_values(MEMBER))
 @example(DEEPLY_NESTED_JSON)
 def test_arbitrary_instance_entry_does_not_affect_other_entries(raw):
-    """Another program writes into the list of instances.
+    """Guards against an invalid instance entry that fails the whole read.
 
-    Where that spoils the reading of the list, no instance learns of others
-    any more, and each one takes the whole budget of repeats for its own.
+    Instances would no longer learn of each other, and each would use the whole
+    retry budget.
     """
     good = row('front-1', MEMBER)
     found = store.members_from_rows(
@@ -358,10 +353,11 @@
     ],
 )
 def test_instance_entry_with_an_invalid_field_is_rejected(change):
-    """An instance's entry has a host that no datagram can be sent to.
+    """Guards against instance entries with an unusable host or name.
 
-    An error of the socket would end the reading of the list for good; and an
-    entry under another name would hide the instance of that name.
+    The socket error for a host that no datagram can be sent to would end the
+    reading of the list for good. An entry under another name would hide the
+    instance of that name.
     """
     value = {**MEMBER, 'name': 'front-2', **change}
     found = store.members_from_rows(rows.Rows([row('front-2', value)], 9))
@@ -369,11 +365,8 @@
     assert [mistake.name for mistake in found.mistakes] == ['front-2']
 
 
-# -- the configuration -------------------------------------------------------
-
-
 def replace_part(part, changed):
-    """Return a configuration in which one part is another one."""
+    """Return a configuration with one part replaced."""
     match part:
         case 'route':
             return {**CONFIG, 'routes': [changed]}
@@ -410,17 +403,17 @@
     | st.binary()
 )
 @example(DEEPLY_NESTED_JSON)
-# Model engines whose memory is not told: the first stream divided by it.
+# Model engines without a memory size: the first stream divided by it.
 @example(
     json.dumps(
         replace_part('service', {**MODEL_SERVICE, 'engine': {}})
     ).encode()
 )
 def test_arbitrary_configuration_is_rejected_or_usable(raw):
-    """The row of the configuration holds anything.
+    """Guards against a configuration that raises when it is read or used.
 
-    An error that it raises, on reading or with the first request, would end
-    the following of the configuration or the answering of requests.
+    The error would end the updates of the configuration, or the handling of
+    requests.
     """
     read = read_configuration(raw)
     assert (read.table is None) == bool(read.mistake)
@@ -490,10 +483,10 @@
     ],
 )
 def test_configuration_with_an_invalid_value_is_rejected(part, change):
-    """One value of a configuration is such that nothing can go by it.
+    """Guards against a configuration with one unusable value.
 
-    In force it would refuse each request of its route, or raise with it. The
-    last good configuration stays in force instead.
+    If it were applied, each request of its route would be refused or raise.
+    The last valid configuration stays in force instead.
     """
     value = replace_part(part, {**PARTS[part], **change})
     read = read_configuration(json.dumps(value).encode())
@@ -502,14 +495,14 @@
 
 
 def test_configuration_with_duplicate_names_is_accepted():
-    """Nothing goes by the names of routes, and of services the last counts."""
+    """Names of routes are not used; of equal services the last counts."""
     twice = {**CONFIG, 'routes': [ROUTE, {**ROUTE, 'prefix': '/b/'}]}
     read = read_configuration(json.dumps(twice).encode())
     assert read.table.find_route('api.example', '/b/x').name == 'r-1'
 
 
 def test_configuration_row_with_a_null_value_is_rejected():
-    """The value of the row is null: nothing can be read, and nothing goes."""
+    """Guards against a null value that raises or removes a configuration."""
     body = json.dumps(
         {'rows': [{'key': 'config', 'value': None, 'ver': 5}], 'ver': 9}
     ).encode()
--- a/tests/platform/test_long_lists.py
+++ b/tests/platform/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Lists that don't fit into one answer of the platform's store."""
+"""Lists that need several answers of the platform's store."""
 
 import base64
 import json
@@ -12,13 +12,13 @@
 from greengagelb.platform import store
 from greengagelb.state.relay import engines
 
-# An answer holds 500 rows; the fleet to design for has 630 engines.
+# An answer has at most 500 rows; the largest planned fleet has 630 engines.
 ROWS_PER_PAGE = 500
 ENGINE_COUNT = 630
 
 
 def engine_row(number):
-    """Return an engine's row."""
+    """Return the row of an engine."""
     value = {
         'service': 's',
         'address': f'10.0.{number // 250}.9:{number + 1}',
@@ -32,9 +32,9 @@
 
 
 class PagedStore(store.PlatformStore):
-    """A store that answers from a list, a page at a time.
+    """A store that returns a list one page at a time.
 
-    An engine that comes between two pages makes the version grow.
+    Its version grows between two pages, as if an engine registered.
     """
 
     def __init__(self):
@@ -60,12 +60,12 @@
 
 
 def decode_answer(answer):
-    """Return an answer as it comes out of the store's bytes."""
+    """Return an answer after encoding and decoding it."""
     return row_decoding.read_rows(json.dumps(answer_fields(answer)).encode())
 
 
 def answer_fields(answer):
-    """Return an answer as the store writes it."""
+    """Return the JSON document of an answer."""
     return {
         'ver': answer.ver,
         'has_more': answer.has_more,
@@ -77,10 +77,10 @@
 
 
 def test_list_of_engines_longer_than_an_answer_is_read_whole():
-    """A large fleet starts, and its list needs two answers.
+    """Guards against a list of engines that ends with the first answer.
 
-    Engines that only the second one names would get no work; and when the
-    list is read whole again they would all be taken as gone at once.
+    Engines in the second one would get no work, and would all be considered
+    gone when the list is next read as a whole.
     """
     read = []
     PagedStore().read_engines(None).addCallback(read.append)
@@ -88,10 +88,10 @@
 
 
 def test_repeated_page_is_rejected():
-    """The store says that there is more, and sends the same page again.
+    """Guards against a read that requests the same page forever.
 
-    Asked for the next page for ever, it would keep the list from being read,
-    and nobody would see why.
+    The store reports more rows but sends the same page again. The list would
+    never be read, and no error would show why.
     """
 
     class StuckStore(PagedStore):
@@ -105,10 +105,10 @@
 
 
 def test_changes_between_two_answers_are_read_again():
-    """The list changes while its second part is being fetched.
+    """Guards against changes that are missed while a list is read.
 
-    Followed from the second answer's version on, changes to rows of the first
-    part would never be seen.
+    If changes were read from the second answer's version on, a row of the
+    first answer that changed in between would stay outdated.
     """
     read = []
     PagedStore().read_engines(None).addCallback(read.append)
--- a/tests/platform/test_names.py
+++ b/tests/platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in the adapter."""
+"""Names of the platform are used only in its adapter."""
 
 import pathlib
 
@@ -8,13 +8,13 @@
 from greengagelb.platform import wire
 
 ROOT = pathlib.Path(greengagelb.__file__).parent
-# Names that mean nothing outside of this platform.
+# Names that are specific to this platform.
 PLATFORM_NAMES = [
     value.decode().lower()
     for name, value in vars(wire).items()
     if name.isupper() and isinstance(value, bytes) and b'-' in value
 ] + ['rows-get', 'rows-feed', 'rows-tx', 'kv_capacity', 'max_conns', 'op/']
-# Header fields of the product's own interface, and of any HTTP service.
+# Header fields that the product's own interface or HTTP services use too.
 STANDARD_HEADERS = {'last-event-id', 'request-id'}
 FILES = [
     pytest.param(path, id=str(path.relative_to(ROOT)))
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store."""
+"""Decoding of rows of the platform's store."""
 
 import base64
 import json
@@ -92,10 +92,10 @@
     ],
 )
 def test_invalid_configuration_is_rejected(change):
-    """An operator's mistake, or a row that was written half.
+    """Guards against an invalid configuration that is applied in part.
 
-    Applied as far as it can be read, it would send requests to where no route
-    allows it.
+    It may be an operator's mistake or a partial write, and could send requests
+    to services that no route allows.
     """
     read = store.configuration_from_rows(
         rows.Rows([row({**CONFIG, **change})], 9)
@@ -121,22 +121,22 @@
 
 
 def test_start_of_an_engine_is_decoded():
-    """It alone tells two lives of an engine under one identity apart."""
+    """Only the start time tells a restarted engine with the same identity."""
     entry = rows.read_engine(row({**ENGINE, 'born': 1_796_000_000_123}))
     assert entry.started_at_ms == 1_796_000_000_123
 
 
 def test_engine_that_does_not_say_when_it_started_is_used():
-    """Older engines have another identity after each start."""
+    """Older engines send no start time but change identity at each start."""
     entry = rows.read_engine(row(ENGINE))
     assert entry.started_at_ms == engines.UNKNOWN_START
 
 
 @pytest.mark.parametrize('start', [-1, 2**60, 10**40, 1.5, '17', None])
 def test_entry_with_invalid_start_time_is_rejected(start):
-    """Another writer put something else where the start should stand.
+    """Guards against an invalid start that counts as the latest one.
 
-    Taken as the greatest start of all, it would outlive all true ones.
+    It would take precedence over every valid start.
     """
     read = store.engines_from_rows(
         rows.Rows([row({**ENGINE, 'born': start})], 9)
@@ -172,7 +172,7 @@
 
 
 def test_lost_history_is_told_apart_from_a_store_that_is_away():
-    """After the one all has to be read anew, after the other only later."""
+    """The first needs a full read; the second only a later attempt."""
     with pytest.raises(errors.HistoryGone):
         store.check_status(answer(410))
     with pytest.raises(errors.PlatformUnavailable):
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,9 +1,8 @@
-"""What an instance on the platform needs until it serves.
+"""Dependencies and start time of an instance on the platform.
 
-While it starts nobody is served by it. Callers whose answers were cut off when
-all instances ended come back at once, and find no open port: on days that end
-so, the streams of the last seconds are lost to the time of a start, of which
-imports are nearly all.
+After all instances have ended, callers whose answers were cut off reconnect at
+once and find no open port until an instance has started. The streams of the
+last seconds are then lost to the start time, which is nearly all imports.
 """
 
 import pathlib
@@ -15,7 +14,7 @@
 ROOT = pathlib.Path(__file__).parents[2]
 LOCKED_PACKAGE = re.compile(r'^([a-z0-9-]+)==([^ ]+)', re.MULTILINE)
 HASHES = re.compile(r'sha256:[0-9a-f]+')
-# What the product's own interface needs and relaying does not.
+# Modules that the product's own interface needs and relaying does not.
 UNNEEDED_MODULES = (
     'OpenSSL',
     'cryptography',
@@ -40,7 +39,7 @@
 
 
 def read_lock(name):
-    """Return the locked packages, each with its version and hashes."""
+    """Return the locked packages with their versions and hashes."""
     text = (ROOT / 'requirements' / f'{name}.lock').read_text('utf-8')
     starts = list(LOCKED_PACKAGE.finditer(text))
     ends = [found.start() for found in starts[1:]] + [len(text)]
@@ -51,7 +50,7 @@
 
 
 def imported_modules():
-    """Return the modules of an instance that is about to serve."""
+    """Return the modules that an instance has imported before it serves."""
     done = subprocess.run(
         [sys.executable, '-c', PROGRAM.format(blocked=UNNEEDED_MODULES)],
         capture_output=True,
@@ -62,7 +61,7 @@
 
 
 def test_instance_starts_with_what_is_locked_for_it():
-    """A package that is missing shows at the first start, on all machines."""
+    """Guards against a missing package, which fails the start everywhere."""
     assert not set(UNNEEDED_MODULES) & {
         name.lower() for name in read_lock('relay')
     }
@@ -70,25 +69,25 @@
 
 
 def test_locked_versions_are_those_of_the_tests():
-    """Tests with other versions would say nothing of what runs."""
+    """Guards against tests with other versions than those deployed."""
     tested = read_lock('dev')
     for name, locked in read_lock('relay').items():
         assert tested[name] == locked
 
 
 def test_decisions_of_the_other_interface_are_not_imported():
-    """Each module takes its part of the time until callers are served."""
+    """Guards against unneeded imports that make the start slower."""
     names = imported_modules()
     assert 'greengagelb.coordination.node' not in names
     assert 'greengagelb.coordination.fleet.routing' not in names
 
 
 def test_build_leaves_whole_and_compiled_modules(tmp_path):
-    """The program is built anew beside instances that are starting.
+    """Guards against builds that leave missing or uncompiled modules.
 
-    One that found a module missing would end, and so would each that the
-    platform starts in its place. Where it may not write, an instance without
-    compiled modules compiles all of them at each start.
+    Instances may start during a build. One that finds a module missing exits,
+    and so does each replacement. An instance that can't write compiled modules
+    compiles all of them at each start.
     """
     for folder in ('deploy', 'requirements', 'src/greengagelb'):
         shutil.copytree(
--- a/tests/platform/test_store_calls.py
+++ b/tests/platform/test_store_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's store whose answers are lost."""
+"""Calls to the platform's store whose answers are lost."""
 
 from twisted.internet import defer
 from twisted.internet import task
@@ -31,12 +31,12 @@
 
 
 def test_lost_answer_to_a_waiting_call_is_noticed_in_time():
-    """The store has lost an answer, and the connection stays silent.
+    """Guards against waiting for a configuration whose answer was lost.
 
-    It was that to a call that waits for the next configuration. Whoever goes
-    on waiting has an old configuration in force long after the store is well
-    again: keys that were added are refused, and removed ones accepted. Seen on
-    a hunted day, 2.5 s after a change and 3 s after the disturbance.
+    The connection stays open and silent. Until the call is given up, the old
+    configuration stays in force after the store has recovered: added keys are
+    refused and removed ones accepted. This occurred in a fault-injection run,
+    2.5 s after a change and 3 s after the fault.
     """
     server = relay_wires.Server()
     platform = store.PlatformStore(server.pool, relay_wires.ADDRESS)
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers on the users' platform."""
+"""Conversion of requests and answers on the users' platform."""
 
 import h11
 import pytest
@@ -28,7 +28,7 @@
 
 
 def write_request_headers(request, **fields):
-    """Return the header fields with which an engine gets a request."""
+    """Return the header fields of a request as an engine receives it."""
     entry = relay_world.engine('i-1', 's', 'north')
     given = {
         'account': 'cottages',
@@ -67,9 +67,10 @@
     ],
 )
 def test_field_that_can_not_be_read_is_refused(fields):
-    """Two ids or keys, or a position that is none, leave open what is meant.
+    """Guards against guessing the value of an ambiguous header field.
 
-    Guessed, a caller could get another's answer or parts of its own twice.
+    With a wrong id, key or position a caller could get another caller's
+    answer, or parts of its own answer twice.
     """
     with pytest.raises(errors.ProtocolError):
         read_request(*fields)
@@ -88,10 +89,10 @@
     ],
 )
 def test_what_is_the_systems_to_set_is_not_taken_from_callers(name):
-    """A caller names another account, or another run's memory.
+    """Guards against forged headers for another account or run.
 
-    Taken at its word, it would work at the other's expense, or read what is
-    not its own.
+    The caller's requests would run at another account's expense, or it would
+    read the memory of another caller's run.
     """
     assert (
         b'forged'
@@ -169,10 +170,11 @@
     ],
 )
 def test_report_tells_when_its_engine_was_started(status, body, start):
-    """An engine that is back after a crash answers probes as before.
+    """Guards against a restart of an engine that is not noticed.
 
-    Only its start tells that the run it is asked about is lost. What can't be
-    read says nothing, and is a sign of life as any other answer.
+    A restarted engine answers probes as before; only its start time shows that
+    its runs are lost. A report that can't be decoded has no start time but
+    still shows that the engine is alive.
     """
     assert wire.PlatformDialect().read_started_at_ms(status, body) == start
 
@@ -190,9 +192,10 @@
     ],
 )
 def test_model_memory_in_a_report(body, expected):
-    """Taken for a model engine, another one would run what no route allows.
+    """Guards against work for engines that must not get it.
 
-    One that is about to leave must get no more work.
+    An engine without model memory would run requests that no route allows; one
+    that drains must get no new work.
     """
     dialect = wire.PlatformDialect()
     assert dialect.read_has_model_memory(200, body) is expected
@@ -204,7 +207,7 @@
     [((), None), ((b'2.1',), 2.1), ((b'0',), 0.0), ((b'200',), 200.0)],
 )
 def test_a_limit_is_read_from_an_answer(values, rate):
-    """Guards against limits that are read as none, or none as one."""
+    """Guards against missing a limit, or reading one where there is none."""
     fields = [(b'Server-Limit', value) for value in values]
     assert read_answer(200, *fields).limit == rate
 
@@ -223,7 +226,7 @@
     ],
 )
 def test_an_unusable_limit_leaves_the_answer_as_it_is(values):
-    """Guards against bad limits that end an answer or are taken for one."""
+    """Guards against invalid limits that fail an answer or are applied."""
     fields = [(b'Server-Limit', value) for value in values]
     found = read_answer(200, *fields)
     assert isinstance(found.limit, limits.UnusableLimit)
