--- a/src/greengagelb/coordination/calls/dispatching.py
+++ b/src/greengagelb/coordination/calls/dispatching.py
@@ -77,11 +77,11 @@
         self,
         directory: routing.UpstreamDirectory,
         rng: random.Random,
-        guard: crash_guard.CrashGuard,
+        guard: crash_guard.ProductCrashGuard,
     ) -> None:
         self.directory = directory
         self.guard = guard
-        self.retry_budget = retry_budget.RetryBudget()
+        self.retry_budget = retry_budget.AccountRetryBudget()
         self.retry_advice = retry_budget.RetryAdvice(rng)
         self.calls: dict[int, Call] = {}
         self.waiting_calls: dict[int, Call] = {}
--- a/src/greengagelb/coordination/fleet/upstream_limits.py
+++ b/src/greengagelb/coordination/fleet/upstream_limits.py
@@ -131,7 +131,7 @@
             self.keeper.remove_instance(incarnation, now)
         for incarnation in joined:
             if peers[incarnation] == self.data_centre:
-                for news in self.keeper.table.list_news():
+                for news in self.keeper.table.list_limits():
                     self.keeper.send(incarnation, news)
 
     def handle_answer(
@@ -192,7 +192,7 @@
             case limits.LimitUpdate(life):
                 if known and life != f'{upstream_of_life(life)} {known}':
                     return []
-                if not self.keeper.merge_news(message, now):
+                if not self.keeper.merge_limit(message, now):
                     return []
                 return self.apply_limit(message, sender)
         self.keeper.handle_message(sender, message, now)
--- a/src/greengagelb/coordination/node.py
+++ b/src/greengagelb/coordination/node.py
@@ -50,7 +50,7 @@
         self.admission = admission.AdmissionControl(rng)
         self.account_by_name: dict[str, configuration_state.ClientAccount] = {}
         self.cancellation_supervisor = cancellations.CancellationSupervisor()
-        self.guard = crash_guard.CrashGuard()
+        self.guard = crash_guard.ProductCrashGuard()
         self.stream_supervisor = supervisor.StreamSupervisor(
             self.directory,
             self.cancellation_supervisor,
@@ -260,9 +260,9 @@
             case events.ConfigurationOffered():
                 return self.apply_configuration(event)
             case events.FleetSizeChanged(live_instances):
-                self.admission.resize(live_instances)
+                self.admission.set_instance_count(live_instances)
                 self.directory.set_live_instances(live_instances)
-                self.limits.keeper.resize(live_instances, 0.0, now)
+                self.limits.keeper.set_instance_count(live_instances, 0.0, now)
                 return []
             case events.PeersChanged(peers):
                 self.limits.update_peers(dict(peers), now)
@@ -360,7 +360,7 @@
         if now + wait_seconds <= min(ticket.deadline, ticket.start_by):
             return None
         detail = f'would have to wait for about {wait_seconds:.1f} s'
-        return self.admission.not_run_failure(
+        return self.admission.refuse_with_jitter(
             dispatching.LIMITED_CODE, detail, wait_seconds
         )
 
@@ -546,7 +546,7 @@
         timer = timers.timer_name(arrivals.QUEUE_TIMER, ticket.exchange)
         failure = arrivals.not_run_failure(code, ticket.pool, None)
         if wait_seconds is not None:
-            failure = self.admission.not_run_failure(
+            failure = self.admission.refuse_with_jitter(
                 code, ticket.pool, wait_seconds
             )
         failure_to_send = arrivals.truthful_answer(failure, event, service)
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -11,8 +11,8 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import events as relay_events
+from greengagelb.coordination.sharing import broken_runs
 from greengagelb.coordination.sharing import crash_records
-from greengagelb.coordination.sharing import suspicions
 from greengagelb.state import crashes as crash_state
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import exchanges
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
-        self.suspicions = suspicions.Suspicions()
+        self.broken_runs = broken_runs.BrokenRuns()
         self.checks: dict[str, EngineCheck] = {}
         self.next_peer_query_at = float('-inf')
 
@@ -76,11 +76,11 @@
     ) -> list[Action]:
         """Suspect the engine of a run that broke off; have it checked."""
         life = sent.entry.life
-        suspicion = suspicions.Suspicion(
+        broken_run = broken_runs.BrokenRun(
             exchange.fingerprint, life, began_at, now
         )
-        self.suspicions.forget_expired(now)
-        self.suspicions.add(life, suspicion)
+        self.broken_runs.forget_expired(now)
+        self.broken_runs.add(life, broken_run)
         if life in self.checks:
             return []
         self.checks[life] = EngineCheck(sent.entry)
@@ -97,7 +97,7 @@
         It is held if it would be blocked should all its engines under check
         turn out to have ended. Returns whether it is held.
         """
-        suspected_lives = self.suspicions.suspected_crashes(
+        suspected_lives = self.broken_runs.suspected_crashes(
             exchange.fingerprint
         )
         lives_under_check = [
@@ -121,15 +121,15 @@
         life = event.entry.life
         check = self.checks.get(life)
         if event.fate is relay_events.EngineFate.UNKNOWN and (
-            check is not None and check.attempts < suspicions.MAX_PROBES
+            check is not None and check.attempts < broken_runs.MAX_PROBES
         ):
-            again_at = now + suspicions.PROBE_RETRY_SECONDS
+            again_at = now + broken_runs.PROBE_RETRY_SECONDS
             return actions.SetTimer(f'{RECHECK_TIMER}:{life}', again_at)
         self.checks.pop(life, None)
-        suspected_runs = self.suspicions.pop_suspicions(life, now)
+        suspected_runs = self.broken_runs.pop_broken_runs(life, now)
         if event.fate is not relay_events.EngineFate.ENDED:
             suspected_runs = []
-        counted_fingerprints = suspicions.count_crashes(
+        counted_fingerprints = broken_runs.count_crashes(
             suspected_runs, self.records, now
         )
         held_runs = check.held_runs if check is not None else []
--- a/src/greengagelb/coordination/relay/limited_sends.py
+++ b/src/greengagelb/coordination/relay/limited_sends.py
@@ -48,7 +48,7 @@
             case limits.LimitUpdate(life):
                 if not self.is_current_life(life, now):
                     return []
-                if not self.keeper.merge_news(message, now):
+                if not self.keeper.merge_limit(message, now):
                     return []
                 why = (
                     f'{limit_table.describe_limit(message)}, '
--- a/src/greengagelb/coordination/relay/peer_events.py
+++ b/src/greengagelb/coordination/relay/peer_events.py
@@ -70,7 +70,7 @@
                     incarnation, known.crashes, now
                 )
                 self.keeper.ranking.mark_alive(incarnation)
-                self.keeper.request_news_if_different(
+                self.keeper.request_limits_if_different(
                     incarnation, known.limits, now
                 )
             case relay_events.PeerLeft(incarnation):
@@ -87,7 +87,7 @@
         ):
             seconds = self.fleet.heartbeat_seconds
             self.keeper.parts.rank = self.fleet.rank
-            self.keeper.resize(self.fleet.size, seconds, now)
+            self.keeper.set_instance_count(self.fleet.size, seconds, now)
         return done
 
     def handle_hint(
--- a/src/greengagelb/coordination/sharing/admission.py
+++ b/src/greengagelb/coordination/sharing/admission.py
@@ -69,7 +69,7 @@
         self.resume_buckets: dict[str, rates.CostBucket] = {}
         self.recheck_needed = False
 
-    def resize(self, live_instances: int) -> None:
+    def set_instance_count(self, live_instances: int) -> None:
         """Divide the limits of the data centre among its live instances."""
         self.live_instances = max(1, live_instances)
         self.unpark_all_accounts()
@@ -101,7 +101,7 @@
         of it.
         """
         if self.queued_per_account[account.name] >= account.most_queued:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'account-queue-full',
                 f'{account.most_queued} requests wait already',
                 self.expected_wait_seconds(ticket),
@@ -109,13 +109,13 @@
         wait = self.expected_wait_seconds(ticket)
         latest = now + WAIT_MARGIN * wait + self.expected_run_seconds(ticket)
         if latest > ticket.deadline:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'deadline-too-near',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
             )
         if now + WAIT_MARGIN * wait > ticket.start_by:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'wait-too-long',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
@@ -134,14 +134,14 @@
         if not account.tokens_per_second:
             return None
         rate = account.tokens_per_second / self.live_instances
-        burst = rate * rates.BURST_SECONDS
+        burst = rate * rates.ACCOUNT_BURST_SECONDS
         bucket = self.rate_buckets.setdefault(
             account.name, rates.CostBucket(burst, now)
         )
         wait = bucket.take(ticket.cost, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run_failure(
+        return self.refuse_with_jitter(
             'account-rate-exceeded', account.name, wait
         )
 
@@ -162,9 +162,11 @@
         wait = bucket.take(1.0, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run_failure('resume-budget-spent', account.name, wait)
+        return self.refuse_with_jitter(
+            'resume-budget-spent', account.name, wait
+        )
 
-    def not_run_failure(
+    def refuse_with_jitter(
         self, code: str, detail: str, wait: float
     ) -> requests.Failure:
         """Return a refusal with a Retry-After in seconds.
--- a/src/greengagelb/coordination/sharing/crash_guard.py
+++ b/src/greengagelb/coordination/sharing/crash_guard.py
@@ -9,9 +9,9 @@
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
+from greengagelb.coordination.sharing import broken_runs
 from greengagelb.coordination.sharing import crash_records
 from greengagelb.coordination.sharing import fingerprints
-from greengagelb.coordination.sharing import suspicions
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import crashes as crash_state
 
@@ -41,52 +41,54 @@
     probe_count: int = 1
 
 
-class CrashGuard:
+class ProductCrashGuard:
     """The crash records and suspicions of this instance."""
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
-        self.suspicions = suspicions.Suspicions()
+        self.broken_runs = broken_runs.BrokenRuns()
         self.pending_probes: dict[str, PendingProbe] = {}
         self.cached_change_count = 0
         self.cached_suspects: tuple[crash_state.SuspectRequest, ...] = ()
 
     def blocked_until(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> float | None:
         """Return the time until which a request is blocked, or None."""
         if not self.records.histories:
             return None
-        fingerprint = fingerprints.for_own_request(request)
+        fingerprint = fingerprints.for_product_request(request)
         return self.records.blocked_until(fingerprint, now)
 
-    def is_blocked(self, request: fingerprints.OwnRequest, now: float) -> bool:
+    def is_blocked(
+        self, request: fingerprints.ProductRequest, now: float
+    ) -> bool:
         """Return whether a request is blocked now."""
         return self.blocked_until(request, now) is not None
 
-    def has_blocking_suspicions(
-        self, request: fingerprints.OwnRequest, now: float
+    def has_blocking_suspected_crashes(
+        self, request: fingerprints.ProductRequest, now: float
     ) -> bool:
         """Return whether suspected crashes would block a request."""
-        if not self.suspicions.by_engine:
+        if not self.broken_runs.by_engine:
             return False
-        fingerprint = fingerprints.for_own_request(request)
-        suspected = self.suspicions.suspected_crashes(fingerprint)
+        fingerprint = fingerprints.for_product_request(request)
+        suspected = self.broken_runs.suspected_crashes(fingerprint)
         if not suspected:
             return False
         return self.records.would_be_blocked(fingerprint, suspected, now)
 
     def must_not_run(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> bool:
         """Return whether a request is blocked, or would be by suspicions."""
-        return self.is_blocked(request, now) or self.has_blocking_suspicions(
+        return self.is_blocked(
             request, now
-        )
+        ) or self.has_blocking_suspected_crashes(request, now)
 
     def suspect_upstream(
         self,
-        request: fingerprints.OwnRequest,
+        request: fingerprints.ProductRequest,
         upstream: configuration_state.Upstream,
         incarnation: str,
         began_at: float,
@@ -95,13 +97,13 @@
         """Suspect the upstream of a broken attempt and have it probed."""
         self.forget_expired(now)
         name = upstream.name
-        suspicion = suspicions.Suspicion(
-            fingerprints.for_own_request(request),
+        broken_run = broken_runs.BrokenRun(
+            fingerprints.for_product_request(request),
             f'{name} {incarnation}',
             began_at,
             now,
         )
-        is_first = self.suspicions.add(name, suspicion)
+        is_first = self.broken_runs.add(name, broken_run)
         if not is_first and name in self.pending_probes:
             self.pending_probes[name].incarnation = incarnation
             return []
@@ -119,7 +121,7 @@
         known_incarnation = probe.incarnation
         if known_incarnation and known_incarnation != event.engine.incarnation:
             return self.count_crash(name, now)
-        self.suspicions.clear_engine(name)
+        self.broken_runs.clear_engine(name)
         return []
 
     def handle_unreachable(
@@ -140,38 +142,38 @@
     ) -> list[actions.Action]:
         """Return the timer of the next probe, if one is to follow."""
         probe = self.pending_probes.get(event.name)
-        if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
+        if probe is None or probe.probe_count >= broken_runs.MAX_PROBES:
             return []
         timer = f'{PROBE_TIMER}:{event.name}'
-        return [actions.SetTimer(timer, now + suspicions.PROBE_RETRY_SECONDS)]
+        return [actions.SetTimer(timer, now + broken_runs.PROBE_RETRY_SECONDS)]
 
     def repeat_probe(self, name: str) -> list[actions.Action]:
         """Probe an upstream again that did not answer."""
         probe = self.pending_probes.get(name)
-        if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
+        if probe is None or probe.probe_count >= broken_runs.MAX_PROBES:
             return []
         probe.probe_count += 1
         return [actions.ProbeUpstream(probe.upstream)]
 
     def count_crash(self, name: str, now: float) -> list[str]:
         """Count the crash of an upstream; return the affected fingerprints."""
-        runs = self.suspicions.pop_suspicions(name, now)
-        return suspicions.count_crashes(runs, self.records, now)
+        runs = self.broken_runs.pop_broken_runs(name, now)
+        return broken_runs.count_crashes(runs, self.records, now)
 
     def record_survival(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> None:
         """Record that an upstream ran a request to its end."""
         if self.records.histories:
             self.records.record_survival(
-                fingerprints.for_own_request(request), now, now
+                fingerprints.for_product_request(request), now, now
             )
 
     def forget_expired(self, now: float) -> None:
         """Drop suspicions and probes of upstreams that were never resolved."""
-        self.suspicions.forget_expired(now)
+        self.broken_runs.forget_expired(now)
         for name in (
-            self.pending_probes.keys() - self.suspicions.by_engine.keys()
+            self.pending_probes.keys() - self.broken_runs.by_engine.keys()
         ):
             del self.pending_probes[name]
 
--- a/src/greengagelb/coordination/sharing/fingerprints.py
+++ b/src/greengagelb/coordination/sharing/fingerprints.py
@@ -12,7 +12,7 @@
 
 DIGEST_BYTES = 16
 
-OwnRequest = requests.CallRequest | requests.GenerationRequest
+ProductRequest = requests.CallRequest | requests.GenerationRequest
 
 
 def digest_parts(parts: Iterable[bytes]) -> str:
@@ -41,7 +41,7 @@
     return digest_parts(parts)
 
 
-def content_parts(request: OwnRequest) -> list[bytes]:
+def content_parts(request: ProductRequest) -> list[bytes]:
     """Return the content of a request of the product's own API."""
     service = request.service.encode()
     match request:
@@ -52,7 +52,7 @@
             return [service, text, b'%d' % max_tokens]
 
 
-def for_own_request(request: OwnRequest) -> str:
+def for_product_request(request: ProductRequest) -> str:
     """Return the fingerprint of a request of the product's own API."""
     account = request.request.account.encode()
     return digest_parts([account, *content_parts(request)])
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -17,7 +17,7 @@
 # An issuer is suspected if it has answered none of SUSPECT_AFTER_QUESTIONS
 # questions for SUSPECT_AFTER_SECONDS. It is probed at once and then after an
 # interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
-SUSPECT_AFTER_QUESTIONS = 4
+SUSPECT_AFTER_REQUESTS = 4
 SUSPECT_AFTER_SECONDS = 0.05
 FIRST_PROBE_INTERVAL_SECONDS = 0.05
 MAX_PROBE_INTERVAL_SECONDS = 2.0
@@ -42,20 +42,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class UnansweredQuestions:
+class UnansweredRequests:
     """Questions to an issuer since which it has sent nothing."""
 
-    first_asked_at: float
+    first_request_at: float
     count: int = 0
 
     @property
     def suspect_at(self) -> float:
         """Return when the issuer becomes suspected."""
-        too_few = self.count < SUSPECT_AFTER_QUESTIONS
+        too_few = self.count < SUSPECT_AFTER_REQUESTS
         return (
             float('inf')
             if too_few
-            else self.first_asked_at + SUSPECT_AFTER_SECONDS
+            else self.first_request_at + SUSPECT_AFTER_SECONDS
         )
 
 
@@ -96,7 +96,7 @@
         self.members: Callable[[str], Collection[str]] = no_members
         self.has_part: Callable[[str], bool] = has_every_part
         self.rankings: dict[str, Ranking] = {}
-        self.unanswered: dict[str, UnansweredQuestions] = {}
+        self.unanswered: dict[str, UnansweredRequests] = {}
         self.suspected: dict[str, SuspectedIssuer] = {}
 
     def issuer_of(self, life: str, now: float) -> str:
@@ -124,12 +124,12 @@
             and now < suspect.forget_at
         )
 
-    def count_question(self, issuer: str, now: float) -> None:
+    def count_permit_request(self, issuer: str, now: float) -> None:
         """Count a question to an issuer."""
-        questions = self.unanswered.setdefault(
-            issuer, UnansweredQuestions(now)
+        unanswered_requests = self.unanswered.setdefault(
+            issuer, UnansweredRequests(now)
         )
-        questions.count += 1
+        unanswered_requests.count += 1
 
     def mark_alive(self, sender: str) -> None:
         """Clear the suspicion of an instance that sent something."""
@@ -143,8 +143,8 @@
 
     def suspect_unanswered(self, now: float) -> None:
         """Suspect the issuers that have left questions unanswered."""
-        for issuer, questions in list(self.unanswered.items()):
-            if now >= questions.suspect_at:
+        for issuer, unanswered_requests in list(self.unanswered.items()):
+            if now >= unanswered_requests.suspect_at:
                 del self.unanswered[issuer]
                 self.suspect_issuer(issuer, now)
 
--- a/src/greengagelb/coordination/sharing/leases.py
+++ b/src/greengagelb/coordination/sharing/leases.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Loan:
+class Lease:
     """The borrower of a part, and until when it is lent."""
 
     borrower: str
@@ -41,9 +41,9 @@
         self.previous_instance_count = 0
         self.previous_count_until = float('-inf')
         self.joins_at = float('inf')
-        self.loans: dict[str, Loan] = {}
+        self.leases_given: dict[str, Lease] = {}
 
-    def resize(
+    def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
         """Divide limits among so many instances, including this one.
@@ -71,7 +71,7 @@
         return max(self.instance_count, previous)
 
     @property
-    def phase(self) -> float:
+    def relative_rank(self) -> float:
         """Return this instance's position among all, from 0 to 1."""
         return self.rank / max(1, self.instance_count)
 
@@ -90,37 +90,37 @@
         it is lent to another borrower. It was never lent before
         ``free_since``.
         """
-        loan = self.loans.get(life)
+        lease = self.leases_given.get(life)
         until = now + LEASE_SECONDS
-        if loan is None or now >= loan.until:
+        if lease is None or now >= lease.until:
             since = max(free_since, self.joins_at)
-            if loan is not None:
-                since = max(since, loan.until)
-            self.loans[life] = Loan(borrower, until)
+            if lease is not None:
+                since = max(since, lease.until)
+            self.leases_given[life] = Lease(borrower, until)
             return min(MAX_UNUSED_SECONDS, max(0.0, now - since))
-        if loan.borrower != borrower:
+        if lease.borrower != borrower:
             return None
-        loan.until = until
+        lease.until = until
         return 0.0
 
     def take_back(self, life: str, borrower: str, now: float) -> None:
         """End the lease of a part early."""
-        loan = self.loans.get(life)
-        if loan is not None and loan.borrower == borrower:
-            loan.until = min(loan.until, now)
+        lease = self.leases_given.get(life)
+        if lease is not None and lease.borrower == borrower:
+            lease.until = min(lease.until, now)
 
     def take_back_all(self, borrower: str, now: float) -> None:
         """End the leases of an instance that has stopped."""
-        for life in self.loans:
+        for life in self.leases_given:
             self.take_back(life, borrower, now)
 
     def forget_life(self, life: str) -> None:
         """Drop a life that has no limit any more."""
-        self.loans.pop(life, None)
+        self.leases_given.pop(life, None)
 
 
 @dataclasses.dataclass(slots=True)
-class BorrowedPart:
+class LeasedPart:
     """A lender's share of the limit, until a monotonic time."""
 
     share: float
@@ -134,14 +134,14 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.parts: dict[str, BorrowedPart] = {}
+        self.parts: dict[str, LeasedPart] = {}
         self.accrued_until = now
 
     def add_part(self, lender: str, share: float, until: float) -> None:
         """Add a lender's part, or replace it if the new lease ends later."""
         part = self.parts.get(lender)
         if part is None or until > part.until:
-            self.parts[lender] = BorrowedPart(share, until)
+            self.parts[lender] = LeasedPart(share, until)
 
     def end_part(self, lender: str, now: float) -> None:
         """End a lender's part now."""
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -26,7 +26,7 @@
 # A limit is broadcast again after these delays, as datagrams may be lost.
 REBROADCAST_DELAYS_SECONDS = (0.4, 1.2)
 # The least time between two requests for the limits of others.
-NEWS_REQUEST_INTERVAL_SECONDS = 0.5
+LIMITS_REQUEST_INTERVAL_SECONDS = 0.5
 # The least time between two calls of ``run_due``.
 MIN_STEP_SECONDS = 0.001
 # How long an issuer's answer may take to arrive.
@@ -117,7 +117,7 @@
         self.account_blocks: dict[tuple[str, str], AccountBlock] = {}
         self.recent_grants: dict[int, float] = {}
         self.rebroadcasts: list[tuple[float, str]] = []
-        self.next_news_request_at = float('-inf')
+        self.next_limits_request_at = float('-inf')
         self.granted_count = 0
         self.denied_count = 0
         self.schedule_changed = False
@@ -132,14 +132,14 @@
         self, life: str, rate: float | None, asked_at: float, now: float
     ) -> limits.LimitUpdate | None:
         """Apply the limit in an answer; broadcast it if it is new."""
-        news = self.table.update_from_answer(life, rate, asked_at, now)
-        if news is not None:
-            self.send('', news)
+        update = self.table.update_from_answer(life, rate, asked_at, now)
+        if update is not None:
+            self.send('', update)
             self.rebroadcasts += [
                 (now + seconds, life) for seconds in REBROADCAST_DELAYS_SECONDS
             ]
             self.apply_limit_change(life, now)
-        return news
+        return update
 
     def figures(self) -> limits.LimitStatistics:
         """Return the metrics of limits."""
@@ -152,21 +152,21 @@
             self.denied_count,
         )
 
-    def request_news_if_different(
+    def request_limits_if_different(
         self, incarnation: str, digest: int, now: float
     ) -> None:
         """Request the limits of an instance with another digest."""
-        if digest == self.table.digest() or now < self.next_news_request_at:
+        if digest == self.table.digest() or now < self.next_limits_request_at:
             return
-        self.next_news_request_at = now + NEWS_REQUEST_INTERVAL_SECONDS
+        self.next_limits_request_at = now + LIMITS_REQUEST_INTERVAL_SECONDS
         self.send(incarnation, limits.LimitUpdatesRequest())
 
-    def merge_news(self, news: limits.LimitUpdate, now: float) -> bool:
+    def merge_limit(self, update: limits.LimitUpdate, now: float) -> bool:
         """Merge the limit of another instance; return whether it is new."""
-        is_news = self.table.merge_news(news, now)
-        if is_news:
-            self.apply_limit_change(news.life, now)
-        return is_news
+        is_newer = self.table.merge_limit(update, now)
+        if is_newer:
+            self.apply_limit_change(update.life, now)
+        return is_newer
 
     def apply_limit_change(self, life: str, now: float) -> None:
         """Apply a changed limit; grant what needs no permit any more."""
@@ -253,7 +253,7 @@
             limit.version,
         )
         if issuer != self.own_incarnation:
-            self.ranking.count_question(issuer, now)
+            self.ranking.count_permit_request(issuer, now)
         self.send_or_handle(issuer, wanted, now)
 
     def return_permit(self, life: str, granted: Granted, now: float) -> None:
@@ -291,11 +291,11 @@
         key = (request.life, request.account)
         self.account_blocks[key] = AccountBlock(now + seconds, now + wait)
 
-    def resize(
+    def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
         """Divide limits among the given number of instances."""
-        self.parts.resize(instance_count, heartbeat_seconds, now)
+        self.parts.set_instance_count(instance_count, heartbeat_seconds, now)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
         """Remove an instance that has stopped."""
@@ -314,10 +314,10 @@
         self.ranking.mark_alive(sender)
         match message:
             case limits.LimitUpdate():
-                self.merge_news(message, now)
+                self.merge_limit(message, now)
             case limits.LimitUpdatesRequest():
-                for news in self.table.list_news():
-                    self.send(sender, news)
+                for update in self.table.list_limits():
+                    self.send(sender, update)
             case limits.LeaseRequest():
                 self.issuers.handle_lease_wanted(sender, message, now)
             case limits.LeaseGrant():
@@ -344,8 +344,8 @@
     ) -> None:
         """Process a permit request and its sender's view of the limit."""
         life = wanted.life
-        news = limits.LimitUpdate(life, wanted.rate, wanted.version)
-        self.merge_news(news, now)
+        update = limits.LimitUpdate(life, wanted.rate, wanted.version)
+        self.merge_limit(update, now)
         limit = self.table.known_limits[life]
         if limit.version > wanted.version:
             newer = limits.LimitUpdate(life, limit.rate, limit.version)
--- a/src/greengagelb/coordination/sharing/limit_table.py
+++ b/src/greengagelb/coordination/sharing/limit_table.py
@@ -72,12 +72,12 @@
             return None
         return self.store_limit(life, rate, limit.version + 1, now)
 
-    def merge_news(self, news: limits.LimitUpdate, now: float) -> bool:
+    def merge_limit(self, update: limits.LimitUpdate, now: float) -> bool:
         """Merge the value of another instance; return whether it is new."""
-        limit = self.known_limits.get(news.life)
-        if limit is not None and precedence(news) <= precedence(limit):
+        limit = self.known_limits.get(update.life)
+        if limit is not None and precedence(update) <= precedence(limit):
             return False
-        self.store_limit(news.life, news.rate, news.version, now)
+        self.store_limit(update.life, update.rate, update.version, now)
         return True
 
     def store_limit(
@@ -120,7 +120,7 @@
             self.cached_digest = zlib.crc32('\n'.join(lines).encode())
         return self.cached_digest
 
-    def list_news(self) -> list[limits.LimitUpdate]:
+    def list_limits(self) -> list[limits.LimitUpdate]:
         """Return all known values, for an instance that differs."""
         return [
             limits.LimitUpdate(life, limit.rate, limit.version)
@@ -136,11 +136,11 @@
     return (value.version, -rate)
 
 
-def describe_limit(news: limits.LimitUpdate) -> str:
+def describe_limit(update: limits.LimitUpdate) -> str:
     """Return the text of a limit for the timeline."""
-    if news.rate is None:
-        return f'lifted, version {news.version}'
-    return f'{news.rate:g} a second, version {news.version}'
+    if update.rate is None:
+        return f'lifted, version {update.version}'
+    return f'{update.rate:g} a second, version {update.version}'
 
 
 def send_rate(known: limits.KnownLimit, now: float) -> float:
--- a/src/greengagelb/coordination/sharing/permit_issuers.py
+++ b/src/greengagelb/coordination/sharing/permit_issuers.py
@@ -36,7 +36,7 @@
     were last requested.
     """
 
-    issuer: permits.PermitIssuer
+    permit_issuer: permits.PermitIssuer
     began_at: float
     ready_at: float = float('-inf')
     renewed_at: float = float('-inf')
@@ -71,7 +71,9 @@
         if limit is None or limit.rate is None:
             del self.lives[life]
         else:
-            issued.issuer.change_rate(limit_table.send_rate(limit, now), now)
+            issued.permit_issuer.change_rate(
+                limit_table.send_rate(limit, now), now
+            )
 
     def forget_life(self, life: str) -> None:
         """Drop a life that has ended."""
@@ -82,8 +84,8 @@
         """Remove an instance that has stopped."""
         self.parts.take_back_all(incarnation, now)
         for issued in self.lives.values():
-            issued.issuer.accrue(now)
-            issued.issuer.borrowed.end_part(incarnation, now)
+            issued.permit_issuer.accrue(now)
+            issued.permit_issuer.borrowed.end_part(incarnation, now)
 
     def handle_lease_wanted(
         self, sender: str, wanted: limits.LeaseRequest, now: float
@@ -108,14 +110,14 @@
         issued = self.lives.get(lease.life)
         if issued is not None and issued.began_at <= lease.stamp <= now:
             until = lease.stamp + leases.LEASE_SECONDS
-            issued.issuer.add_lease(sender, lease, until, now)
+            issued.permit_issuer.add_lease(sender, lease, until, now)
 
     def renew_parts(self, life: str, issued: IssuedLife, now: float) -> None:
         """Request the parts of all instances that are heard."""
         if now < issued.renewed_at + RENEW_INTERVAL_SECONDS:
             return
         issued.renewed_at = now
-        borrowed = issued.issuer.borrowed
+        borrowed = issued.permit_issuer.borrowed
         is_first = not borrowed.total_share(now)
         lenders = {*self.ranking.members(life), self.own_incarnation}
         wanted = limits.LeaseRequest(life, now)
@@ -133,17 +135,19 @@
         """Process a permit request, of this or another instance."""
         life = wanted.life
         limit = self.table.known_limits[life]
-        holder = (sender, wanted.number)
+        request_key = (sender, wanted.number)
         if limit.rate is None:
-            granted = permits.Answer(holder, limits.Verdict.GRANTED, 0.0)
+            granted = permits.Answer(request_key, limits.Verdict.GRANTED, 0.0)
             self.send_answer(life, granted, now)
             return
         issued = self.lives.get(life)
         if issued is None:
             rate = limit_table.send_rate(limit, now)
-            issuer = permits.PermitIssuer(rate, now, self.parts.phase)
-            issued = self.lives[life] = IssuedLife(issuer, now)
-        answer = issued.issuer.request_permit(wanted, holder, now)
+            permit_issuer = permits.PermitIssuer(
+                rate, now, self.parts.relative_rank
+            )
+            issued = self.lives[life] = IssuedLife(permit_issuer, now)
+        answer = issued.permit_issuer.request_permit(wanted, request_key, now)
         self.renew_parts(life, issued, now)
         if answer is not None:
             self.send_answer(life, answer, now)
@@ -155,18 +159,20 @@
         """Answer the requests that can be answered now."""
         if now < issued.ready_at:
             return
-        for answer in issued.issuer.take_answers(now):
+        for answer in issued.permit_issuer.take_answers(now):
             self.send_answer(life, answer, now)
 
     def send_answer(
         self, life: str, answer: permits.Answer, now: float
     ) -> None:
         """Send an answer to the instance that asked."""
-        receiver, number = answer.holder
+        receiver, number = answer.request_key
         issued = self.lives.get(life)
-        share = issued.issuer.borrowed.total_share(now) if issued else 1.0
+        share = (
+            issued.permit_issuer.borrowed.total_share(now) if issued else 1.0
+        )
         message = limits.PermitAnswer(
-            life, number, answer.verdict, answer.wait, share
+            life, number, answer.verdict, answer.wait_seconds, share
         )
         self.send(receiver, message, now)
 
@@ -176,19 +182,19 @@
         """Make a returned permit available to other requests."""
         issued = self.lives.get(returned.life)
         if issued is not None:
-            issued.issuer.return_permit((sender, returned.number), now)
+            issued.permit_issuer.return_permit((sender, returned.number), now)
             self.send_due_answers(returned.life, issued, now)
 
     def handle_spent(self, spent: limits.UnpermittedSends, now: float) -> None:
         """Count requests that were sent to a life without a permit."""
         issued = self.lives.get(spent.life)
         if issued is not None:
-            issued.issuer.count_unpermitted(spent.count, now)
+            issued.permit_issuer.count_unpermitted(spent.count, now)
 
     def run_due(self, now: float) -> None:
         """Renew parts, answer requests, and hand over or drop idle lives."""
         for life, issued in list(self.lives.items()):
-            idle_seconds = now - issued.issuer.last_asked_at
+            idle_seconds = now - issued.permit_issuer.last_asked_at
             if idle_seconds >= FORGET_IDLE_SECONDS:
                 del self.lives[life]
             elif idle_seconds >= HAND_OVER_IDLE_SECONDS and (
@@ -203,18 +209,20 @@
     def hand_over(self, life: str, issued: IssuedLife, now: float) -> None:
         """Return all parts of a life, which another instance issues now."""
         del self.lives[life]
-        for lender in issued.issuer.borrowed.parts:
+        for lender in issued.permit_issuer.borrowed.parts:
             self.send(lender, limits.LeaseReturned(life), now)
 
     def next_due_at(self, now: float) -> float:
         """Return when ``run_due`` has something to do."""
         times = [float('inf')]
         for issued in self.lives.values():
-            issuer = issued.issuer
-            if issuer.waiting_requests:
-                times.append(max(issued.ready_at, issuer.next_due_at(now)))
-            if now < issuer.last_asked_at + RENEW_IDLE_SECONDS:
+            permit_issuer = issued.permit_issuer
+            if permit_issuer.waiting_requests:
+                times.append(
+                    max(issued.ready_at, permit_issuer.next_due_at(now))
+                )
+            if now < permit_issuer.last_asked_at + RENEW_IDLE_SECONDS:
                 times.append(issued.renewed_at + RENEW_INTERVAL_SECONDS)
             else:
-                times.append(issuer.last_asked_at + FORGET_IDLE_SECONDS)
+                times.append(permit_issuer.last_asked_at + FORGET_IDLE_SECONDS)
         return min(times)
--- a/src/greengagelb/coordination/sharing/permits.py
+++ b/src/greengagelb/coordination/sharing/permits.py
@@ -21,7 +21,7 @@
 # With a smaller share than this, a saved permit expires in whole. Otherwise
 # many instances that are isolated from each other would each keep one and use
 # them at the same moment.
-MAIN_SHARE = 0.5
+MIN_SHARE_TO_SAVE = 0.5
 # Slightly below one permit, because sums of small shares are not exact.
 PERMIT_THRESHOLD = 1.0 - 1e-6
 # How long a granted permit is remembered, to grant it again if its datagram
@@ -32,17 +32,17 @@
 # The longest wait that is reported.
 MAX_WAIT_SECONDS = 3_600.0
 
-Holder = tuple[str, int]
+RequestKey = tuple[str, int]
 
 
 @dataclasses.dataclass(slots=True)
 class WaitingRequest:
     """A request for a permit that waits until ``deadline``."""
 
-    holder: Holder
+    request_key: RequestKey
     ticket: fair_queue.Ticket
     urgent: bool
-    wait: float
+    max_wait_seconds: float
     deadline: float
 
 
@@ -50,9 +50,9 @@
 class Answer:
     """The answer to a request for a permit, with a wait in seconds."""
 
-    holder: Holder
+    request_key: RequestKey
     verdict: limits.Verdict
-    wait: float
+    wait_seconds: float
 
 
 class PermitIssuer:
@@ -66,9 +66,11 @@
     saved at its start, and were returned.
     """
 
-    def __init__(self, rate: float, now: float, phase: float = 0.0) -> None:
+    def __init__(
+        self, rate: float, now: float, first_permit_delay_share: float = 0.0
+    ) -> None:
         self.rate = rate
-        self.phase = phase
+        self.first_permit_delay_share = first_permit_delay_share
         self.borrowed = leases.BorrowedParts(now)
         self.available_permits = 0.0
         self.serials = itertools.count(1)
@@ -78,8 +80,8 @@
         }
         self.waiting_requests: dict[int, WaitingRequest] = {}
         self.new_requests: list[WaitingRequest] = []
-        self.serials_by_holder: dict[Holder, int] = {}
-        self.grant_times: collections.OrderedDict[Holder, float] = (
+        self.serials_by_request_key: dict[RequestKey, int] = {}
+        self.grant_times: collections.OrderedDict[RequestKey, float] = (
             collections.OrderedDict()
         )
         self.last_asked_at = now
@@ -102,7 +104,7 @@
         if excess <= 0.0:
             return
         self.available_permits -= (
-            excess if share >= MAIN_SHARE else math.ceil(excess)
+            excess if share >= MIN_SHARE_TO_SAVE else math.ceil(excess)
         )
 
     def change_rate(self, rate: float, now: float) -> None:
@@ -129,28 +131,33 @@
         self.available_permits -= count
 
     def request_permit(
-        self, wanted: limits.PermitRequestMessage, holder: Holder, now: float
+        self,
+        wanted: limits.PermitRequestMessage,
+        request_key: RequestKey,
+        now: float,
     ) -> Answer | None:
         """Add a request; answer at once if it was already made."""
         self.last_asked_at = now
-        if holder in self.grant_times:
-            return Answer(holder, limits.Verdict.GRANTED, 0.0)
-        if holder in self.serials_by_holder:
-            request = self.waiting_requests[self.serials_by_holder[holder]]
+        if request_key in self.grant_times:
+            return Answer(request_key, limits.Verdict.GRANTED, 0.0)
+        if request_key in self.serials_by_request_key:
+            request = self.waiting_requests[
+                self.serials_by_request_key[request_key]
+            ]
             wait = min(
                 self.expected_wait_seconds(request, now),
                 request.deadline - now,
             )
-            return Answer(holder, limits.Verdict.QUEUED, max(0.0, wait))
+            return Answer(request_key, limits.Verdict.QUEUED, max(0.0, wait))
         serial = next(self.serials)
         ticket = fair_queue.Ticket(
             serial, wanted.account, '', configuration.Priority.SHORT, 1.0
         )
         request = WaitingRequest(
-            holder, ticket, wanted.urgent, wanted.wait, now + wanted.wait
+            request_key, ticket, wanted.urgent, wanted.wait, now + wanted.wait
         )
         self.waiting_requests[serial] = request
-        self.serials_by_holder[holder] = serial
+        self.serials_by_request_key[request_key] = serial
         self.new_requests.append(request)
         return None
 
@@ -158,12 +165,14 @@
         """Return the answers that are due."""
         self.accrue(now)
         share = self.borrowed.total_share(now)
-        if share and self.phase:
-            self.available_permits -= self.phase * (1.0 - share)
-            self.phase = 0.0
+        if share and self.first_permit_delay_share:
+            self.available_permits -= self.first_permit_delay_share * (
+                1.0 - share
+            )
+            self.first_permit_delay_share = 0.0
         answers: list[Answer] = []
         for request in self.new_requests:
-            if request.holder in self.serials_by_holder:
+            if request.request_key in self.serials_by_request_key:
                 answers.append(self.queue_or_deny(request, now))
         self.new_requests.clear()
         for queue in (self.queues[True], self.queues[False]):
@@ -181,7 +190,7 @@
                 self.remove_request(request)
                 wait = self.expected_wait_seconds(request, now)
                 answers.append(
-                    Answer(request.holder, limits.Verdict.DENIED, wait)
+                    Answer(request.request_key, limits.Verdict.DENIED, wait)
                 )
         self.forget_old_grants(now)
         return answers
@@ -189,11 +198,11 @@
     def queue_or_deny(self, request: WaitingRequest, now: float) -> Answer:
         """Queue a request, or deny it if its wait would be too long."""
         wait = self.expected_wait_seconds(request, now)
-        if wait > request.wait:
+        if wait > request.max_wait_seconds:
             self.remove_request(request)
-            return Answer(request.holder, limits.Verdict.DENIED, wait)
+            return Answer(request.request_key, limits.Verdict.DENIED, wait)
         self.queues[request.urgent].push(request.ticket)
-        return Answer(request.holder, limits.Verdict.QUEUED, wait)
+        return Answer(request.request_key, limits.Verdict.QUEUED, wait)
 
     def expected_wait_seconds(
         self, request: WaitingRequest, now: float
@@ -214,15 +223,15 @@
         """Grant a permit to a request."""
         self.available_permits -= 1.0
         self.forget_request(request)
-        self.grant_times[request.holder] = now
-        return Answer(request.holder, limits.Verdict.GRANTED, 0.0)
+        self.grant_times[request.request_key] = now
+        return Answer(request.request_key, limits.Verdict.GRANTED, 0.0)
 
-    def return_permit(self, holder: Holder, now: float) -> None:
+    def return_permit(self, request_key: RequestKey, now: float) -> None:
         """Take back a permit, or cancel a waiting request."""
         self.accrue(now)
-        if self.grant_times.pop(holder, None) is not None:
+        if self.grant_times.pop(request_key, None) is not None:
             self.available_permits += 1.0
-        serial = self.serials_by_holder.get(holder)
+        serial = self.serials_by_request_key.get(request_key)
         if serial is not None:
             self.remove_request(self.waiting_requests[serial])
 
@@ -235,15 +244,15 @@
     def forget_request(self, request: WaitingRequest) -> None:
         """Drop a request that is in no queue any more."""
         del self.waiting_requests[request.ticket.exchange]
-        del self.serials_by_holder[request.holder]
+        del self.serials_by_request_key[request.request_key]
 
     def forget_old_grants(self, now: float) -> None:
         """Drop grants that are past their repeat time."""
         while self.grant_times:
-            holder, granted_at = next(iter(self.grant_times.items()))
+            request_key, granted_at = next(iter(self.grant_times.items()))
             if now < granted_at + GRANT_MEMORY_SECONDS:
                 return
-            del self.grant_times[holder]
+            del self.grant_times[request_key]
 
     def next_due_at(self, now: float) -> float:
         """Return when an answer may be due."""
--- a/src/greengagelb/coordination/sharing/rates.py
+++ b/src/greengagelb/coordination/sharing/rates.py
@@ -7,7 +7,7 @@
 
 OBSERVATION_DECAY = 0.95
 MARGIN_DEVIATIONS = 2.0
-BURST_SECONDS = 10.0
+ACCOUNT_BURST_SECONDS = 10.0
 
 
 @dataclasses.dataclass(slots=True)
--- a/src/greengagelb/coordination/sharing/retry_budget.py
+++ b/src/greengagelb/coordination/sharing/retry_budget.py
@@ -15,7 +15,7 @@
 MAX_JITTER_FACTOR = 1.5
 
 
-class RetryBudget:
+class AccountRetryBudget:
     """The retries left to each account at this instance.
 
     Invariant: ``saved_retries`` of an account stays between 0 and
--- a/src/greengagelb/coordination/sharing/store_budget.py
+++ b/src/greengagelb/coordination/sharing/store_budget.py
@@ -19,7 +19,7 @@
 FIRST_OPEN_SECONDS = 0.5
 MAX_OPEN_SECONDS = 8.0
 MIN_JITTER_FACTOR = 0.5
-BURST_SECONDS = 2.0
+STORE_BURST_SECONDS = 2.0
 DEFERRABLE_RESERVED_SHARE = 0.5
 MAX_ACCOUNT_SHARE = 0.5
 MAX_ACCOUNT_BUCKETS = 256
@@ -71,7 +71,7 @@
         ``reserved_share`` is the share of the burst that must remain.
         """
         gained = max(0.0, now - self.refilled_at) * self.rate
-        burst = max(1.0, self.rate * BURST_SECONDS)
+        burst = max(1.0, self.rate * STORE_BURST_SECONDS)
         self.tokens = min(burst, self.tokens + gained)
         self.refilled_at = max(now, self.refilled_at)
         if self.tokens < 1.0 or self.tokens - 1.0 < reserved_share * (
@@ -95,9 +95,11 @@
         self, reads: float, writes: float, rng: random.Random, now: float
     ) -> None:
         self.rng = rng
-        write_bucket = TokenBucket(writes, writes * BURST_SECONDS, now)
+        write_bucket = TokenBucket(writes, writes * STORE_BURST_SECONDS, now)
         self.buckets = {
-            RequestKind.READ: TokenBucket(reads, reads * BURST_SECONDS, now),
+            RequestKind.READ: TokenBucket(
+                reads, reads * STORE_BURST_SECONDS, now
+            ),
             RequestKind.WRITE: write_bucket,
             RequestKind.DEFERRABLE_WRITE: write_bucket,
         }
@@ -141,7 +143,7 @@
         if len(self.account_buckets) > MAX_ACCOUNT_BUCKETS:
             self.account_buckets.clear()
         rate = self.buckets[RequestKind.WRITE].rate * MAX_ACCOUNT_SHARE
-        full_bucket = TokenBucket(rate, rate * BURST_SECONDS, now)
+        full_bucket = TokenBucket(rate, rate * STORE_BURST_SECONDS, now)
         return self.account_buckets.setdefault(account, full_bucket)
 
     def record_success(self) -> list[actions.Record]:
--- a/src/greengagelb/coordination/streams/recovery.py
+++ b/src/greengagelb/coordination/streams/recovery.py
@@ -35,7 +35,7 @@
         self,
         directory: routing.UpstreamDirectory,
         attempt_table: attempts.AttemptTable,
-        guard: crash_guard.CrashGuard,
+        guard: crash_guard.ProductCrashGuard,
     ) -> None:
         super().__init__(directory, attempt_table)
         self.guard = guard
@@ -150,7 +150,7 @@
             return self.fail_stream(stream, 'outcome-unknown', None)
         if self.guard.is_blocked(stream.request, now):
             return self.fail_stream(stream, crash_guard.BLOCKED_RAN_CODE, None)
-        if self.guard.has_blocking_suspicions(stream.request, now):
+        if self.guard.has_blocking_suspected_crashes(stream.request, now):
             return self.wait_for_engine(stream, now)
         account = stream.request.request.account
         self.directory.limits.set_retry_requester(account, now, urgent=True)
--- a/src/greengagelb/coordination/streams/supervisor.py
+++ b/src/greengagelb/coordination/streams/supervisor.py
@@ -50,7 +50,7 @@
         directory: routing.UpstreamDirectory,
         cancellation_supervisor: cancellations.CancellationSupervisor,
         incarnation: str,
-        guard: crash_guard.CrashGuard,
+        guard: crash_guard.ProductCrashGuard,
     ) -> None:
         self.directory = directory
         self.guard = guard
@@ -295,7 +295,7 @@
             stream
             for stream in self.streams.values()
             if not (stream.attempt and stream.attempt.has_progressed)
-            and fingerprints.for_own_request(stream.request) == fingerprint
+            and fingerprints.for_product_request(stream.request) == fingerprint
         ]
         return [
             action
--- a/tests/calls/test_store_budget.py
+++ b/tests/calls/test_store_budget.py
@@ -35,7 +35,7 @@
         if budget.admit(WRITE, tick * 0.01) is None:
             admitted += 1
             budget.record_success()
-    assert admitted <= 5.0 * 10 + 5.0 * store_budget.BURST_SECONDS
+    assert admitted <= 5.0 * 10 + 5.0 * store_budget.STORE_BURST_SECONDS
 
 
 def test_reads_do_not_use_up_writes():
--- a/tests/load/test_crashing_requests_of_the_product.py
+++ b/tests/load/test_crashing_requests_of_the_product.py
@@ -9,8 +9,8 @@
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
+from greengagelb.coordination.sharing import broken_runs
 from greengagelb.coordination.sharing import crash_guard
-from greengagelb.coordination.sharing import suspicions
 from greengagelb.protocol import peer_api
 from greengagelb.state import configuration
 from greengagelb.state import crashes as crash_state
@@ -172,7 +172,7 @@
     for _ in range(10):
         world.deliver(home, events.UpstreamUnreachable(dispatch.upstream))
         world.advance(0.2)
-    assert len(world.probes) == suspicions.MAX_PROBES
+    assert len(world.probes) == broken_runs.MAX_PROBES
     assert world.kinds['engine-crashed'] == 0
 
 
@@ -181,7 +181,7 @@
 
     The answers of ending engines may take longer than the next attempts.
     """
-    guard = crash_guard.CrashGuard()
+    guard = crash_guard.ProductCrashGuard()
     request = requests.CallRequest(
         1, identity.RequestId('teratak', 'r'), 'lookup', 'look', b'', 99.0
     )
@@ -198,7 +198,7 @@
 
 def test_repeated_broken_connections_to_one_upstream_count_once():
     """Guards against blocking for connections that break in sequence."""
-    guard = crash_guard.CrashGuard()
+    guard = crash_guard.ProductCrashGuard()
     request = requests.CallRequest(
         1, identity.RequestId('teratak', 'r'), 'lookup', 'look', b'', 99.0
     )
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -30,7 +30,7 @@
         self.borrowed = {}
         for name in NAMES:
             self.own[name] = leases.OwnParts()
-            self.own[name].resize(INSTANCES, 0.0, self.now)
+            self.own[name].set_instance_count(INSTANCES, 0.0, self.now)
             self.borrowed[name] = leases.BorrowedParts(self.now)
         self.questions = []
         self.answers = []
@@ -102,19 +102,19 @@
 def test_a_new_instance_has_no_part_before_others_count_it():
     """Guards against parts whose sum exceeds the limit as the fleet grows."""
     newcomer = leases.OwnParts()
-    newcomer.resize(9, 0.0, 100.0)
+    newcomer.set_instance_count(9, 0.0, 100.0)
     assert newcomer.share(100.0 + leases.JOIN_SECONDS - 0.01) == 0.0
     assert newcomer.share(100.0 + leases.JOIN_SECONDS) == 1 / 9
     slow = leases.OwnParts()
-    slow.resize(330, 8.25, 100.0)
+    slow.set_instance_count(330, 8.25, 100.0)
     assert slow.share(112.0) == 0.0
 
 
 def test_the_part_of_a_stopped_instance_is_shared_after_its_lease_ends():
     """Guards against taking over a part that is still lent."""
     own = leases.OwnParts()
-    own.resize(8, 0.0, 100.0)
-    own.resize(7, 0.0, 110.0)
+    own.set_instance_count(8, 0.0, 100.0)
+    own.set_instance_count(7, 0.0, 110.0)
     assert own.share(110.0 + leases.LEASE_SECONDS - 0.01) == 1 / 8
     assert own.share(110.0 + leases.LEASE_SECONDS) == 1 / 7
 
@@ -122,8 +122,8 @@
 def test_time_during_which_a_part_was_lent_is_not_credited_again():
     """Guards against crediting two borrowers with the same time."""
     own = leases.OwnParts()
-    own.resize(4, 0.0, 100.0)
-    own.resize(4, 0.0, 104.0)
+    own.set_instance_count(4, 0.0, 100.0)
+    own.set_instance_count(4, 0.0, 104.0)
     assert own.lend(LIFE, 'i1', 103.0, 105.0) == 2.0
     assert own.lend(LIFE, 'i1', 103.0, 106.0) == 0.0
     assert own.lend(LIFE, 'i2', 103.0, 107.0) is None
--- a/tests/load/test_limit_table.py
+++ b/tests/load/test_limit_table.py
@@ -25,7 +25,7 @@
     for order in itertools.permutations(told):
         table = limit_table.LimitTable()
         for one in order:
-            table.merge_news(one, 100.0)
+            table.merge_limit(one, 100.0)
         found.add(tuple(sorted(table.limits_in_force().items())))
         if len(order) > 3 and len(found) > 1:
             break
@@ -72,7 +72,7 @@
     table = limit_table.LimitTable()
     table.update_from_answer(LIFE, 2.0, 99.0, 100.0)
     table.update_from_answer(LIFE, None, 100.5, 101.0)
-    assert table.list_news() == [limits.LimitUpdate(LIFE, None, 2)]
+    assert table.list_limits() == [limits.LimitUpdate(LIFE, None, 2)]
     table.update_from_answer('engine 2', 2.0, 200.0, 201.0)
     assert LIFE not in table.known_limits
 
@@ -83,6 +83,6 @@
     assert one.digest() == other.digest()
     one.update_from_answer(LIFE, 2.0, 99.0, 100.0)
     assert one.digest() != other.digest()
-    for told in one.list_news():
-        other.merge_news(told, 100.0)
+    for told in one.list_limits():
+        other.merge_limit(told, 100.0)
     assert one.digest() == other.digest()
--- a/tests/load/test_limits.py
+++ b/tests/load/test_limits.py
@@ -18,7 +18,7 @@
 @hypothesis.given(strategies.integers(1, 200), strategies.integers(1, 100))
 def test_limit_over_all_instances_exceeds_by_rounding_only(limit, instances):
     control = admission.AdmissionControl(random.Random(1))
-    control.resize(instances)
+    control.set_instance_count(instances)
     account = loaded_node.account('a', most_running=limit)
     total = instances * control.max_running(account)
     assert total <= max(limit, instances)
--- a/tests/load/test_permits.py
+++ b/tests/load/test_permits.py
@@ -26,7 +26,7 @@
 
 
 def granted(answers):
-    return [a.holder[1] for a in answers if a.verdict is GRANTED]
+    return [a.request_key[1] for a in answers if a.verdict is GRANTED]
 
 
 @given(
@@ -100,7 +100,7 @@
     ask(permit_issuer, 4, 100.0, wait=1.6)
     [answer] = permit_issuer.take_answers(100.0)
     assert answer.verdict is limits.Verdict.DENIED
-    assert answer.wait == 2.0
+    assert answer.wait_seconds == 2.0
 
 
 def test_a_repeated_request_gets_one_permit():
--- a/tests/load/test_permits_in_time.py
+++ b/tests/load/test_permits_in_time.py
@@ -13,7 +13,7 @@
     keeper = limit_keeper.LimitKeeper('own')
     keeper.ranking.members = lambda life: (OTHER,)
     keeper.ranking.has_part = lambda life: False
-    keeper.merge_news(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
+    keeper.merge_limit(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
     number = keeper.request_permit(LIFE, 'one', 100.5, 100.0)
     [question] = keeper.outgoing
     assert question.receiver == OTHER
@@ -140,7 +140,7 @@
     keeper = limit_keeper.LimitKeeper('own')
     others = [f'other {number}' for number in range(6)]
     keeper.ranking.members = lambda life: others
-    keeper.merge_news(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
+    keeper.merge_limit(limits.LimitUpdate(LIFE, 2.0, 1), 100.0)
     keeper.ranking.issuer_of(LIFE, 100.0)
     [ranking] = keeper.ranking.rankings.values()
     keeper.request_permit(LIFE, 'one', 100.2, 100.0)
@@ -173,7 +173,7 @@
     keeper.handle_message(OTHER, wanted, 102.0)
     late = limits.LeaseGrant(LIFE, 0.5, 0.0, 101.0)
     keeper.handle_message(OTHER, late, 102.1)
-    issuer = keeper.issuers.lives[LIFE].issuer
+    issuer = keeper.issuers.lives[LIFE].permit_issuer
     assert not issuer.borrowed.total_share(102.1)
     keeper.handle_message(
         OTHER, limits.LeaseGrant(LIFE, 0.5, 0.0, 102.0), 102.2
