--- a/src/greengagelb/coordination/sharing/admission.py
+++ b/src/greengagelb/coordination/sharing/admission.py
@@ -15,12 +15,13 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 
+# Bounds of the Retry-After before jitter is added.
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 120.0
 SECONDS_PER_MINUTE = 60.0
-# The wait is estimated from means. At five times capacity, a fifth of the
-# admitted long requests waited only to be refused without this margin, and a
-# thirtieth with it.
+# Factor on the estimated wait, which is a mean. At five times capacity, it
+# lowered the share of admitted long requests that were refused after waiting
+# from a fifth to a thirtieth.
 WAIT_MARGIN = 1.5
 
 QueueKey = tuple[str, configuration_state.Priority]
@@ -70,7 +71,7 @@
         self.recheck_needed = False
 
     def set_instance_count(self, live_instances: int) -> None:
-        """Divide the limits of the data centre among its live instances."""
+        """Set the live instances that share the data centre's limits."""
         self.live_instances = max(1, live_instances)
         self.unpark_all_accounts()
 
@@ -169,7 +170,7 @@
     def refuse_with_jitter(
         self, code: str, detail: str, wait: float
     ) -> requests.Failure:
-        """Return a refusal with a Retry-After in seconds.
+        """Return a refusal with a jittered Retry-After in seconds.
 
         Without jitter all refused callers would come back at the same time and
         be refused again.
--- a/src/greengagelb/coordination/sharing/arrivals.py
+++ b/src/greengagelb/coordination/sharing/arrivals.py
@@ -1,6 +1,6 @@
 """Checks of arriving requests that need only the request and configuration.
 
-The node combines them with the state of queues and running requests.
+The Node class combines them with the state of queues and running requests.
 """
 
 import dataclasses
@@ -11,7 +11,9 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 
+# Rough ratio, to estimate the tokens of a prompt.
 CHARACTERS_PER_TOKEN = 4
+# Characters of a prompt that form its cache key; a shorter prompt has none.
 PREFIX_CHARACTERS = 256
 QUEUE_TIMER = 'queued'
 
@@ -71,7 +73,11 @@
             'unknown-account', 'no such client account', None
         )
     if service is None or service.name not in account.services:
-        return not_run_failure('unknown-service', 'no such service', None)
+        return not_run_failure(
+            'unknown-service',
+            'service unknown or not allowed for this account',
+            None,
+        )
     expected_kind = (
         configuration_state.ServiceKind.CALL
         if isinstance(event, events.CallSubmitted)
--- a/src/greengagelb/coordination/sharing/broken_runs.py
+++ b/src/greengagelb/coordination/sharing/broken_runs.py
@@ -1,4 +1,4 @@
-"""Broken connections that may mean that an engine has crashed.
+"""Runs whose connection broke, which may mean that an engine has crashed.
 
 Connections break for many reasons. Only if the engine has ended since does it
 count against the requests that it ran, so each engine is probed first.
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BrokenRun:
-    """A run that broke off; see :class:`greengagelb.state.crashes.Crash`."""
+    """A broken run; see :class:`greengagelb.state.crashes.Crash`."""
 
     fingerprint: str
     life: str
@@ -69,14 +69,14 @@
         }
 
     def forget_expired(self, now: float) -> None:
-        """Drop engines whose fate was never found out."""
+        """Drop engines that were never found to have ended or to be alive."""
         for engine, runs in list(self.by_engine.items()):
             if runs[-1].broken_at <= now - BROKEN_RUN_TTL_SECONDS:
                 del self.by_engine[engine]
 
 
 def crash_from_broken_run(broken_run: BrokenRun) -> crashes.Crash:
-    """Return the crash that a suspicion becomes if its engine ended."""
+    """Return the crash that a broken run counts as if its engine ended."""
     return crashes.Crash(
         broken_run.life, broken_run.began_at, broken_run.broken_at
     )
@@ -87,7 +87,7 @@
 ) -> list[str]:
     """Record an engine's crash for each of the runs that it had.
 
-    Returns the fingerprints for which it was unknown.
+    Returns the fingerprints for which the crash was unknown.
     """
     return [
         broken_run.fingerprint
--- a/src/greengagelb/coordination/sharing/crash_guard.py
+++ b/src/greengagelb/coordination/sharing/crash_guard.py
@@ -1,8 +1,8 @@
 """Blocks requests of the product's own API that crash engines.
 
-When an attempt breaks off, its upstream is suspected of a crash and asked for
-its report. If the connection is refused, or the upstream reports another
-incarnation, the crash counts against the request.
+When the connection of an attempt breaks, its upstream may have crashed and is
+probed: it is asked for its report. If the connection is refused, or the
+upstream reports another incarnation, the crash counts against the request.
 """
 
 import dataclasses
@@ -20,9 +20,9 @@
 BLOCKED_NOT_RUN_CODE = 'request-crashes-engines'
 BLOCKED_RAN_CODE = 'engine-deaths-exceeded'
 PROBE_TIMER = 'ask-suspect'
-# How long a suspect is reported in heartbeats after its last change. The time
-# is shorter for a single crash, because a crash makes every request on the
-# engine a suspect.
+# How long a suspected request is reported in heartbeats after its last change.
+# The time is shorter for a single crash, because one crash makes every request
+# on the engine a suspect.
 REPORT_SECONDS = 30.0
 REPORT_SINGLE_CRASH_SECONDS = 5.0
 MAX_REPORTS_PER_HEARTBEAT = 24
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingProbe:
-    """A pending check whether a suspected upstream has ended.
+    """A pending check whether an upstream has ended.
 
     ``incarnation`` is the one that the upstream had when the broken attempts
     began.
@@ -42,7 +42,7 @@
 
 
 class ProductCrashGuard:
-    """The crash records and suspicions of this instance."""
+    """Crash records and broken runs of requests of the product's own API."""
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
@@ -81,7 +81,7 @@
     def must_not_run(
         self, request: fingerprints.ProductRequest, now: float
     ) -> bool:
-        """Return whether a request is blocked, or would be by suspicions."""
+        """Return whether known or suspected crashes block a request."""
         return self.is_blocked(
             request, now
         ) or self.has_blocking_suspected_crashes(request, now)
@@ -94,7 +94,7 @@
         began_at: float,
         now: float,
     ) -> list[actions.Action]:
-        """Suspect the upstream of a broken attempt and have it probed."""
+        """Record a broken attempt and have its upstream probed."""
         self.forget_expired(now)
         name = upstream.name
         broken_run = broken_runs.BrokenRun(
@@ -170,7 +170,7 @@
             )
 
     def forget_expired(self, now: float) -> None:
-        """Drop suspicions and probes of upstreams that were never resolved."""
+        """Drop broken runs and probes that were never resolved."""
         self.broken_runs.forget_expired(now)
         for name in (
             self.pending_probes.keys() - self.broken_runs.by_engine.keys()
@@ -188,7 +188,7 @@
         ]
 
     def sorted_suspects(self) -> tuple[crash_state.SuspectRequest, ...]:
-        """Return the suspects to report, those with most crashes first."""
+        """Return the suspected requests, those with most crashes first."""
         if self.cached_change_count == self.records.change_count:
             return self.cached_suspects
         self.cached_change_count = self.records.change_count
@@ -224,6 +224,6 @@
 
 
 def report_seconds(suspect: crash_state.SuspectRequest) -> float:
-    """Return for how many seconds a suspect is reported."""
+    """Return for how many seconds a suspected request is reported."""
     is_single = len(suspect.crashes) == 1
     return REPORT_SINGLE_CRASH_SECONDS if is_single else REPORT_SECONDS
--- a/src/greengagelb/coordination/sharing/crash_records.py
+++ b/src/greengagelb/coordination/sharing/crash_records.py
@@ -18,11 +18,13 @@
 
 from greengagelb.state import crashes
 
-# A request is blocked after so many crashes early in its run, or after
-# CRASHES_TO_BLOCK crashes at any time of its run.
+# A request is blocked after EARLY_CRASHES_TO_BLOCK crashes early in its run,
+# or after CRASHES_TO_BLOCK crashes at any time of its run. Early crashes are
+# the stronger evidence: the other requests on an engine that crashes are at
+# any point of their run.
 EARLY_CRASHES_TO_BLOCK = 3
 CRASHES_TO_BLOCK = 6
-# A crash is early if the request had run for at most so many seconds.
+# A crash is early if the request had run for at most this long.
 EARLY_CRASH_SECONDS = 0.5
 # A run that began up to this long before the end of the previous one still
 # counts as following it, because reported times are not exact.
@@ -32,15 +34,15 @@
 # Memory bounds; a crash takes about 150 bytes.
 MAX_CRASHES_PER_REQUEST = 8
 MAX_FINGERPRINTS = 1024
-# Other instances are kept current on at most so many requests, those with the
-# most crashes. Requests with a single crash are left out, because one crash
+# Number of requests, those with the most crashes, on which other instances are
+# kept current. Requests with a single crash are left out, because one crash
 # makes every request on the engine a suspect.
 MAX_SHARED_REQUESTS = 64
 MIN_SHARED_CRASHES = 2
 
 
 class CrashRecords:
-    """The crash histories of all suspects known to this instance.
+    """The crash histories of all suspected requests that are known here.
 
     ``change_count`` counts the changes.
 
@@ -123,7 +125,7 @@
         return not blocked_before and self.is_blocked(report.fingerprint, now)
 
     def forget_expired(self, now: float) -> None:
-        """Drop expired crashes, and suspects without crashes."""
+        """Drop expired crashes, and requests without crashes."""
         oldest_kept_at = now - CRASH_TTL_SECONDS
         for fingerprint, history in list(self.histories.items()):
             for crash in list(history.crashes.values()):
--- a/src/greengagelb/coordination/sharing/fair_queue.py
+++ b/src/greengagelb/coordination/sharing/fair_queue.py
@@ -23,6 +23,8 @@
 class Ticket:
     """A request that waits for a place on an upstream.
 
+    ``exchange`` identifies the ticket in its queue: the number of the exchange
+    or, for a permit request, a serial number.
     ``cost`` is in tokens: the prompt and the most that may be generated.
     ``deadline`` is the monotonic time at which the caller stops waiting, and
     ``start_by`` the one by which the service wants the request started.
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -14,20 +14,21 @@
 from greengagelb.coordination.fleet import rendezvous
 from greengagelb.state import limits
 
-# An issuer is suspected if it has answered none of SUSPECT_AFTER_QUESTIONS
-# questions for SUSPECT_AFTER_SECONDS. It is probed at once and then after an
-# interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
+# An issuer is suspected if it has answered none of SUSPECT_AFTER_REQUESTS
+# permit requests for SUSPECT_AFTER_SECONDS. It is probed at once and then
+# after an interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
 SUSPECT_AFTER_REQUESTS = 4
 SUSPECT_AFTER_SECONDS = 0.05
 FIRST_PROBE_INTERVAL_SECONDS = 0.05
 MAX_PROBE_INTERVAL_SECONDS = 2.0
-# After so many unanswered probes an issuer is skipped until it is heard again,
-# for at most SUSPICION_TTL_SECONDS.
+# After this many unanswered probes an issuer is skipped until it is heard
+# again, for at most SUSPICION_TTL_SECONDS.
 SKIP_AFTER_PROBES = 2
 SUSPICION_TTL_SECONDS = 20.0
-# Reports of other instances add at most so many suspected issuers.
+# Reports of other instances add suspected issuers up to this number in all.
 MAX_SUSPECTED = 512
-# This instance issues permits itself if so many others are skipped.
+# Length of a ranking. If all of its instances are skipped, this instance
+# issues the permits itself.
 MAX_RANKED = 8
 # How long a ranking is used before the members are read again.
 RANKING_TTL_SECONDS = 0.5
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class UnansweredRequests:
-    """Questions to an issuer since which it has sent nothing."""
+    """Permit requests to an issuer since which it has sent nothing."""
 
     first_request_at: float
     count: int = 0
@@ -125,7 +126,7 @@
         )
 
     def count_permit_request(self, issuer: str, now: float) -> None:
-        """Count a question to an issuer."""
+        """Count a permit request to an issuer."""
         unanswered_requests = self.unanswered.setdefault(
             issuer, UnansweredRequests(now)
         )
@@ -142,7 +143,7 @@
         self.mark_alive(incarnation)
 
     def suspect_unanswered(self, now: float) -> None:
-        """Suspect the issuers that have left questions unanswered."""
+        """Suspect the issuers that have left permit requests unanswered."""
         for issuer, unanswered_requests in list(self.unanswered.items()):
             if now >= unanswered_requests.suspect_at:
                 del self.unanswered[issuer]
--- a/src/greengagelb/coordination/sharing/leases.py
+++ b/src/greengagelb/coordination/sharing/leases.py
@@ -1,5 +1,8 @@
 """Parts of a limit, which instances lend to one of them for a time.
 
+A part is what an instance lends; its share is the size of the part, from 0 to
+1. The lease is the time for which the part is lent.
+
 Each instance has an equal part of every limit and lends it to one borrower at
 a time. So the parts add up to no more than the limit, whichever instances hear
 each other. The borrower counts a lease from when it asked for it, by its own
@@ -21,7 +24,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """The borrower of a part, and until when it is lent."""
+    """The borrower of this instance's part, until a monotonic time."""
 
     borrower: str
     until: float
@@ -46,7 +49,7 @@
     def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Divide limits among so many instances, including this one.
+        """Set the number of instances that share limits, with this one.
 
         An instance that has stopped may have lent its part, so the others take
         over its part only after such a lease has ended.
@@ -72,11 +75,11 @@
 
     @property
     def relative_rank(self) -> float:
-        """Return this instance's position among all, from 0 to 1."""
+        """Return this instance's rank relative to all, from 0 to 1."""
         return self.rank / max(1, self.instance_count)
 
     def share(self, now: float) -> float:
-        """Return this instance's part of a limit, from 0 to 1."""
+        """Return the share of this instance's part, from 0 to 1."""
         if now < self.joins_at:
             return 0.0
         return 1.0 / self.counted_instances(now)
@@ -155,7 +158,9 @@
         return min(1.0, sum(shares))
 
     def take_accrued_seconds(self, now: float) -> float:
-        """Return the seconds of the whole limit accrued since the last call.
+        """Return the seconds since the last call, weighted by the share.
+
+        Each second counts by the share that was borrowed in it.
 
         Parts that have ended are dropped.
         """
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -72,8 +72,8 @@
 class Denied:
     """The refusal of a permit within the time of the request.
 
-    ``wait`` is in seconds. ``issuer`` had the part ``share`` of the limit; it
-    is empty if none answered.
+    ``wait`` is in seconds. ``issuer`` had borrowed the share ``share`` of the
+    limit; it is empty if none answered.
     """
 
     number: int
@@ -94,7 +94,10 @@
 
 
 class LimitKeeper:
-    """This instance's part in keeping the limits.
+    """Requests and issues permits, and exchanges limits with instances.
+
+    It requests permits for the sends of this instance, issues permits to all
+    instances, and exchanges the limits that engines report.
 
     The caller takes and empties ``outgoing`` and ``outcomes``.
     ``schedule_changed`` is set when the result of ``next_due_at`` may have
@@ -162,7 +165,7 @@
         self.send(incarnation, limits.LimitUpdatesRequest())
 
     def merge_limit(self, update: limits.LimitUpdate, now: float) -> bool:
-        """Merge the limit of another instance; return whether it is new."""
+        """Merge the limit of another instance; return whether it is newer."""
         is_newer = self.table.merge_limit(update, now)
         if is_newer:
             self.apply_limit_change(update.life, now)
@@ -294,7 +297,7 @@
     def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Divide limits among the given number of instances."""
+        """Set the number of instances that share limits, with this one."""
         self.parts.set_instance_count(instance_count, heartbeat_seconds, now)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
--- a/src/greengagelb/coordination/sharing/limit_table.py
+++ b/src/greengagelb/coordination/sharing/limit_table.py
@@ -57,7 +57,7 @@
     ) -> limits.LimitUpdate | None:
         """Apply the limit in an answer to a request sent at ``asked_at``.
 
-        Returns the news for the other instances, or None.
+        Returns the update for the other instances, or None.
         """
         limit = self.known_limits.get(life)
         if limit is None:
@@ -73,7 +73,7 @@
         return self.store_limit(life, rate, limit.version + 1, now)
 
     def merge_limit(self, update: limits.LimitUpdate, now: float) -> bool:
-        """Merge the value of another instance; return whether it is new."""
+        """Merge the limit of another instance; return whether it is newer."""
         limit = self.known_limits.get(update.life)
         if limit is not None and precedence(update) <= precedence(limit):
             return False
@@ -83,7 +83,7 @@
     def store_limit(
         self, life: str, rate: float | None, version: int, now: float
     ) -> limits.LimitUpdate:
-        """Store a value and return it as news."""
+        """Store a limit and return the update for other instances."""
         self.known_limits[life] = limits.KnownLimit(rate, version, now, now)
         self.change_count += 1
         self.evict_old_lives(now)
@@ -121,7 +121,7 @@
         return self.cached_digest
 
     def list_limits(self) -> list[limits.LimitUpdate]:
-        """Return all known values, for an instance that differs."""
+        """Return all known limits, for an instance with another digest."""
         return [
             limits.LimitUpdate(life, limit.rate, limit.version)
             for life, limit in self.known_limits.items()
--- a/src/greengagelb/coordination/sharing/permit_issuers.py
+++ b/src/greengagelb/coordination/sharing/permit_issuers.py
@@ -17,14 +17,15 @@
 # at most once per RENEW_INTERVAL_SECONDS.
 RENEW_MARGIN_SECONDS = 1.5
 RENEW_INTERVAL_SECONDS = 0.25
-# After the last permit request an issuer renews its parts for
-# RENEW_IDLE_SECONDS and is dropped after FORGET_IDLE_SECONDS.
+# After the last permit request for a life, its parts are renewed for
+# RENEW_IDLE_SECONDS, and its permit issuer is dropped after
+# FORGET_IDLE_SECONDS.
 RENEW_IDLE_SECONDS = 5.0
 FORGET_IDLE_SECONDS = 30.0
 # If another instance has become the issuer, the parts are returned once no
 # permit was requested for this long.
 HAND_OVER_IDLE_SECONDS = 0.3
-# How long an issuer waits for the leases that it requests first.
+# How long requests wait for the first leases of a life.
 FIRST_LEASES_SECONDS = 0.02
 
 
--- a/src/greengagelb/coordination/sharing/permits.py
+++ b/src/greengagelb/coordination/sharing/permits.py
@@ -15,10 +15,11 @@
 from greengagelb.state import configuration
 from greengagelb.state import limits
 
-# How much may be saved while nobody asks, in seconds of the limit. One whole
+# How much may be saved while nobody asks, in seconds of accrual. One whole
 # permit can be saved in any case.
 MAX_SAVED_SECONDS = 1.0
-# With a smaller share than this, a saved permit expires in whole. Otherwise
+# Below this share, the permits above the bound are rounded up to whole ones
+# before they are dropped, so that a saved permit is lost as well. Otherwise
 # many instances that are isolated from each other would each keep one and use
 # them at the same moment.
 MIN_SHARE_TO_SAVE = 0.5
@@ -37,7 +38,10 @@
 
 @dataclasses.dataclass(slots=True)
 class WaitingRequest:
-    """A request for a permit that waits until ``deadline``."""
+    """A request for a permit that waits until ``deadline``.
+
+    It accepts to wait for ``max_wait_seconds``.
+    """
 
     request_key: RequestKey
     ticket: fair_queue.Ticket
@@ -48,7 +52,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """The answer to a request for a permit, with a wait in seconds."""
+    """The answer to a request for a permit, with the expected wait."""
 
     request_key: RequestKey
     verdict: limits.Verdict
@@ -58,9 +62,10 @@
 class PermitIssuer:
     """The permits of one life of an engine.
 
-    ``phase``, from 0 to 1, is this instance's position among those that have
-    parts and issue permits by themselves. It delays the first permit:
-    otherwise all would issue it at the same moment.
+    ``first_permit_delay_share``, from 0 to 1, differs between the instances.
+    It delays the first permit by up to this share of one permit and is then
+    set to 0. Otherwise instances that are isolated from each other would all
+    issue their first permit at the same moment.
 
     Invariant: over any period no more permits are granted than accrued, were
     saved at its start, and were returned.
@@ -150,6 +155,7 @@
             )
             return Answer(request_key, limits.Verdict.QUEUED, max(0.0, wait))
         serial = next(self.serials)
+        # The pool and the priority are not used here.
         ticket = fair_queue.Ticket(
             serial, wanted.account, '', configuration.Priority.SHORT, 1.0
         )
--- a/src/greengagelb/coordination/sharing/rates.py
+++ b/src/greengagelb/coordination/sharing/rates.py
@@ -5,8 +5,11 @@
 
 import dataclasses
 
+# Factor on the weight of earlier observations with each new one.
 OBSERVATION_DECAY = 0.95
+# Mean absolute deviations that a conservative estimate adds to the mean.
 MARGIN_DEVIATIONS = 2.0
+# Burst of an account's token rate, in seconds of that rate.
 ACCOUNT_BURST_SECONDS = 10.0
 
 
--- a/src/greengagelb/coordination/sharing/replay_budgets.py
+++ b/src/greengagelb/coordination/sharing/replay_budgets.py
@@ -12,9 +12,10 @@
 class ReplayBudgets:
     """Bounds the replays per minute of each account at this instance.
 
-    A replay makes another engine process the prompt and all tokens generated
-    so far. Without a bound, an account whose requests kill engines would take
-    that capacity from all others. Resumes by callers are bounded in admission.
+    A replay continues a stream on another engine, which processes the prompt
+    and all tokens generated so far. Without a bound, an account whose requests
+    kill engines would take that capacity from all others. Resumes by callers
+    are bounded in admission.
     """
 
     def __init__(self) -> None:
--- a/src/greengagelb/coordination/sharing/retry_budget.py
+++ b/src/greengagelb/coordination/sharing/retry_budget.py
@@ -1,14 +1,18 @@
 """Retry budgets of accounts, and backoff advice for callers.
 
-Retries multiply load just when capacity is short. An account may add a tenth
-to its own calls by retries, so that its failing calls cannot displace first
-attempts of other accounts.
+A retry is any attempt of a request after its first. Retries multiply load just
+when capacity is short. An account may add a tenth to its own calls by retries,
+so that its failing calls cannot displace first attempts of other accounts.
 """
 
 import random
 
+# A first attempt earns this fraction of a retry.
 RETRIES_EARNED_PER_CALL = 0.1
+# Bound on saved retries; an account that is new to this instance starts with
+# this many.
 MAX_SAVED_RETRIES = 10.0
+# The backoff doubles with each consecutive failure, up to MAX_DOUBLINGS times.
 BASE_BACKOFF_SECONDS = 1.0
 MAX_DOUBLINGS = 5
 MIN_JITTER_FACTOR = 0.5
--- a/src/greengagelb/coordination/sharing/store_budget.py
+++ b/src/greengagelb/coordination/sharing/store_budget.py
@@ -15,13 +15,20 @@
 from greengagelb.coordination import actions
 
 MAX_IN_FLIGHT = 64
+# Consecutive failures that open the circuit.
 FAILURES_TO_OPEN = 5
+# The circuit stays open for a jittered time, which doubles with each opening
+# until a request succeeds.
 FIRST_OPEN_SECONDS = 0.5
 MAX_OPEN_SECONDS = 8.0
 MIN_JITTER_FACTOR = 0.5
+# Burst of a rate, in seconds of that rate.
 STORE_BURST_SECONDS = 2.0
+# Share of the burst that deferrable writes leave to the other writes.
 DEFERRABLE_RESERVED_SHARE = 0.5
+# Share of the write rate that one account may use.
 MAX_ACCOUNT_SHARE = 0.5
+# Memory bound; beyond it the buckets of all accounts are dropped.
 MAX_ACCOUNT_BUCKETS = 256
 
 
@@ -56,7 +63,7 @@
 
 @dataclasses.dataclass(slots=True)
 class TokenBucket:
-    """Allows ``rate`` requests a second and bursts of ``BURST_SECONDS``.
+    """Allows ``rate`` requests a second and bursts of ``STORE_BURST_SECONDS``.
 
     Invariant: ``tokens`` stays between 0 and the burst size.
     """
--- a/tests/load/test_lent_parts.py
+++ b/tests/load/test_lent_parts.py
@@ -20,7 +20,7 @@
 class LentParts(stateful.RuleBasedStateMachine):
     """Any instance may ask any other for its part at any time.
 
-    Questions and answers arrive late, twice, out of order, or never.
+    Lease requests and grants arrive late, twice, out of order, or never.
     """
 
     def __init__(self):
--- a/tests/load/test_limit_table.py
+++ b/tests/load/test_limit_table.py
@@ -20,7 +20,7 @@
 
 @given(strategies.lists(news, max_size=5))
 def test_merged_value_does_not_depend_on_order(told):
-    """Guards against late and reordered news of an older value."""
+    """Guards against a late message that restores an older limit."""
     found = set()
     for order in itertools.permutations(told):
         table = limit_table.LimitTable()
@@ -45,7 +45,7 @@
 
 
 def test_frequent_changes_are_rate_limited():
-    """Guards against an engine that floods the fleet with news."""
+    """Guards against an engine whose changing limit floods the fleet."""
     table = limit_table.LimitTable()
     told = [
         table.update_from_answer(
