--- a/src/greengagelb/coordination/relay/actions.py
+++ b/src/greengagelb/coordination/relay/actions.py
@@ -141,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskSuccessor:
+class ProbeAddress:
     """Ask which engine answers at the address of a lost one.
 
     If it ``may_be_another_service``, it is also asked whether it has the
@@ -183,7 +183,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ForwardHints:
+class BroadcastHints:
     """Send hints to all other instances, to remote ones by forwarding.
 
     Some instances of each remote data centre forward them there. Used for
@@ -228,12 +228,12 @@
     | ProbeEngine
     | CheckEngine
     | CopyRun
-    | AskSuccessor
+    | ProbeAddress
     | TellPeers
     | TellPeer
     | StoreCrashReport
     | DeleteCrashReport
-    | ForwardHints
+    | BroadcastHints
     | RescheduleStoreRead
     | ObserveDuration
     | actions.SetTimer
--- a/src/greengagelb/coordination/relay/calls.py
+++ b/src/greengagelb/coordination/relay/calls.py
@@ -10,7 +10,7 @@
 from greengagelb.coordination.relay import directory
 from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
-from greengagelb.coordination.relay import held_sends
+from greengagelb.coordination.relay import permit_waits
 from greengagelb.coordination.relay import sending
 from greengagelb.state.relay import engine_states
 from greengagelb.state.relay import exchanges
@@ -34,21 +34,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RelayParts:
+class RelayComponents:
     """The components that calls and streams share."""
 
     engines: directory.EngineDirectory
     selector: engine_selection.EngineSelector
-    send_table: sending.SendTable
+    send_manager: sending.SendManager
     answers: answers.AnswerBuilder
     crash_watch: crash_watch.CrashWatch
-    waiting_sends: held_sends.HeldSends
+    waiting_sends: permit_waits.WaitingSends
 
     def wait_for_permit(
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
-        step: held_sends.Step,
+        continuation: permit_waits.Continuation,
         code: str,
         now: float,
     ) -> list[Action] | None:
@@ -59,9 +59,9 @@
         """
         if not self.waiting_sends.needs_permit(state):
             return None
-        if not self.send_table.has_attempts_left(exchange):
+        if not self.send_manager.has_attempts_left(exchange):
             return [self.answers.fail_request(exchange, code, now)]
-        self.waiting_sends.hold_for_permit(exchange, state, step, now)
+        self.waiting_sends.hold_for_permit(exchange, state, continuation, now)
         return []
 
     def refuse_without_engine(
@@ -87,8 +87,8 @@
 class CallRelay:
     """Sends short calls, retries them and hedges them."""
 
-    def __init__(self, parts: RelayParts) -> None:
-        self.parts = parts
+    def __init__(self, components: RelayComponents) -> None:
+        self.components = components
 
     def start_request(
         self, exchange: exchanges.Exchange, now: float
@@ -100,18 +100,20 @@
         self, exchange: exchanges.Exchange, now: float, code: str
     ) -> list[Action]:
         """Send a call to an engine that it has not tried, or end it."""
-        if self.parts.crash_watch.is_blocked(exchange, now):
+        if self.components.crash_watch.is_blocked(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.fail_request(exchange, code, now)]
+            return [self.components.answers.fail_request(exchange, code, now)]
         state = self.choose_engine(exchange, now)
         if state is None:
             return [
-                self.parts.refuse_without_engine(
+                self.components.refuse_without_engine(
                     exchange, exchange.tried, code, now
                 )
             ]
-        step = held_sends.CallAttempt(code)
-        pending = self.parts.wait_for_permit(exchange, state, step, code, now)
+        continuation = permit_waits.CallAttempt(code)
+        pending = self.components.wait_for_permit(
+            exchange, state, continuation, code, now
+        )
         if pending is not None:
             return pending
         return self.send_to_engine(exchange, state, code, now)
@@ -121,7 +123,7 @@
     ) -> engine_states.EngineState | None:
         """Return the engine for a call's next attempt, or None."""
         ruling = exchange.ruling
-        return self.parts.selector.choose_for_call(
+        return self.components.selector.choose_for_call(
             ruling.service.name, exchange.tried, now, ruling.account
         )
 
@@ -133,19 +135,23 @@
         now: float,
     ) -> list[Action]:
         """Send a call to the chosen engine, or end it."""
-        if self.parts.crash_watch.is_blocked(exchange, now):
+        if self.components.crash_watch.is_blocked(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.fail_request(exchange, code, now)]
-        if not self.parts.send_table.acquire_attempt(exchange, now):
-            return [self.parts.answers.fail_request(exchange, code, now)]
-        done = self.parts.send_table.start_send(exchange, state, now)
+            return [self.components.answers.fail_request(exchange, code, now)]
+        if not self.components.send_manager.try_spend_attempt(exchange, now):
+            return [self.components.answers.fail_request(exchange, code, now)]
+        resulting = self.components.send_manager.start_send(
+            exchange, state, now
+        )
         goal = exchange.ruling.route.goal
         late = timers.timer_name(LATE_CALL_TIMER, exchange.number)
-        done.append(actions.SetTimer(late, now + goal))
+        resulting.append(actions.SetTimer(late, now + goal))
         if exchange.ruling.route.is_repeatable:
             name = timers.timer_name(HEDGE_TIMER, exchange.number)
-            done.append(actions.SetTimer(name, now + HEDGE_DELAY_SHARE * goal))
-        return done
+            resulting.append(
+                actions.SetTimer(name, now + HEDGE_DELAY_SHARE * goal)
+            )
+        return resulting
 
     def handle_answer(
         self,
@@ -155,7 +161,7 @@
         now: float,
     ) -> list[Action]:
         """Handle a complete answer of an engine."""
-        told = self.parts.send_table.note_answer_head(
+        told = self.components.send_manager.note_answer_head(
             exchange, sent, event.head, now
         )
         return told + self.decide_answer(exchange, sent, event, now)
@@ -169,13 +175,13 @@
     ) -> list[Action]:
         """Pass a complete answer on, or try another engine."""
         head = event.head
-        self.parts.send_table.release_send(exchange, sent)
+        self.components.send_manager.release_send(exchange, sent)
         if head.not_run:
             return self.retry_not_run(exchange, sent, head.status, now)
         exchange.may_have_run = True
-        told = self.parts.crash_watch.note_survival(exchange, now)
-        self.parts.send_table.pending_hints.extend(told)
-        self.parts.engines.note_success(sent.entry.engine, now)
+        told = self.components.crash_watch.note_survival(exchange, now)
+        self.components.send_manager.pending_hints.extend(told)
+        self.components.engines.note_success(sent.entry.engine, now)
         if head.status >= 500:
             self.count_engine_error(sent, now)
         if not head.sealed and head.is_success:
@@ -187,19 +193,19 @@
             return self.handle_lost_send(
                 exchange, sent, f'status {head.status}', now
             )
-        done = self.parts.send_table.abandon_all_sends(exchange)
+        resulting = self.components.send_manager.abandon_all_sends(exchange)
         passed = relay_actions.PassAnswer(exchange.number, head, event.body)
         took = now - exchange.request.received_at
         call = relay_actions.DurationKind.CALL
-        return [*done, passed, relay_actions.ObserveDuration(call, took)]
+        return [*resulting, passed, relay_actions.ObserveDuration(call, took)]
 
     def count_engine_error(
         self, sent: exchanges.InFlightSend, now: float
     ) -> None:
         """Count an error of an engine here and announce it to others."""
         engine, start = sent.entry.engine, sent.entry.started_at_ms
-        self.parts.engines.note_call_error(engine, now, start)
-        self.parts.send_table.pending_hints.append(
+        self.components.engines.note_call_error(engine, now, start)
+        self.components.send_manager.pending_hints.append(
             hints.EngineErrored(engine, start)
         )
 
@@ -212,14 +218,16 @@
     ) -> list[Action]:
         """Try another engine after one that did not run the call."""
         if status == MISDIRECTED_REQUEST:
-            self.parts.send_table.note_engine_replaced(exchange, sent)
+            self.components.send_manager.note_engine_replaced(exchange, sent)
         why = f'not run, status {status}'
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.record(exchange, sent, 'send-refused', why)
         ]
         if exchange.sends:
-            return done
-        return done + self.send_to_next_engine(exchange, now, 'engines-full')
+            return resulting
+        return resulting + self.send_to_next_engine(
+            exchange, now, 'engines-full'
+        )
 
     def handle_broken_send(
         self,
@@ -229,18 +237,18 @@
         now: float,
     ) -> list[Action]:
         """Handle a send that ended without an answer."""
-        self.parts.engines.note_failure(
+        self.components.engines.note_failure(
             sent.entry.engine,
             now,
             dead=not event.handed_over,
             started_at_ms=sent.entry.started_at_ms,
         )
-        self.parts.send_table.release_send(exchange, sent)
+        self.components.send_manager.release_send(exchange, sent)
         if event.handed_over:
             exchange.may_have_run = True
             # A call shows no progress before its answer, so the run counts
             # from the time of the send.
-            asked = self.parts.crash_watch.suspect_engine(
+            asked = self.components.crash_watch.suspect_engine(
                 exchange, sent, sent.began_at, now
             )
             return asked + self.handle_lost_send(
@@ -248,18 +256,18 @@
             )
         exchange.attempts -= 1
         exchange.unconnected += 1
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.record(exchange, sent, 'send-unconnected', event.detail)
         ]
         if exchange.sends:
-            return done
+            return resulting
         if exchange.unconnected >= MAX_FAILED_CONNECTIONS:
             code = 'engines-unreachable'
             return [
-                *done,
-                self.parts.answers.fail_request(exchange, code, now),
+                *resulting,
+                self.components.answers.fail_request(exchange, code, now),
             ]
-        return done + self.send_to_next_engine(
+        return resulting + self.send_to_next_engine(
             exchange, now, 'engines-unreachable'
         )
 
@@ -271,19 +279,24 @@
         now: float,
     ) -> list[Action]:
         """Retry a call that may have run, if its route allows that."""
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.lost_send_record(exchange, sent, detail, now)
         ]
         if exchange.sends:
-            return done
+            return resulting
         if exchange.ruling.route.is_repeatable:
-            if self.parts.crash_watch.hold_until_checked(exchange, sent, now):
-                return done
-            return done + self.send_to_next_engine(
+            if self.components.crash_watch.hold_until_checked(
+                exchange, sent, now
+            ):
+                return resulting
+            return resulting + self.send_to_next_engine(
                 exchange, now, 'engines-failed'
             )
         code = 'outcome-unknown'
-        return [*done, self.parts.answers.fail_request(exchange, code, now)]
+        return [
+            *resulting,
+            self.components.answers.fail_request(exchange, code, now),
+        ]
 
     def count_late_sends(
         self, exchange: exchanges.Exchange, now: float
@@ -307,17 +320,17 @@
         """Send a call without an answer to a second engine as well."""
         if len(exchange.sends) != 1:
             return []
-        if self.parts.crash_watch.is_blocked(exchange, now):
+        if self.components.crash_watch.is_blocked(exchange, now):
             return []
         state = self.choose_engine(exchange, now)
         if state is None or state.in_flight >= state.entry.slots:
             return []
-        if not self.parts.waiting_sends.needs_permit(state):
+        if not self.components.waiting_sends.needs_permit(state):
             return self.send_hedge(exchange, state, now)
-        if self.parts.send_table.has_attempts_left(exchange):
-            step = held_sends.HedgedCall()
-            self.parts.waiting_sends.hold_for_permit(
-                exchange, state, step, now
+        if self.components.send_manager.has_attempts_left(exchange):
+            continuation = permit_waits.HedgedCall()
+            self.components.waiting_sends.hold_for_permit(
+                exchange, state, continuation, now
             )
         return []
 
@@ -328,6 +341,6 @@
         now: float,
     ) -> list[Action]:
         """Send a call to a second engine, if a retry is allowed."""
-        if not self.parts.send_table.acquire_attempt(exchange, now):
+        if not self.components.send_manager.try_spend_attempt(exchange, now):
             return []
-        return self.parts.send_table.start_send(exchange, state, now)
+        return self.components.send_manager.start_send(exchange, state, now)
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -38,8 +38,8 @@
 
     entry: engines.EngineEntry
     attempts: int = 1
-    held_runs: list[tuple[int, exchanges.InFlightSend]] = dataclasses.field(
-        default_factory=list
+    requests_awaiting_check: list[tuple[int, exchanges.InFlightSend]] = (
+        dataclasses.field(default_factory=list)
     )
 
 
@@ -48,7 +48,7 @@
     """The requests that a crash counts against, and those to resume."""
 
     counted_fingerprints: tuple[str, ...]
-    held_runs: tuple[tuple[int, exchanges.InFlightSend], ...]
+    requests_awaiting_check: tuple[tuple[int, exchanges.InFlightSend], ...]
 
 
 class CrashWatch:
@@ -109,7 +109,7 @@
             exchange.fingerprint, suspected_lives, now
         ):
             return False
-        self.checks[lives_under_check[-1]].held_runs.append(
+        self.checks[lives_under_check[-1]].requests_awaiting_check.append(
             (exchange.number, sent)
         )
         return True
@@ -132,8 +132,12 @@
         counted_fingerprints = broken_runs.count_crashes(
             suspected_runs, self.records, now
         )
-        held_runs = check.held_runs if check is not None else []
-        return CheckResult(tuple(counted_fingerprints), tuple(held_runs))
+        requests_awaiting_check = (
+            check.requests_awaiting_check if check is not None else []
+        )
+        return CheckResult(
+            tuple(counted_fingerprints), tuple(requests_awaiting_check)
+        )
 
     def check_again(self, life: str) -> list[Action]:
         """Repeat the check of an engine that gave no answer."""
--- a/src/greengagelb/coordination/relay/crashing_requests.py
+++ b/src/greengagelb/coordination/relay/crashing_requests.py
@@ -25,23 +25,23 @@
 Action = relay_actions.RelayAction
 
 
-class CrashingRequests:
+class CrashingRequestHandler:
     """Stops requests that must not run, and announces them."""
 
     def __init__(
         self,
-        parts: calls.RelayParts,
+        components: calls.RelayComponents,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
         sharing: store_sharing.StoreSharing,
-        running: dict[int, exchanges.Exchange],
+        open_exchanges: dict[int, exchanges.Exchange],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.calls = call_relay
         self.streams = stream_relay
         self.sharing = sharing
-        self.running = running
-        self.watch = parts.crash_watch
+        self.open_exchanges = open_exchanges
+        self.watch = components.crash_watch
 
     def refuse_if_blocked(
         self, exchange: exchanges.Exchange, now: float
@@ -50,7 +50,7 @@
         until = self.watch.records.blocked_until(exchange.fingerprint, now)
         if until is None:
             return None
-        return [self.parts.answers.refuse_until(exchange, until, now)]
+        return [self.components.answers.refuse_until(exchange, until, now)]
 
     def handle_engine_check(
         self, event: relay_events.EngineChecked, now: float
@@ -59,18 +59,18 @@
         result = self.watch.handle_check(event, now)
         if isinstance(result, actions.SetTimer):
             return [result]
-        done: list[Action] = []
+        resulting: list[Action] = []
         for fingerprint in result.counted_fingerprints:
             report = self.watch.records.build_report(fingerprint, now)
-            self.parts.send_table.pending_hints.append(report)
-            done.append(crash_record(report, event))
-            done += self.schedule_reannouncements(fingerprint, now)
+            self.components.send_manager.pending_hints.append(report)
+            resulting.append(crash_timeline_event(report, event))
+            resulting += self.schedule_reannouncements(fingerprint, now)
             if self.watch.records.is_blocked(fingerprint, now):
-                done.append(relay_actions.StoreCrashReport(report))
-                done += self.stop_blocked(fingerprint, now)
-        for number, sent in result.held_runs:
-            done += self.resume_held(number, sent, now)
-        return done
+                resulting.append(relay_actions.StoreCrashReport(report))
+                resulting += self.stop_blocked(fingerprint, now)
+        for number, sent in result.requests_awaiting_check:
+            resulting += self.resume_held(number, sent, now)
+        return resulting
 
     def schedule_reannouncements(
         self, fingerprint: str, now: float
@@ -88,14 +88,14 @@
         fingerprint = timer_suffix.partition(' ')[2]
         if fingerprint in self.watch.records.histories:
             report = self.watch.records.build_report(fingerprint, now)
-            self.parts.send_table.pending_hints.append(report)
+            self.components.send_manager.pending_hints.append(report)
         return []
 
     def resume_held(
         self, number: int, sent: exchanges.InFlightSend, now: float
     ) -> list[Action]:
         """Continue a request that was held, if its caller still waits."""
-        exchange = self.running.get(number)
+        exchange = self.open_exchanges.get(number)
         if exchange is None or exchange.sends:
             return []
         if self.watch.hold_until_checked(exchange, sent, now):
@@ -111,8 +111,8 @@
         request does no harm.
         """
         reason = f'fingerprint {fingerprint}'
-        done: list[Action] = [actions.Record('request-blocked', reason)]
-        for exchange in list(self.running.values()):
+        resulting: list[Action] = [actions.Record('request-blocked', reason)]
+        for exchange in list(self.open_exchanges.values()):
             has_events = any(
                 sent.events_seen for sent in exchange.sends.values()
             )
@@ -120,12 +120,14 @@
                 continue
             if exchange.sends:
                 exchange.may_have_run = True
-                done += self.parts.send_table.abandon_all_sends(exchange)
+                resulting += self.components.send_manager.abandon_all_sends(
+                    exchange
+                )
                 code = answers.CRASHES_ENGINES
-                done.append(
-                    self.parts.answers.fail_request(exchange, code, now)
+                resulting.append(
+                    self.components.answers.fail_request(exchange, code, now)
                 )
-        return done
+        return resulting
 
     def apply_report(
         self, report: crash_state.CrashReport, now: float
@@ -161,22 +163,22 @@
 
         A write may have failed, and the store may lose what was written.
         """
-        done: list[Action] = []
+        resulting: list[Action] = []
         for report in reports:
-            done += self.apply_report(report, now)
+            resulting += self.apply_report(report, now)
         if not self.sharing.reads_for_all:
-            return done
+            return resulting
         stored = {report.fingerprint for report in reports}
         blocked = set(self.watch.records.blocked_fingerprints(now))
         for fingerprint in sorted(blocked - stored):
             report = self.watch.records.build_report(fingerprint, now)
-            done.append(relay_actions.StoreCrashReport(report))
+            resulting.append(relay_actions.StoreCrashReport(report))
         for fingerprint in sorted(stored - blocked):
-            done.append(relay_actions.DeleteCrashReport(fingerprint))
-        return done
+            resulting.append(relay_actions.DeleteCrashReport(fingerprint))
+        return resulting
 
 
-def crash_record(
+def crash_timeline_event(
     report: crash_state.CrashReport, event: relay_events.EngineChecked
 ) -> actions.Record:
     """Return the time line event of a counted crash."""
--- a/src/greengagelb/coordination/relay/directory.py
+++ b/src/greengagelb/coordination/relay/directory.py
@@ -107,7 +107,7 @@
         # time of confirmation.
         self.note_list_read(now)
         for entry in entries:
-            if not self.is_past_life(entry):
+            if not self.is_former_life(entry):
                 self.states[entry.engine].listed = True
         for name in removed:
             state = self.states.get(name)
@@ -162,7 +162,7 @@
         An entry of a past life is ignored: its sender lags behind, and
         applying it would end what runs on the current life.
         """
-        if self.is_past_life(entry):
+        if self.is_former_life(entry):
             return False
         if self.is_new_life(entry):
             self.begin_life(entry, now)
@@ -184,7 +184,7 @@
             return False
         return state.entry.is_earlier_than(entry.started_at_ms)
 
-    def is_past_life(self, entry: engines.EngineEntry) -> bool:
+    def is_former_life(self, entry: engines.EngineEntry) -> bool:
         """Return whether a later life of an entry's engine is known."""
         state = self.states.get(entry.engine)
         if state is None:
@@ -200,14 +200,14 @@
         former = self.states.get(entry.engine)
         if former is not None:
             state.in_flight = former.in_flight
-            state.former_until = self.former_life_sends_until(former, now)
+            state.former_until = self.last_certain_former_send_at(former, now)
             del self.by_service[former.entry.service][entry.engine]
             self.outliers.forget_engines({entry.engine})
         self.states[entry.engine] = state
         service_engines = self.by_service.setdefault(entry.service, {})
         service_engines[entry.engine] = state
 
-    def former_life_sends_until(
+    def last_certain_former_send_at(
         self, former: engine_states.EngineState, now: float
     ) -> float:
         """Return until when every send certainly went to the former life.
@@ -288,13 +288,13 @@
             entry.engine
             for entry in entries
             if entry.engine in self.states
-            and not (self.is_past_life(entry) or self.is_restart(entry))
+            and not (self.is_former_life(entry) or self.is_restart(entry))
             and entry.service != self.states[entry.engine].entry.service
         )
 
-    def is_news(self, entry: engines.EngineEntry) -> bool:
+    def has_changed(self, entry: engines.EngineEntry) -> bool:
         """Return whether an entry says more than that its engine is alive."""
-        if self.is_past_life(entry):
+        if self.is_former_life(entry):
             return False
         state = self.states.get(entry.engine)
         if state is None or not state.listed or self.is_restart(entry):
@@ -566,7 +566,7 @@
         trusted = [state for state in usable if state.is_trusted(now)]
         return trusted or usable
 
-    def data_centre_failure_risks(
+    def failure_risk_by_data_centre(
         self, service: str, now: float
     ) -> dict[str, float]:
         """Return how likely the rest of each data centre fails, from 0 to 1.
--- a/src/greengagelb/coordination/relay/engine_list.py
+++ b/src/greengagelb/coordination/relay/engine_list.py
@@ -67,33 +67,36 @@
         new_entries = tuple(
             entry
             for entry in entries
-            if entry.engine not in conflicting and self.engines.is_news(entry)
+            if entry.engine not in conflicting
+            and self.engines.has_changed(entry)
         )
         newly_unusable = tuple(
             name
             for name in (*unusable, *conflicting)
             if self.engines.is_in_use(name, now)
         )
-        done: list[Action] = []
+        resulting: list[Action] = []
         if self.engines.is_store_lost:
-            done.append(actions.Record('store-regained', 'list of engines'))
-        done += self.apply_changes(entries, removed, unusable, now)
+            resulting.append(
+                actions.Record('store-regained', 'list of engines')
+            )
+        resulting += self.apply_changes(entries, removed, unusable, now)
         was_reader = self.sharing.reads_for_all
         self.sharing.note_engines_read()
         if not self.sharing.reads_for_all:
-            return done
+            return resulting
         announced = self.take_restore_hints() + split_hints(
             new_entries, removed, newly_unusable
         )
         if (
-            self.sharing.engines.latest_read_seconds(now)
+            self.sharing.engine_list_freshness.latest_read_seconds(now)
             <= MAX_CURRENT_READ_SECONDS
         ):
             announced.append(self.read_notification(was_reader=was_reader))
         else:
             # The others get no notification, so one of them has to read.
             self.sharing.reads_for_all = False
-        return [*done, relay_actions.ForwardHints(tuple(announced))]
+        return [*resulting, relay_actions.BroadcastHints(tuple(announced))]
 
     def take_restore_hints(self) -> list[hints.Hint]:
         """Return the hint of a restore that was not announced yet."""
@@ -111,9 +114,9 @@
 
     def announce_store_attempt(self) -> list[Action]:
         """Tell the others, after a failure, that this instance tries again."""
-        if not self.sharing.engines.failures:
+        if not self.sharing.engine_list_freshness.failures:
             return []
-        return [relay_actions.ForwardHints((hints.StoreProbed(),))]
+        return [relay_actions.BroadcastHints((hints.StoreProbed(),))]
 
     def read_notification(self, *, was_reader: bool) -> hints.StoreRead:
         """Return the notification of a read of the store.
@@ -122,7 +125,9 @@
         certainly has the newest one, unless its calls for it fail. An instance
         that has only just become the reader does not know that.
         """
-        is_newest = was_reader and not self.sharing.configuration.failures
+        is_newest = (
+            was_reader and not self.sharing.configuration_freshness.failures
+        )
         return hints.StoreRead(
             self.engines.digest(),
             self.configuration_version if is_newest else None,
@@ -142,14 +147,16 @@
             e for e in consistent if self.engines.is_restart(e)
         ]
         ending_engines = self.engines.apply_changes(consistent, removed, now)
-        done = self.restarts.end_former_lives(restarted_entries, now)
+        resulting = self.restarts.end_former_lives(restarted_entries, now)
         for engine in ending_engines:
-            done += self.retire_engine(engine, 'listed', now)
+            resulting += self.retire_engine(engine, 'listed', now)
         for engine in self.engines.remove_unusable(unusable, now):
-            done += self.retire_engine(engine, 'entry unusable', now)
+            resulting += self.retire_engine(engine, 'entry unusable', now)
         for engine in self.engines.remove_unusable(conflicting, now):
-            done += self.retire_engine(engine, 'entry of another service', now)
-        return done
+            resulting += self.retire_engine(
+                engine, 'entry of another service', now
+            )
+        return resulting
 
     def retire_engine(
         self, engine: str, reason: str, now: float
--- a/src/greengagelb/coordination/relay/engine_selection.py
+++ b/src/greengagelb/coordination/relay/engine_selection.py
@@ -17,7 +17,7 @@
 REMOTE_CALL_PENALTY = 0.15
 # The cost of an engine that fails more calls than others, in the same unit: it
 # is used only while all slots of the others are in use.
-ERRING_CALL_PENALTY = 1.0
+OUTLIER_CALL_PENALTY = 1.0
 # The cost of an engine that has set a rate limit, in the same unit: it is
 # short of capacity, so others with free slots come first. Each second of
 # waiting for a permit adds to the cost.
@@ -57,7 +57,7 @@
 # Runs, at their maximum size, and copies together use at most this share of an
 # engine's memory, so that copies evict no run. After a loss, a run without a
 # copy has its prompt read again.
-MAX_COPIED_MEMORY_SHARE = 0.95
+MAX_MEMORY_SHARE_WITH_COPIES = 0.95
 
 
 class EngineSelector:
@@ -120,8 +120,8 @@
         cost = in_use / max(1, state.entry.slots)
         if state.entry.data_centre != self.data_centre:
             cost += REMOTE_CALL_PENALTY
-        if self.engines.outliers.is_avoided(state.entry.engine, now):
-            cost += ERRING_CALL_PENALTY
+        if self.engines.outliers.is_outlier(state.entry.engine, now):
+            cost += OUTLIER_CALL_PENALTY
         life = state.entry.life
         if self.keeper.is_limited(life):
             wait = self.keeper.expected_wait_seconds(life, now)
@@ -164,23 +164,19 @@
         needed_tokens = prompt.max_memory_tokens if prompt else 0
         prompt_part = prompt.own_part if prompt else ''
         holder = self.loads.prompts.likely_holder(prompt_part, now)
-        failing_by_data_centre = self.engines.data_centre_failure_risks(
+        failure_risks = self.engines.failure_risk_by_data_centre(
             service.name, now
         )
 
         def cost(state: engine_states.EngineState) -> float:
-            failing_score = failing_by_data_centre.get(
-                state.entry.data_centre, 0.0
-            )
+            failure_risk = failure_risks.get(state.entry.data_centre, 0.0)
             seconds = self.stream_cost_seconds(
                 state, service, needed_tokens, now
             )
             seconds += self.rng.uniform(0.0, jitter_seconds)
             if state.entry.engine == holder and prompt is not None:
                 seconds -= self.loads.reading_seconds(prompt.tokens)
-            return (
-                seconds + FAILING_DATA_CENTRE_PENALTY_SECONDS * failing_score
-            )
+            return seconds + FAILING_DATA_CENTRE_PENALTY_SECONDS * failure_risk
 
         return min(found, key=cost)
 
@@ -236,7 +232,7 @@
             return None
         needed_tokens = prompt.max_memory_tokens if prompt else 0
         copy_limit_tokens = (
-            MAX_COPIED_MEMORY_SHARE * service.engines.memory_tokens
+            MAX_MEMORY_SHARE_WITH_COPIES * service.engines.memory_tokens
         )
         run_entry = running_on.entry
         eligible = [
@@ -251,13 +247,13 @@
         ]
         if not eligible:
             return None
-        failing_by_data_centre = self.engines.data_centre_failure_risks(
+        failure_risks = self.engines.failure_risk_by_data_centre(
             service.name, now
         )
         stable = [
             s
             for s in eligible
-            if failing_by_data_centre.get(s.entry.data_centre, 0.0) < 1
+            if failure_risks.get(s.entry.data_centre, 0.0) < 1
         ]
         eligible = stable or eligible
         outside = [
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RoutesOffered:
+class ConfigurationOffered:
     """A source offers a configuration, which may be an old one."""
 
     table: routes.RouteTable
@@ -171,7 +171,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SuccessorSeen:
+class AddressProbed:
     """The engine that answers at the address of a lost one was found.
 
     ``new`` is its identity, or empty if none answers. If that is still the
@@ -252,7 +252,7 @@
     | AnswerComplete
     | SendFailed
     | ConfigurationChecked
-    | RoutesOffered
+    | ConfigurationOffered
     | EnginesListed
     | EnginesChanged
     | StoreLost
@@ -265,7 +265,7 @@
     | EngineChecked
     | CrashesListed
     | RunCopied
-    | SuccessorSeen
+    | AddressProbed
     | MembersListed
     | PeerHeard
     | PeerLeft
--- a/src/greengagelb/coordination/relay/loads.py
+++ b/src/greengagelb/coordination/relay/loads.py
@@ -57,17 +57,19 @@
         self.runs: dict[tuple[str, int], Run] = {}
         self.work: dict[str, EngineWork] = {}
         self.prompts = prompt_locations.PromptLocations()
-        self.reading_rate = INITIAL_READING_RATE
+        self.reading_tokens_per_second = INITIAL_READING_RATE
 
     def reading_seconds(self, tokens: int) -> float:
         """Return the time in which an idle engine reads a prompt."""
-        return tokens / self.reading_rate
+        return tokens / self.reading_tokens_per_second
 
     def update_reading_rate(self, tokens: int, seconds: float) -> None:
         """Apply the measured time of a prompt that was read alone."""
         if tokens and seconds > 0:
-            difference = tokens / seconds - self.reading_rate
-            self.reading_rate += READING_RATE_SMOOTHING * difference
+            difference = tokens / seconds - self.reading_tokens_per_second
+            self.reading_tokens_per_second += (
+                READING_RATE_SMOOTHING * difference
+            )
 
     def work_on(self, engine: str) -> EngineWork:
         """Return the sums of an engine."""
@@ -87,7 +89,8 @@
         if not was_counted:
             reading_from = max(now, work.reading_until)
             work.reading_until = (
-                reading_from + run.unread_tokens / self.reading_rate
+                reading_from
+                + run.unread_tokens / self.reading_tokens_per_second
             )
         if run.copy_to:
             copy_work = self.work.setdefault(run.copy_to, EngineWork())
--- a/src/greengagelb/coordination/relay/outliers.py
+++ b/src/greengagelb/coordination/relay/outliers.py
@@ -81,7 +81,7 @@
             engine_errors.error_times.popleft()
         return len(engine_errors.error_times)
 
-    def is_avoided(self, engine: str, now: float) -> bool:
+    def is_outlier(self, engine: str, now: float) -> bool:
         """Return whether other engines are preferred to an engine."""
         engine_errors = self.errors.get(engine)
         return engine_errors is not None and now < engine_errors.avoided_until
--- a/src/greengagelb/coordination/relay/peer_events.py
+++ b/src/greengagelb/coordination/relay/peer_events.py
@@ -7,7 +7,7 @@
 from greengagelb.coordination.relay import engine_list
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.relay import fleet
-from greengagelb.coordination.relay import limited_sends
+from greengagelb.coordination.relay import permit_outcomes
 from greengagelb.coordination.relay import restarts
 from greengagelb.coordination.relay import run_copies
 from greengagelb.coordination.relay import shared_retry_budget
@@ -28,17 +28,17 @@
 
     def __init__(
         self,
-        engines_known: directory.EngineDirectory,
+        engine_directory: directory.EngineDirectory,
         engine_updates: engine_list.EngineListHandler,
         fleet_view: fleet.FleetView,
         sharing: store_sharing.StoreSharing,
         retries: shared_retry_budget.SharedRetryBudget,
         run_copies: run_copies.RunCopies,
         restart_handler: restarts.RestartHandler,
-        crashing: crashing_requests.CrashingRequests,
-        limited: limited_sends.LimitedSends,
+        crashing: crashing_requests.CrashingRequestHandler,
+        limited: permit_outcomes.PermitOutcomeHandler,
     ) -> None:
-        self.engines = engines_known
+        self.engines = engine_directory
         self.engine_updates = engine_updates
         self.fleet = fleet_view
         self.sharing = sharing
@@ -53,20 +53,22 @@
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
         """Apply an event about the other instances."""
-        done: list[Action] = []
+        resulting: list[Action] = []
         match event:
             case relay_events.PeerTold(incarnation, hint):
                 return self.handle_hint(incarnation, hint, now)
             case relay_events.MembersListed(members):
                 self.fleet.apply_list(members)
-                done += self.announce_unlisted()
+                resulting += self.announce_unlisted()
             case relay_events.PeerHeard(incarnation, data_centre, known):
                 if incarnation not in self.fleet.heard_at:
                     reason = f'{incarnation} in {data_centre}'
-                    done.append(actions.Record('peer-heard', reason))
+                    resulting.append(actions.Record('peer-heard', reason))
                 self.fleet.note_heartbeat(incarnation, now)
-                done += forgotten_records(self.fleet.forget_silent(now))
-                done += self.crashing.compare_digest(
+                resulting += forgotten_instance_events(
+                    self.fleet.forget_silent(now)
+                )
+                resulting += self.crashing.compare_digest(
                     incarnation, known.crashes, now
                 )
                 self.keeper.ranking.mark_alive(incarnation)
@@ -74,7 +76,7 @@
                     incarnation, known.limits, now
                 )
             case relay_events.PeerLeft(incarnation):
-                done += forgotten_records(
+                resulting += forgotten_instance_events(
                     self.fleet.remove_instance(incarnation, now)
                 )
                 self.keeper.remove_instance(incarnation, now)
@@ -88,7 +90,7 @@
             seconds = self.fleet.heartbeat_seconds
             self.keeper.parts.rank = self.fleet.rank
             self.keeper.set_instance_count(self.fleet.size, seconds, now)
-        return done
+        return resulting
 
     def handle_hint(
         self, incarnation: str, hint: hints.Hint, now: float
@@ -136,7 +138,7 @@
                 return self.read_store_if_stale()
             case _ if isinstance(hint, limits.Message):
                 return self.limited.handle_message(incarnation, hint, now)
-        return self.replace_copies_lost(hint, now)
+        return self.handle_engine_loss_hint(hint, now)
 
     def announce_unlisted(self) -> list[Action]:
         """Tell the live instances that are missing in the list that they are.
@@ -149,7 +151,7 @@
         if not missing or not self.sharing.reads_for_all:
             return []
         hint = hints.InstancesNotListed(missing[:MAX_NOT_LISTED_IN_HINT])
-        return [relay_actions.ForwardHints((hint,))]
+        return [relay_actions.BroadcastHints((hint,))]
 
     def handle_not_listed(self, incarnations: tuple[str, ...]) -> list[Action]:
         """Read the list of instances if it lacks this instance."""
@@ -166,7 +168,9 @@
         is_same = hint.digest == self.engines.digest()
         if is_same:
             self.engines.note_confirmed(now)
-        self.sharing.engines.note_peer_knowledge(is_same=is_same, now=now)
+        self.sharing.engine_list_freshness.note_peer_knowledge(
+            is_same=is_same, now=now
+        )
         if hint.version is not None:
             self.note_peer_version(hint.version, now)
         return self.read_store_if_stale()
@@ -179,12 +183,17 @@
         is_new = self.fleet.add_peer_run(incarnation, hint, now)
         if is_new and hint.attempt and state is not None:
             service = state.entry.service
-            self.budget.count_peer_send(service, now, repeat=hint.attempt > 1)
+            self.budget.count_peer_send(
+                service, now, is_retry=hint.attempt > 1
+            )
 
     def read_store_if_stale(self) -> list[Action]:
         """Read the store if something newer is known to be there."""
         sharing = self.sharing
-        if sharing.engines.is_stale or sharing.configuration.is_stale:
+        if (
+            sharing.engine_list_freshness.is_stale
+            or sharing.configuration_freshness.is_stale
+        ):
             return [relay_actions.RescheduleStoreRead()]
         return []
 
@@ -196,13 +205,13 @@
         """
         self.sharing.note_peer_version(version)
         known = self.engine_updates.configuration_version
-        configuration = self.sharing.configuration
+        configuration = self.sharing.configuration_freshness
         if version > known or not configuration.is_stale:
             configuration.note_peer_knowledge(
                 is_same=version <= known, now=now
             )
 
-    def replace_copies_lost(
+    def handle_engine_loss_hint(
         self, hint: hints.Hint, now: float
     ) -> list[Action]:
         """Replace the copies on an engine that died according to a hint."""
@@ -221,6 +230,6 @@
         return []
 
 
-def forgotten_records(incarnations: list[str]) -> list[Action]:
+def forgotten_instance_events(incarnations: list[str]) -> list[Action]:
     """Return the time line events of instances that were forgotten."""
     return [actions.Record('peer-forgotten', name) for name in incarnations]
--- a/src/greengagelb/coordination/relay/limited_sends.py
+++ b/src/greengagelb/coordination/relay/permit_outcomes.py
@@ -5,7 +5,7 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import calls
-from greengagelb.coordination.relay import held_sends
+from greengagelb.coordination.relay import permit_waits
 from greengagelb.coordination.relay import sending
 from greengagelb.coordination.relay import streams
 from greengagelb.coordination.sharing import limit_keeper
@@ -21,22 +21,22 @@
 Action = relay_actions.RelayAction
 
 
-class LimitedSends:
+class PermitOutcomeHandler:
     """Connects the limit keeper with the requests that wait for permits."""
 
     def __init__(
         self,
-        parts: calls.RelayParts,
+        components: calls.RelayComponents,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
-        running: dict[int, exchanges.Exchange],
+        open_exchanges: dict[int, exchanges.Exchange],
     ) -> None:
-        self.parts = parts
-        self.keeper = parts.waiting_sends.keeper
-        self.waiting = parts.waiting_sends.waiting
+        self.components = components
+        self.keeper = components.waiting_sends.keeper
+        self.waiting = components.waiting_sends.waiting
         self.calls = call_relay
         self.streams = stream_relay
-        self.running = running
+        self.open_exchanges = open_exchanges
         self.timer_set_for = float('inf')
         self.next_cleanup_at = float('-inf')
 
@@ -54,19 +54,23 @@
                     f'{limit_table.describe_limit(message)}, '
                     f'from {incarnation}'
                 )
-                engine = self.parts.engines.find_by_life(life).entry.engine
+                engine = self.components.engines.find_by_life(
+                    life
+                ).entry.engine
                 return [actions.Record('engine-limit', why, upstream=engine)]
         self.keeper.handle_message(incarnation, message, now)
         return []
 
     def is_current_life(self, life: str, now: float) -> bool:
         """Return whether a life is the known one of an engine in use."""
-        state = self.parts.engines.find_by_life(life)
+        state = self.components.engines.find_by_life(life)
         if state is None:
             return False
-        return self.parts.engines.is_in_use(state.entry.engine, now)
+        return self.components.engines.is_in_use(state.entry.engine, now)
 
-    def finish_event(self, done: list[Action], now: float) -> list[Action]:
+    def finish_event(
+        self, resulting: list[Action], now: float
+    ) -> list[Action]:
         """Do what follows from an event and from the actions it led to.
 
         Counts checks sent to limited engines, continues sends that got an
@@ -74,8 +78,8 @@
         """
         keeper = self.keeper
         if keeper.table.known_limits:
-            self.count_engine_checks(done, now)
-            self.forget_past_lives(now)
+            self.count_unpermitted_requests(resulting, now)
+            self.forget_former_lives(now)
         more: list[Action] = []
         while keeper.outcomes:
             more += self.handle_outcome(keeper.outcomes.pop(0), now)
@@ -108,9 +112,11 @@
         self.keeper.run_due(now)
         return []
 
-    def count_engine_checks(self, done: list[Action], now: float) -> None:
+    def count_unpermitted_requests(
+        self, resulting: list[Action], now: float
+    ) -> None:
         """Count requests to an engine that no caller has made."""
-        for action in done:
+        for action in resulting:
             match action:
                 case (
                     relay_actions.ProbeEngine(engine=entry)
@@ -119,7 +125,7 @@
                 ) if self.keeper.is_limited(entry.life):
                     self.keeper.count_unpermitted(entry.life, 1, now)
 
-    def forget_past_lives(self, now: float) -> None:
+    def forget_former_lives(self, now: float) -> None:
         """Forget the limits of past lives."""
         if now < self.next_cleanup_at:
             return
@@ -137,13 +143,15 @@
         held = self.waiting.pop(outcome.number, None)
         if held is None:
             return []
-        exchange = self.running.get(held.exchange)
+        exchange = self.open_exchanges.get(held.exchange)
         match outcome:
             case limit_keeper.Granted():
-                done = self.send_granted(held, exchange, now)
-                if not any(is_sent_to(held.life, action) for action in done):
+                resulting = self.send_granted(held, exchange, now)
+                if not any(
+                    is_sent_to(held.life, action) for action in resulting
+                ):
                     self.keeper.return_permit(held.life, outcome, now)
-                return done
+                return resulting
             case limit_keeper.Denied() if exchange is not None:
                 why = self.denial_reason(held, outcome, now)
                 notice = sending.record(exchange, None, 'permit-denied', why)
@@ -153,7 +161,7 @@
 
     def send_granted(
         self,
-        held: held_sends.HeldSend,
+        held: permit_waits.WaitingSend,
         exchange: exchanges.Exchange | None,
         now: float,
     ) -> list[Action]:
@@ -166,59 +174,59 @@
         return self.send(held, exchange, state, now)
 
     def find_target(
-        self, held: held_sends.HeldSend, exchange: exchanges.Exchange
+        self, held: permit_waits.WaitingSend, exchange: exchanges.Exchange
     ) -> engine_states.EngineState | None:
         """Return the engine of a send, if the send is still to be made."""
-        state = self.parts.engines.states.get(held.engine)
+        state = self.components.engines.states.get(held.engine)
         if state is None:
             return None
         if state.entry.life != held.life or state.leaving or state.replaced:
             return None
-        is_hedge = isinstance(held.step, held_sends.HedgedCall)
+        is_hedge = isinstance(held.continuation, permit_waits.HedgedCall)
         if len(exchange.sends) != int(is_hedge):
             return None
         return state
 
     def send(
         self,
-        held: held_sends.HeldSend,
+        held: permit_waits.WaitingSend,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
         now: float,
     ) -> list[Action]:
         """Make a send that has its permit."""
-        match held.step:
-            case held_sends.CallAttempt(code):
+        match held.continuation:
+            case permit_waits.CallAttempt(code):
                 return self.calls.send_to_engine(exchange, state, code, now)
-            case held_sends.HedgedCall():
+            case permit_waits.HedgedCall():
                 return self.calls.send_hedge(exchange, state, now)
-            case held_sends.StreamStart(code):
+            case permit_waits.StreamStart(code):
                 return self.streams.start_on_engine(exchange, state, code, now)
-            case held_sends.StreamFromCopy(lost=lost):
+            case permit_waits.StreamFromCopy(lost=lost):
                 return self.streams.resume_from_copy(exchange, lost, now)
 
     def send_elsewhere(
         self,
-        held: held_sends.HeldSend,
+        held: permit_waits.WaitingSend,
         exchange: exchanges.Exchange,
         now: float,
     ) -> list[Action]:
         """Choose an engine again for a send without a permit, if needed."""
         if exchange.sends:
             return []
-        match held.step:
-            case held_sends.CallAttempt(code):
+        match held.continuation:
+            case permit_waits.CallAttempt(code):
                 return self.calls.send_to_next_engine(exchange, now, code)
-            case held_sends.StreamStart(code):
+            case permit_waits.StreamStart(code):
                 return self.streams.start_from_prompt(exchange, now, code)
-            case held_sends.StreamFromCopy():
+            case permit_waits.StreamFromCopy():
                 code = 'engines-failed'
                 return self.streams.start_from_prompt(exchange, now, code)
         return []
 
     def denial_reason(
         self,
-        held: held_sends.HeldSend,
+        held: permit_waits.WaitingSend,
         denied: limit_keeper.Denied,
         now: float,
     ) -> str:
--- a/src/greengagelb/coordination/relay/held_sends.py
+++ b/src/greengagelb/coordination/relay/permit_waits.py
@@ -42,20 +42,20 @@
     max_wait_seconds: float
 
 
-Step = CallAttempt | HedgedCall | StreamStart | StreamFromCopy
+Continuation = CallAttempt | HedgedCall | StreamStart | StreamFromCopy
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeldSend:
+class WaitingSend:
     """A send of an exchange that waits for a permit of an engine life."""
 
     exchange: int
     engine: str
     life: str
-    step: Step
+    continuation: Continuation
 
 
-class HeldSends:
+class WaitingSends:
     """All sends that wait, by the number of their permit.
 
     Invariant: each send in ``waiting`` has exactly one outcome.
@@ -63,7 +63,7 @@
 
     def __init__(self, keeper: limit_keeper.LimitKeeper) -> None:
         self.keeper = keeper
-        self.waiting: dict[int, HeldSend] = {}
+        self.waiting: dict[int, WaitingSend] = {}
 
     def needs_permit(self, state: engine_states.EngineState) -> bool:
         """Return whether requests to an engine need permits."""
@@ -73,21 +73,21 @@
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
-        step: Step,
+        continuation: Continuation,
         now: float,
     ) -> None:
         """Request the permit of a send, with a deadline for the wait."""
         life = state.entry.life
         urgent = exchange.begun
         max_wait_seconds = PERMIT_WAIT_SHARE * exchange.ruling.route.goal
-        if isinstance(step, StreamFromCopy):
+        if isinstance(continuation, StreamFromCopy):
             urgent = True
-            max_wait_seconds = step.max_wait_seconds
+            max_wait_seconds = continuation.max_wait_seconds
         deadline = min(now + max_wait_seconds, exchange.ruling.deadline)
         account = exchange.ruling.account
         number = self.keeper.request_permit(
             life, account, deadline, now, urgent=urgent
         )
-        self.waiting[number] = HeldSend(
-            exchange.number, state.entry.engine, life, step
+        self.waiting[number] = WaitingSend(
+            exchange.number, state.entry.engine, life, continuation
         )
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -20,10 +20,10 @@
 from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
 from greengagelb.coordination.relay import fleet
-from greengagelb.coordination.relay import held_sends
-from greengagelb.coordination.relay import limited_sends
 from greengagelb.coordination.relay import loads
 from greengagelb.coordination.relay import peer_events
+from greengagelb.coordination.relay import permit_outcomes
+from greengagelb.coordination.relay import permit_waits
 from greengagelb.coordination.relay import request_routing
 from greengagelb.coordination.relay import restarts
 from greengagelb.coordination.relay import run_copies
@@ -74,7 +74,7 @@
     ) -> None:
         self.rng = rng
         self.route_table: routes.RouteTable | None = None
-        self.deferred_offer: relay_events.RoutesOffered | None = None
+        self.deferred_offer: relay_events.ConfigurationOffered | None = None
         self.engines = directory.EngineDirectory(
             engine_bounds.least_lapse_seconds
         )
@@ -82,7 +82,7 @@
         self.loads = loads.RunLoads()
         self.budget = shared_retry_budget.SharedRetryBudget(retry_bounds)
         self.keeper = limit_keeper.LimitKeeper(own.incarnation)
-        self.send_table = sending.SendTable(
+        self.send_manager = sending.SendManager(
             self.engines, self.loads, self.budget, self.keeper
         )
         selector = engine_selection.EngineSelector(
@@ -90,33 +90,33 @@
         )
         self.sharing = store_sharing.StoreSharing(own.incarnation, rng)
         self.answers = answers.AnswerBuilder(rng)
-        self.rulings = request_routing.RequestRouter(rng)
+        self.request_router = request_routing.RequestRouter(rng)
         self.crash_watch = crash_watch.CrashWatch()
-        parts = calls.RelayParts(
+        components = calls.RelayComponents(
             self.engines,
             selector,
-            self.send_table,
+            self.send_manager,
             self.answers,
             self.crash_watch,
-            held_sends.HeldSends(self.keeper),
+            permit_waits.WaitingSends(self.keeper),
         )
-        self.calls = calls.CallRelay(parts)
+        self.calls = calls.CallRelay(components)
         self.succession = successor_search.SuccessorSearch(
             self.engines, engine_bounds.address_reuse_seconds
         )
-        self.streams = streams.StreamRelay(parts, self.succession)
+        self.streams = streams.StreamRelay(components, self.succession)
         self.fleet = fleet.FleetView(self.loads, own.incarnation)
         self.keeper.ranking.members = self.fleet.reachable_instances
         self.exchanges: dict[int, exchanges.Exchange] = {}
-        self.copies = run_copies.RunCopies(parts, self.exchanges)
+        self.copies = run_copies.RunCopies(components, self.exchanges)
         self.restarts = restarts.RestartHandler(
-            parts, self.calls, self.streams, self.copies, self.exchanges
+            components, self.calls, self.streams, self.copies, self.exchanges
         )
-        self.crashing_requests = crashing_requests.CrashingRequests(
-            parts, self.calls, self.streams, self.sharing, self.exchanges
+        self.crashing_requests = crashing_requests.CrashingRequestHandler(
+            components, self.calls, self.streams, self.sharing, self.exchanges
         )
-        self.limited_sends = limited_sends.LimitedSends(
-            parts, self.calls, self.streams, self.exchanges
+        self.permit_outcomes = permit_outcomes.PermitOutcomeHandler(
+            components, self.calls, self.streams, self.exchanges
         )
         self.engine_list = engine_list.EngineListHandler(
             self.engines,
@@ -133,7 +133,7 @@
             self.copies,
             self.restarts,
             self.crashing_requests,
-            self.limited_sends,
+            self.permit_outcomes,
         )
         self.lifecycle = stopping.InstanceLifecycle()
 
@@ -175,18 +175,18 @@
         self, event: relay_events.RelayEvent, now: float
     ) -> list[Action]:
         """Return the actions that result from an event."""
-        done = self.dispatch_event(event, now)
-        done += self.limited_sends.finish_event(done, now)
-        for hint in list(self.send_table.pending_hints):
-            done += self.peers.replace_copies_lost(hint, now)
+        resulting = self.dispatch_event(event, now)
+        resulting += self.permit_outcomes.finish_event(resulting, now)
+        for hint in list(self.send_manager.pending_hints):
+            resulting += self.peers.handle_engine_loss_hint(hint, now)
         ended: list[Action] = []
-        for action in done:
+        for action in resulting:
             ended += self.close_if_answered(action)
         hint_actions = [
-            relay_actions.TellPeers(h) for h in self.send_table.pending_hints
+            relay_actions.TellPeers(h) for h in self.send_manager.pending_hints
         ]
-        self.send_table.pending_hints.clear()
-        return done + ended + hint_actions
+        self.send_manager.pending_hints.clear()
+        return resulting + ended + hint_actions
 
     def close_if_answered(self, action: Action) -> list[Action]:
         """Remove an exchange if an action is its final answer."""
@@ -199,7 +199,9 @@
             ):
                 exchange = self.exchanges.get(number)
                 told = (
-                    final_answer_records(exchange, action) if exchange else []
+                    final_answer_timeline_events(exchange, action)
+                    if exchange
+                    else []
                 )
                 return [*told, *self.close_exchange(number)]
         return []
@@ -234,7 +236,7 @@
                 return self.handle_caller_gone(exchange)
             case events.TimerFired(name):
                 return self.handle_timer(name, now)
-            case relay_events.RoutesOffered():
+            case relay_events.ConfigurationOffered():
                 return self.apply_configuration(event, now)
             case relay_events.ConfigurationChecked():
                 return self.announce_configuration(now)
@@ -253,9 +255,9 @@
                 return self.engine_list.handle_store_restored(now)
             case relay_events.EngineListRequested():
                 return self.engine_list.announce_store_attempt()
-            case relay_events.SuccessorSeen(old, new, start) if old == new:
+            case relay_events.AddressProbed(old, new, start) if old == new:
                 return self.restarts.note_reported_start(old, start, now)
-            case relay_events.SuccessorSeen():
+            case relay_events.AddressProbed():
                 return self.use_successor(event, now)
             case relay_events.StopRequested():
                 return self.lifecycle.begin_stop(event, now)
@@ -272,20 +274,22 @@
         return self.peers.handle_event(event, now)
 
     def use_successor(
-        self, event: relay_events.SuccessorSeen, now: float
+        self, event: relay_events.AddressProbed, now: float
     ) -> list[Action]:
         """Use an engine that replaces a lost one at the same address."""
         if not self.succession.accept_answer(event, now):
             return []
         old, new = event.old, event.new
-        self.send_table.pending_hints.append(hints.EngineReplaced(old, new))
+        self.send_manager.pending_hints.append(hints.EngineReplaced(old, new))
         return [actions.Record('engine-succeeded', f'by {new}', upstream=old)]
 
     def handle_request(
         self, request: requests.CallerRequest, now: float
     ) -> list[Action]:
         """Accept a request, or refuse it at once."""
-        ruling = self.rulings.route_request(request, self.usable_route_table)
+        ruling = self.request_router.route_request(
+            request, self.usable_route_table
+        )
         if isinstance(ruling, relay_actions.Refuse):
             why = f'{ruling.status} {ruling.code}'
             if self.route_table is not None:
@@ -299,19 +303,23 @@
         self.exchanges[request.exchange] = exchange
         self.budget.count_request(ruling.service.name, now)
         name = timers.timer_name(DEADLINE_TIMER, request.exchange)
-        done: list[Action] = [actions.SetTimer(name, ruling.deadline)]
+        resulting: list[Action] = [actions.SetTimer(name, ruling.deadline)]
         stream = ruling.route.repeat is routes.RepeatPolicy.STREAM
         refusal = self.crashing_requests.refuse_if_blocked(exchange, now)
         if refusal is not None:
-            return done + refusal
-        expected_end_at = now + self.max_duration_seconds(exchange, stream)
+            return resulting + refusal
+        expected_end_at = now + self.duration_allowance_seconds(
+            exchange, stream
+        )
         if self.lifecycle.may_be_cut(expected_end_at, now, stream=stream):
             return [self.answers.refuse_not_run(exchange, 'stopping', now)]
-        done += self.lifecycle.note_accepted(exchange, expected_end_at, now)
-        relay = self.streams if stream else self.calls
-        return done + relay.start_request(exchange, now)
+        resulting += self.lifecycle.note_accepted(
+            exchange, expected_end_at, now
+        )
+        handler = self.streams if stream else self.calls
+        return resulting + handler.start_request(exchange, now)
 
-    def max_duration_seconds(
+    def duration_allowance_seconds(
         self, exchange: exchanges.Exchange, stream: bool
     ) -> float:
         """Return how many seconds a request that starts now may take.
@@ -320,7 +328,7 @@
         if it were cut off at the end, nobody could tell whether it ran.
         """
         if stream:
-            return self.streams.expected_seconds(exchange)
+            return self.streams.conservative_seconds(exchange)
         return exchange.ruling.route.time_limit
 
     def handle_send_event(
@@ -348,19 +356,19 @@
             case relay_events.StreamComplete():
                 return self.streams.end_stream(exchange, sent, now)
             case relay_events.AnswerComplete():
-                relay = (
-                    self.streams.handle_refusal
+                handle = (
+                    self.streams.handle_plain_answer
                     if stream
                     else self.calls.handle_answer
                 )
-                return relay(exchange, sent, event, now)
+                return handle(exchange, sent, event, now)
             case relay_events.SendFailed():
-                relay = (
+                handle = (
                     self.streams.handle_broken_send
                     if stream
                     else self.calls.handle_broken_send
                 )
-                return relay(exchange, sent, event, now)
+                return handle(exchange, sent, event, now)
         return []
 
     def handle_probe(
@@ -372,10 +380,14 @@
     ) -> list[Action]:
         """Handle a probe result for the engine, then for the run on it."""
         start = event.started_at_ms
-        done = self.restarts.note_reported_start(sent.entry.engine, start, now)
+        resulting = self.restarts.note_reported_start(
+            sent.entry.engine, start, now
+        )
         if sent.number not in exchange.sends:
-            return done
-        return done + self.streams.handle_probe(exchange, sent, event, now)
+            return resulting
+        return resulting + self.streams.handle_probe(
+            exchange, sent, event, now
+        )
 
     def handle_stream_progress(
         self,
@@ -386,10 +398,10 @@
     ) -> list[Action]:
         """Pass events on; order a missing copy after the first ones."""
         first = not sent.events_seen
-        done = self.streams.pass_events(exchange, sent, event, now)
+        resulting = self.streams.pass_events(exchange, sent, event, now)
         if first and sent.number in exchange.sends:
-            done += self.copies.order_missing_copy(exchange, sent, now)
-        return done
+            resulting += self.copies.order_missing_copy(exchange, sent, now)
+        return resulting
 
     def handle_caller_gone(self, number: int) -> list[Action]:
         """Abandon the sends of a caller that has disconnected."""
@@ -399,7 +411,7 @@
         why = f'after event {exchange.position}' if exchange.begun else ''
         return [
             sending.record(exchange, None, 'caller-gone', why),
-            *self.send_table.abandon_all_sends(exchange),
+            *self.send_manager.abandon_all_sends(exchange),
             *self.close_exchange(number),
         ]
 
@@ -417,8 +429,8 @@
             return self.crashing_requests.reannounce(rest, now)
         if kind == crash_watch.RECHECK_TIMER:
             return self.crash_watch.check_again(rest)
-        if kind == limited_sends.LIMITS_TIMER:
-            return self.limited_sends.run_due_work(now)
+        if kind == permit_outcomes.LIMITS_TIMER:
+            return self.permit_outcomes.run_due_work(now)
         exchange = self.exchanges.get(int(rest)) if rest else None
         if exchange is None:
             return []
@@ -440,19 +452,19 @@
         for sent in exchange.sends.values():
             exchange.may_have_run = True
             self.engines.note_failure(sent.entry.engine, now, dead=False)
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.record(exchange, None, 'deadline-passed', ''),
-            *self.send_table.abandon_all_sends(exchange),
+            *self.send_manager.abandon_all_sends(exchange),
         ]
         if exchange.may_have_run and not exchange.begun:
             return [
-                *done,
+                *resulting,
                 relay_actions.Refuse(
                     exchange.number, answers.GATEWAY_TIMEOUT, 'deadline-passed'
                 ),
             ]
         code = 'deadline-passed'
-        return [*done, self.answers.fail_request(exchange, code, now)]
+        return [*resulting, self.answers.fail_request(exchange, code, now)]
 
     def handle_pause(self, seconds: float, now: float) -> list[Action]:
         """Extend the time limits of sends by a pause of this process.
@@ -467,7 +479,7 @@
         return [actions.Record('own-pause', f'{seconds:.3f} s')]
 
     def apply_configuration(
-        self, event: relay_events.RoutesOffered, now: float
+        self, event: relay_events.ConfigurationOffered, now: float
     ) -> list[Action]:
         """Apply a configuration if it is newer than the one in force."""
         table = event.table
@@ -487,27 +499,31 @@
         self.succession.configure(table)
         self.lifecycle.begin_serving()
         why = f'version {table.version} from {event.source}'
-        done: list[Action] = [actions.Record('configuration-applied', why)]
+        resulting: list[Action] = [
+            actions.Record('configuration-applied', why)
+        ]
         if self.sharing.reads_for_all:
             hint = hints.ConfigurationApplied(table.version)
-            done.append(relay_actions.ForwardHints((hint,)))
-        return done
+            resulting.append(relay_actions.BroadcastHints((hint,)))
+        return resulting
 
     def announce_configuration(self, now: float) -> list[Action]:
         """Announce the configuration in force if other instances wait for it.
 
         Does nothing on the instance that reads the store for all.
         """
-        others_wait = self.sharing.configuration.notification_overdue
+        others_lack_notification = (
+            self.sharing.configuration_freshness.read_for_missing_notification
+        )
         if self.route_table is None or self.sharing.reads_for_all:
             return []
-        if not others_wait:
+        if not others_lack_notification:
             return []
         hint = hints.ConfigurationApplied(self.route_table.version)
-        return [relay_actions.ForwardHints((hint,))]
+        return [relay_actions.BroadcastHints((hint,))]
 
 
-def final_answer_records(
+def final_answer_timeline_events(
     exchange: exchanges.Exchange, action: Action
 ) -> list[actions.Record]:
     """Return the timeline event of a final answer that reports failure."""
--- a/src/greengagelb/coordination/relay/restarts.py
+++ b/src/greengagelb/coordination/relay/restarts.py
@@ -26,17 +26,17 @@
 
     def __init__(
         self,
-        parts: calls.RelayParts,
+        components: calls.RelayComponents,
         call_relay: calls.CallRelay,
         stream_relay: streams.StreamRelay,
         copies: run_copies.RunCopies,
-        running: dict[int, exchanges.Exchange],
+        open_exchanges: dict[int, exchanges.Exchange],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.calls = call_relay
         self.streams = stream_relay
         self.copies = copies
-        self.running = running
+        self.open_exchanges = open_exchanges
 
     def note_reported_start(
         self, engine: str, started_at_ms: int, now: float
@@ -46,18 +46,22 @@
         The other instances are told, as they could not learn of it while the
         store is unavailable.
         """
-        entry = self.parts.engines.apply_restart(engine, started_at_ms, now)
+        entry = self.components.engines.apply_restart(
+            engine, started_at_ms, now
+        )
         if entry is None:
             return []
         hint = hints.EngineRestarted(engine, started_at_ms)
-        self.parts.send_table.pending_hints.append(hint)
+        self.components.send_manager.pending_hints.append(hint)
         return self.end_former_lives([entry], now)
 
     def note_peer_reported_start(
         self, engine: str, started_at_ms: int, now: float
     ) -> list[Action]:
         """Apply the start time that another instance was told."""
-        entry = self.parts.engines.apply_restart(engine, started_at_ms, now)
+        entry = self.components.engines.apply_restart(
+            engine, started_at_ms, now
+        )
         return self.end_former_lives([entry], now) if entry is not None else []
 
     def end_former_lives(
@@ -68,32 +72,32 @@
         Runs are continued before copies are replaced: a run that has moved
         needs no copy of its former engine.
         """
-        done: list[Action] = []
+        resulting: list[Action] = []
         for entry in entries:
             reason = f'started at {entry.started_at_ms} ms'
-            done.append(
+            resulting.append(
                 actions.Record(
                     'engine-restarted', reason, upstream=entry.engine
                 )
             )
-            self.parts.send_table.loads.forget_lost_runs(
+            self.components.send_manager.loads.forget_lost_runs(
                 entry.engine, sending.OWN_INSTANCE
             )
         for entry in entries:
-            done += self.end_former_sends(entry, now)
+            resulting += self.end_former_sends(entry, now)
         for entry in entries:
             last_former_start = entry.started_at_ms - 1
-            done += self.copies.replace_lost_copies(
+            resulting += self.copies.replace_lost_copies(
                 entry.engine, now, last_former_start
             )
-        return done
+        return resulting
 
     def end_former_sends(
         self, entry: engines.EngineEntry, now: float
     ) -> list[Action]:
         """End the sends that went to the former life of an engine."""
-        done: list[Action] = []
-        for exchange in list(self.running.values()):
+        resulting: list[Action] = []
+        for exchange in list(self.open_exchanges.values()):
             sent_there = [
                 sent
                 for sent in exchange.sends.values()
@@ -106,8 +110,8 @@
                 exchange.tried.discard(entry.engine)
                 exchange.refused_by.discard(entry.engine)
             for sent in lost_sends:
-                done += self.continue_elsewhere(exchange, sent, now)
-        return done
+                resulting += self.continue_elsewhere(exchange, sent, now)
+        return resulting
 
     def is_lost(
         self, sent: exchanges.InFlightSend, entry: engines.EngineEntry
@@ -121,7 +125,7 @@
         """
         if sent.entry.started_at_ms == entry.started_at_ms:
             return False
-        state = self.parts.engines.states[entry.engine]
+        state = self.components.engines.states[entry.engine]
         return sent.began_at <= state.former_until
 
     def continue_elsewhere(
@@ -136,7 +140,7 @@
             return self.streams.replace_send(
                 exchange, sent, RESTART_DETAIL, now
             )
-        abandoned = self.parts.send_table.abandon_send(exchange, sent)
+        abandoned = self.components.send_manager.abandon_send(exchange, sent)
         return abandoned + self.calls.handle_lost_send(
             exchange, sent, RESTART_DETAIL, now
         )
--- a/src/greengagelb/coordination/relay/run_copies.py
+++ b/src/greengagelb/coordination/relay/run_copies.py
@@ -33,10 +33,10 @@
 
     def __init__(
         self,
-        parts: calls.RelayParts,
+        components: calls.RelayComponents,
         open_exchanges: dict[int, exchanges.Exchange],
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.open_exchanges = open_exchanges
 
     def replace_lost_copies(
@@ -50,15 +50,15 @@
         Copies made after a restart of the engine, later than
         ``started_at_ms``, are not lost.
         """
-        done: list[Action] = []
+        resulting: list[Action] = []
         for exchange in self.open_exchanges.values():
             for sent in exchange.sends.values():
                 held = sent.copy_to
                 if held is None or held.engine != engine:
                     continue
                 if not engines.is_earlier(started_at_ms, held.started_at_ms):
-                    done += self.replace_copy(exchange, sent, now)
-        return done
+                    resulting += self.replace_copy(exchange, sent, now)
+        return resulting
 
     def replace_copy(
         self,
@@ -71,7 +71,7 @@
         sent.copy_to = None
         sent.copy_name = None
         sent.copy_ordered = False
-        self.parts.send_table.update_copy_location(exchange, sent, now)
+        self.components.send_manager.update_copy_location(exchange, sent, now)
         return self.order_new_copy(exchange, sent, {lost}, now)
 
     def order_missing_copy(
@@ -97,13 +97,17 @@
         now: float,
     ) -> list[Action]:
         """Order a copy on an engine that is not excluded, if possible."""
-        model = exchange.ruling.service.engines
-        if model is None or not model.moves or not sent.events_seen:
+        model_engines = exchange.ruling.service.engines
+        if (
+            model_engines is None
+            or not model_engines.moves
+            or not sent.events_seen
+        ):
             return []
-        source = self.parts.engines.states.get(sent.entry.engine)
+        source = self.components.engines.states.get(sent.entry.engine)
         if source is None or sent.copy_orders >= MAX_COPY_ORDERS:
             return []
-        target = self.parts.selector.choose_for_copy(
+        target = self.components.selector.choose_for_copy(
             exchange.ruling.service,
             exchange.request.prompt,
             source,
@@ -114,7 +118,7 @@
             return []
         sent.copy_orders += 1
         sent.copy_to = target.entry
-        self.parts.send_table.update_copy_location(exchange, sent, now)
+        self.components.send_manager.update_copy_location(exchange, sent, now)
         return [self.build_copy_order(exchange, sent)]
 
     def build_copy_order(
@@ -141,17 +145,17 @@
             return []
         outcome = 'made' if event.handle else 'not made'
         why = f'copy at {event.target} {outcome}'
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.record(exchange, sent, 'run-copied', why)
         ]
         if not event.handle:
-            return done + self.replace_copy(exchange, sent, now)
+            return resulting + self.replace_copy(exchange, sent, now)
         sent.copy_name = requests.CopyName(sent.entry.address, event.handle)
         sent.copy_ordered = True
-        model = exchange.ruling.service.engines
-        renew_at = now + COPY_RENEWAL_SHARE * model.copy_seconds
+        model_engines = exchange.ruling.service.engines
+        renew_at = now + COPY_RENEWAL_SHARE * model_engines.copy_seconds
         name = timers.timer_name(COPY_TIMER, exchange.number)
-        return [*done, actions.SetTimer(name, renew_at)]
+        return [*resulting, actions.SetTimer(name, renew_at)]
 
     def renew_copies(self, exchange: exchanges.Exchange) -> list[Action]:
         """Order the same copies again before they expire."""
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -24,7 +24,7 @@
 OWN_INSTANCE = ''
 
 
-class SendTable:
+class SendManager:
     """Starts and abandons sends, and counts them for each engine.
 
     ``pending_hints`` are those that other instances have not been sent yet.
@@ -51,7 +51,7 @@
         """Return whether the route allows one more attempt."""
         return exchange.attempts < exchange.ruling.route.most_attempts
 
-    def acquire_attempt(
+    def try_spend_attempt(
         self, exchange: exchanges.Exchange, now: float
     ) -> bool:
         """Return whether a request may be sent, counting it as a retry.
@@ -277,10 +277,10 @@
 
     def abandon_all_sends(self, exchange: exchanges.Exchange) -> list[Action]:
         """Abandon all sends of an exchange."""
-        done: list[Action] = []
+        resulting: list[Action] = []
         for sent in list(exchange.sends.values()):
-            done += self.abandon_send(exchange, sent)
-        return done
+            resulting += self.abandon_send(exchange, sent)
+        return resulting
 
 
 def announced_attempt(exchange: exchanges.Exchange) -> int:
--- a/src/greengagelb/coordination/relay/shared_retry_budget.py
+++ b/src/greengagelb/coordination/relay/shared_retry_budget.py
@@ -36,9 +36,9 @@
 
     def __init__(self) -> None:
         self.requests: collections.deque[float] = collections.deque()
-        self.repeats: collections.deque[float] = collections.deque()
+        self.retries: collections.deque[float] = collections.deque()
         self.peer_requests: collections.deque[float] = collections.deque()
-        self.peer_repeats: collections.deque[float] = collections.deque()
+        self.peer_retries: collections.deque[float] = collections.deque()
 
     @property
     def all_requests(self) -> int:
@@ -46,17 +46,17 @@
         return len(self.requests) + len(self.peer_requests)
 
     @property
-    def all_repeats(self) -> int:
+    def all_retries(self) -> int:
         """Return the number of repeats known to this instance."""
-        return len(self.repeats) + len(self.peer_repeats)
+        return len(self.retries) + len(self.peer_retries)
 
     def drop_before(self, earliest: float) -> None:
         """Drop all times before a monotonic time."""
         for send_times in (
             self.requests,
-            self.repeats,
+            self.retries,
             self.peer_requests,
-            self.peer_repeats,
+            self.peer_retries,
         ):
             while send_times and send_times[0] < earliest:
                 send_times.popleft()
@@ -100,11 +100,11 @@
         self.window(service, now).requests.append(now)
 
     def count_peer_send(
-        self, service: str, now: float, *, repeat: bool
+        self, service: str, now: float, *, is_retry: bool
     ) -> None:
         """Count a send of another instance."""
         window = self.window(service, now)
-        send_times = window.peer_repeats if repeat else window.peer_requests
+        send_times = window.peer_retries if is_retry else window.peer_requests
         send_times.append(now)
 
     def own_allowance(self, window: ServiceWindow) -> float:
@@ -129,12 +129,12 @@
         other instances.
         """
         window = self.window(service, now)
-        allowed = len(window.repeats) + 1 <= self.own_allowance(window)
+        allowed = len(window.retries) + 1 <= self.own_allowance(window)
         if announced:
             share = ALLOCATED_SHARE if allowed else BORROWING_SHARE
-            allowed = window.all_repeats + 1 <= share * self.shared_allowance(
+            allowed = window.all_retries + 1 <= share * self.shared_allowance(
                 window
             )
         if allowed:
-            window.repeats.append(now)
+            window.retries.append(now)
         return allowed
--- a/src/greengagelb/coordination/relay/store_sharing.py
+++ b/src/greengagelb/coordination/relay/store_sharing.py
@@ -78,7 +78,7 @@
 
     wait_seconds: float = NOTIFICATION_WAIT_SECONDS
     failures: int = 0
-    notification_overdue: bool = False
+    read_for_missing_notification: bool = False
     fresh_at: float = float('-inf')
     read_asked_at: float = float('-inf')
     retry_not_before: float = float('-inf')
@@ -139,7 +139,9 @@
     def note_read_asked(self, now: float) -> None:
         """Note that a read begins."""
         self.read_asked_at = now
-        self.notification_overdue = not (self.is_stale or self.is_never_read)
+        self.read_for_missing_notification = not (
+            self.is_stale or self.is_never_read
+        )
 
     def latest_read_seconds(self, now: float) -> float:
         """Return the time since the latest read began, in seconds."""
@@ -190,8 +192,8 @@
             NOTIFICATION_WAIT_SECONDS
             - NOTIFICATION_WAIT_SPREAD_SECONDS * spread_fraction(incarnation)
         )
-        self.engines = Freshness(notification_wait_seconds)
-        self.configuration = Freshness(
+        self.engine_list_freshness = Freshness(notification_wait_seconds)
+        self.configuration_freshness = Freshness(
             notification_wait_seconds + CONFIGURATION_DELAY_SECONDS
         )
         self.members_read_at = float('-inf')
@@ -203,13 +205,15 @@
         An instance that had received no notification in time becomes the
         reader.
         """
-        if self.engines.notification_overdue:
+        if self.engine_list_freshness.read_for_missing_notification:
             self.reads_for_all = True
-        self.engines.note_current(self.engines.read_asked_at)
+        self.engine_list_freshness.note_current(
+            self.engine_list_freshness.read_asked_at
+        )
 
     def note_engines_read_failed(self) -> None:
         """Note that the list of engines could not be read."""
-        self.engines.note_read_failed()
+        self.engine_list_freshness.note_read_failed()
         self.reads_for_all = False
 
     def note_peer_read(self, incarnation: str) -> None:
@@ -218,7 +222,7 @@
         No other instance waits for a read of this one that is still in
         progress.
         """
-        self.engines.notification_overdue = False
+        self.engine_list_freshness.read_for_missing_notification = False
         if incarnation < self.incarnation:
             self.reads_for_all = False
 
@@ -227,7 +231,7 @@
         pause_seconds = PEER_ATTEMPT_PAUSE_SECONDS + self.rng.uniform(
             0.0, PEER_ATTEMPT_SPREAD_SECONDS
         )
-        self.engines.retry_not_before = now + pause_seconds
+        self.engine_list_freshness.retry_not_before = now + pause_seconds
 
     def note_peer_version(self, version: int) -> None:
         """Note which configuration another instance has in force."""
@@ -260,8 +264,11 @@
     def engines_due_at(self, now: float) -> float:
         """Return when the list of engines is due to be read."""
         if self.reads_for_all:
-            return self.engines.read_asked_at + READ_INTERVAL_SECONDS
-        return self.engines.due_at
+            return (
+                self.engine_list_freshness.read_asked_at
+                + READ_INTERVAL_SECONDS
+            )
+        return self.engine_list_freshness.due_at
 
     def configuration_due_at(self, now: float) -> float:
         """Return when the configuration is due to be read.
@@ -271,7 +278,10 @@
         """
         if self.reads_for_all:
             return now
-        configuration, engines = self.configuration, self.engines
+        configuration, engines = (
+            self.configuration_freshness,
+            self.engine_list_freshness,
+        )
         if configuration.is_stale or not engines.is_unanswered:
             return configuration.due_at
         if engines.failures:
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -12,7 +12,7 @@
 from greengagelb.coordination.relay import calls
 from greengagelb.coordination.relay import engine_selection
 from greengagelb.coordination.relay import events as relay_events
-from greengagelb.coordination.relay import held_sends
+from greengagelb.coordination.relay import permit_waits
 from greengagelb.coordination.relay import sending
 from greengagelb.coordination.relay import successor_search
 from greengagelb.coordination.sharing import rates
@@ -50,16 +50,18 @@
 
     def __init__(
         self,
-        parts: calls.RelayParts,
+        components: calls.RelayComponents,
         stream_succession: successor_search.SuccessorSearch,
     ) -> None:
-        self.parts = parts
+        self.components = components
         self.succession = stream_succession
-        self.pace = rates.DurationEstimate()
+        self.duration_estimate = rates.DurationEstimate()
 
-    def expected_seconds(self, exchange: exchanges.Exchange) -> float:
+    def conservative_seconds(self, exchange: exchanges.Exchange) -> float:
         """Return the seconds within which nearly all such streams end."""
-        return self.pace.conservative_seconds(token_cost(exchange))
+        return self.duration_estimate.conservative_seconds(
+            token_cost(exchange)
+        )
 
     def start_request(
         self, exchange: exchanges.Exchange, now: float
@@ -73,10 +75,10 @@
     ) -> list[Action]:
         """Have an engine read the prompt and continue at the position."""
         lost = exchange.attempts > 0
-        if self.parts.crash_watch.is_blocked(exchange, now):
+        if self.components.crash_watch.is_blocked(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.fail_request(exchange, code, now)]
-        state = self.parts.selector.choose_for_stream(
+            return [self.components.answers.fail_request(exchange, code, now)]
+        state = self.components.selector.choose_for_stream(
             exchange.ruling,
             exchange.request.prompt,
             exchange.refused_by,
@@ -88,12 +90,14 @@
         if state is None:
             refused_by = exchange.refused_by
             return [
-                self.parts.refuse_without_engine(
+                self.components.refuse_without_engine(
                     exchange, refused_by, code, now
                 )
             ]
-        step = held_sends.StreamStart(code)
-        pending = self.parts.wait_for_permit(exchange, state, step, code, now)
+        continuation = permit_waits.StreamStart(code)
+        pending = self.components.wait_for_permit(
+            exchange, state, continuation, code, now
+        )
         if pending is not None:
             return pending
         return self.start_on_engine(exchange, state, code, now)
@@ -106,16 +110,16 @@
         now: float,
     ) -> list[Action]:
         """Send a stream to the chosen engine, which reads its prompt."""
-        if self.parts.crash_watch.is_blocked(exchange, now):
+        if self.components.crash_watch.is_blocked(exchange, now):
             code = answers.CRASHES_ENGINES
-            return [self.parts.answers.fail_request(exchange, code, now)]
+            return [self.components.answers.fail_request(exchange, code, now)]
         if now + self.min_reading_seconds(exchange, state, now) > (
             exchange.ruling.deadline
         ):
             code = 'deadline-too-near'
-            return [self.parts.answers.fail_request(exchange, code, now)]
-        if not self.parts.send_table.acquire_attempt(exchange, now):
-            return [self.parts.answers.fail_request(exchange, code, now)]
+            return [self.components.answers.fail_request(exchange, code, now)]
+        if not self.components.send_manager.try_spend_attempt(exchange, now):
+            return [self.components.answers.fail_request(exchange, code, now)]
         return self.send_stream(exchange, state, now)
 
     def min_reading_seconds(
@@ -132,12 +136,14 @@
         prompt = exchange.request.prompt
         if prompt is None:
             return 0.0
-        holder = self.parts.send_table.loads.prompts.likely_holder(
+        holder = self.components.send_manager.loads.prompts.likely_holder(
             prompt.own_part, now
         )
         if holder == state.entry.engine:
             return 0.0
-        seconds = self.parts.send_table.loads.reading_seconds(prompt.tokens)
+        seconds = self.components.send_manager.loads.reading_seconds(
+            prompt.tokens
+        )
         return MIN_READING_SHARE * seconds
 
     def send_stream(
@@ -148,21 +154,21 @@
         copy_from: requests.CopyName | None = None,
     ) -> list[Action]:
         """Send a stream to an engine, and choose another for its copy."""
-        copy_to = self.parts.selector.choose_for_copy(
+        copy_to = self.components.selector.choose_for_copy(
             exchange.ruling.service,
             exchange.request.prompt,
             state,
             exchange.refused_by,
             now,
         )
-        done = self.parts.send_table.start_send(
+        resulting = self.components.send_manager.start_send(
             exchange, state, now, copy_from, copy_to.entry if copy_to else None
         )
         sent = list(exchange.sends.values())[-1]
         sent.first_due = self.first_event_due_at(
             state, copy_from is not None, now
         )
-        return [*done, self.silence_timer(exchange, sent)]
+        return [*resulting, self.silence_timer(exchange, sent)]
 
     def first_event_due_at(
         self, state: engine_states.EngineState, from_copy: bool, now: float
@@ -170,7 +176,7 @@
         """Return the monotonic time by which the first event is due."""
         if from_copy:
             return now + COPY_FIRST_EVENT_SECONDS
-        work = self.parts.send_table.loads.work_on(state.entry.engine)
+        work = self.components.send_manager.loads.work_on(state.entry.engine)
         return max(now, work.reading_until) + FIRST_EVENT_MARGIN_SECONDS
 
     def silence_timer(
@@ -205,11 +211,11 @@
         if now < self.next_event_due_at(exchange, sent):
             return [self.silence_timer(exchange, sent)]
         first = not sent.events_seen and not sent.from_copy
-        unasked = sent.asked_at <= sent.moved_at
-        uncovered = (
+        is_not_probed = sent.asked_at <= sent.moved_at
+        has_no_copy = (
             sent.events_seen and self.usable_copy_engine(sent, now) is None
         )
-        if first or (uncovered and unasked):
+        if first or (has_no_copy and is_not_probed):
             return self.probe_engine(exchange, sent, now)
         exchange.may_have_run = True
         silent = now - sent.moved_at
@@ -244,9 +250,9 @@
         An engine that has restarted counts as not answering: it does not have
         the run, or would have started it by now.
         """
-        moved_since = sent.events_seen and sent.moved_at > sent.asked_at
+        progressed_since = sent.events_seen and sent.moved_at > sent.asked_at
         restarted = sent.entry.is_earlier_than(event.started_at_ms)
-        if moved_since or (event.alive and not restarted):
+        if progressed_since or (event.alive and not restarted):
             return []
         exchange.may_have_run = True
         detail = 'no answer to a probe'
@@ -274,7 +280,7 @@
         sent.head = event.head
         sent.answered_at = now
         sent.moved_at = now
-        return self.parts.send_table.note_answer_head(
+        return self.components.send_manager.note_answer_head(
             exchange, sent, event.head, now
         )
 
@@ -286,36 +292,42 @@
         now: float,
     ) -> list[Action]:
         """Pass the next events on to the caller, and skip duplicates."""
-        fresh = [e for e in event.events if e.number > exchange.position]
-        done: list[Action] = []
+        new_events = [e for e in event.events if e.number > exchange.position]
+        resulting: list[Action] = []
         first = not sent.events_seen
         sent.events_seen += len(event.events)
         sent.moved_at = now
-        if not fresh:
+        if not new_events:
             return []
         expected = range(
-            exchange.position + 1, exchange.position + 1 + len(fresh)
+            exchange.position + 1, exchange.position + 1 + len(new_events)
         )
-        if [e.number for e in fresh] != list(expected):
+        if [e.number for e in new_events] != list(expected):
             return self.handle_lost_send(exchange, sent, 'gap in events', now)
         if first:
-            self.parts.engines.note_success(sent.entry.engine, now)
+            self.components.engines.note_success(sent.entry.engine, now)
             waited = now - sent.began_at
             if sent.alone_with:
-                self.parts.send_table.loads.update_reading_rate(
+                self.components.send_manager.loads.update_reading_rate(
                     sent.alone_with, waited
                 )
             why = f'first event after {waited:.3f} s'
-            done.append(sending.record(exchange, sent, 'stream-moving', why))
-            done.append(self.silence_timer(exchange, sent))
-            done.append(self.measure_wait(exchange, now))
+            resulting.append(
+                sending.record(exchange, sent, 'stream-moving', why)
+            )
+            resulting.append(self.silence_timer(exchange, sent))
+            resulting.append(self.measure_wait(exchange, now))
         if not exchange.begun and sent.head is not None:
             exchange.begun = True
-            done.append(relay_actions.BeginStream(exchange.number, sent.head))
-        exchange.position = fresh[-1].number
+            resulting.append(
+                relay_actions.BeginStream(exchange.number, sent.head)
+            )
+        exchange.position = new_events[-1].number
         exchange.moved_at = now
-        done.append(relay_actions.PassEvents(exchange.number, tuple(fresh)))
-        return done
+        resulting.append(
+            relay_actions.PassEvents(exchange.number, tuple(new_events))
+        )
+        return resulting
 
     def measure_wait(
         self, exchange: exchanges.Exchange, now: float
@@ -338,20 +350,20 @@
         exchange.may_have_run = True
         if not exchange.begun:
             return self.handle_lost_send(exchange, sent, 'no events', now)
-        self.parts.send_table.release_send(exchange, sent)
-        told = self.parts.crash_watch.note_survival(exchange, now)
-        self.parts.send_table.pending_hints.extend(told)
+        self.components.send_manager.release_send(exchange, sent)
+        told = self.components.crash_watch.note_survival(exchange, now)
+        self.components.send_manager.pending_hints.extend(told)
         if not exchange.request.resumes_after:
             took = now - exchange.request.received_at
-            self.pace.observe(took, token_cost(exchange))
+            self.duration_estimate.observe(took, token_cost(exchange))
         why = f'{exchange.position} events'
         return [
             sending.record(exchange, sent, 'stream-complete', why),
-            *self.parts.send_table.abandon_all_sends(exchange),
+            *self.components.send_manager.abandon_all_sends(exchange),
             relay_actions.EndStream(exchange.number),
         ]
 
-    def handle_refusal(
+    def handle_plain_answer(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.InFlightSend,
@@ -359,12 +371,12 @@
         now: float,
     ) -> list[Action]:
         """Handle an answer that is not a stream."""
-        told = self.parts.send_table.note_answer_head(
+        told = self.components.send_manager.note_answer_head(
             exchange, sent, event.head, now
         )
-        return told + self.continue_after_refusal(exchange, sent, event, now)
+        return told + self.pass_on_or_restart(exchange, sent, event, now)
 
-    def continue_after_refusal(
+    def pass_on_or_restart(
         self,
         exchange: exchanges.Exchange,
         sent: exchanges.InFlightSend,
@@ -377,20 +389,24 @@
         if not head.not_run:
             exchange.may_have_run = True
             if head.status < 500:
-                self.parts.send_table.release_send(exchange, sent)
+                self.components.send_manager.release_send(exchange, sent)
                 return [
                     relay_actions.PassAnswer(exchange.number, head, event.body)
                 ]
             exchange.failed = (head, event.body)
-        self.parts.send_table.release_send(exchange, sent)
+        self.components.send_manager.release_send(exchange, sent)
         told = sending.record(exchange, sent, 'send-refused', why)
-        done: list[Action] = [told]
+        resulting: list[Action] = [told]
         if head.status == calls.MISDIRECTED_REQUEST:
-            self.parts.send_table.note_engine_replaced(exchange, sent)
-            done += self.succession.search_after_replacement(sent.entry, now)
+            self.components.send_manager.note_engine_replaced(exchange, sent)
+            resulting += self.succession.search_after_replacement(
+                sent.entry, now
+            )
         if not sent.from_copy:
             exchange.refused_by.add(sent.entry.engine)
-        return done + self.start_from_prompt(exchange, now, 'engines-full')
+        return resulting + self.start_from_prompt(
+            exchange, now, 'engines-full'
+        )
 
     def handle_broken_send(
         self,
@@ -400,17 +416,19 @@
         now: float,
     ) -> list[Action]:
         """Handle a connection that ended before its stream did."""
-        done: list[Action] = []
+        resulting: list[Action] = []
         if event.handed_over:
             exchange.may_have_run = True
         else:
             exchange.attempts -= 1
             exchange.unconnected += 1
         if sent.head is not None:
-            done = self.parts.crash_watch.suspect_engine(
+            resulting = self.components.crash_watch.suspect_engine(
                 exchange, sent, sent.answered_at, now
             )
-        return done + self.handle_lost_send(exchange, sent, event.detail, now)
+        return resulting + self.handle_lost_send(
+            exchange, sent, event.detail, now
+        )
 
     def handle_lost_send(
         self,
@@ -427,11 +445,11 @@
         only silent may still be reading another prompt.
         """
         engine, start = sent.entry.engine, sent.entry.started_at_ms
-        self.parts.engines.note_failure(
+        self.components.engines.note_failure(
             engine, now, dead=dead, started_at_ms=start
         )
         kind = hints.EngineFailed if dead else hints.StreamSilent
-        self.parts.send_table.pending_hints.append(kind(engine, start))
+        self.components.send_manager.pending_hints.append(kind(engine, start))
         heard_at = sent.moved_at if sent.head else self.engine_heard_at(sent)
         return [
             *self.succession.search_after_loss(sent.entry, heard_at, now),
@@ -446,25 +464,25 @@
         now: float,
     ) -> list[Action]:
         """Abandon a send; continue elsewhere, from a copy if there is one."""
-        done: list[Action] = [
+        resulting: list[Action] = [
             sending.lost_send_record(exchange, sent, detail, now),
-            *self.parts.send_table.abandon_send(exchange, sent),
+            *self.components.send_manager.abandon_send(exchange, sent),
         ]
         if exchange.unconnected >= calls.MAX_FAILED_CONNECTIONS:
             code = 'engines-unreachable'
             return [
-                *done,
-                self.parts.answers.fail_request(exchange, code, now),
+                *resulting,
+                self.components.answers.fail_request(exchange, code, now),
             ]
         if exchange.may_have_run and not exchange.ruling.route.is_repeatable:
             code = 'outcome-unknown'
             return [
-                *done,
-                self.parts.answers.fail_request(exchange, code, now),
+                *resulting,
+                self.components.answers.fail_request(exchange, code, now),
             ]
-        if self.parts.crash_watch.hold_until_checked(exchange, sent, now):
-            return done
-        return done + self.start_replacement(exchange, sent, now)
+        if self.components.crash_watch.hold_until_checked(exchange, sent, now):
+            return resulting
+        return resulting + self.start_replacement(exchange, sent, now)
 
     def start_replacement(
         self,
@@ -474,14 +492,18 @@
     ) -> list[Action]:
         """Start a run in place of an abandoned one."""
         copy = self.usable_copy_engine(sent, now) if sent.events_seen else None
-        if copy is None or self.parts.crash_watch.is_blocked(exchange, now):
+        if copy is None or self.components.crash_watch.is_blocked(
+            exchange, now
+        ):
             return self.start_from_prompt(exchange, now, 'engines-failed')
         prompt = exchange.request.prompt
         tokens = prompt.tokens if prompt else 0
-        patience = self.parts.send_table.loads.reading_seconds(tokens)
-        step = held_sends.StreamFromCopy(sent, patience)
+        patience = self.components.send_manager.loads.reading_seconds(tokens)
+        continuation = permit_waits.StreamFromCopy(sent, patience)
         code = 'retry-budget-spent'
-        pending = self.parts.wait_for_permit(exchange, copy, step, code, now)
+        pending = self.components.wait_for_permit(
+            exchange, copy, continuation, code, now
+        )
         if pending is not None:
             return pending
         return self.resume_from_copy(exchange, sent, now)
@@ -494,16 +516,18 @@
     ) -> list[Action]:
         """Resume a run on the engine that holds its copy."""
         copy = self.usable_copy_engine(sent, now)
-        if copy is None or self.parts.crash_watch.is_blocked(exchange, now):
+        if copy is None or self.components.crash_watch.is_blocked(
+            exchange, now
+        ):
             return self.start_from_prompt(exchange, now, 'engines-failed')
-        if not self.parts.send_table.acquire_attempt(exchange, now):
+        if not self.components.send_manager.try_spend_attempt(exchange, now):
             code = 'retry-budget-spent'
-            return [self.parts.answers.fail_request(exchange, code, now)]
+            return [self.components.answers.fail_request(exchange, code, now)]
         return self.send_stream(exchange, copy, now, sent.copy_name)
 
     def engine_heard_at(self, sent: exchanges.InFlightSend) -> float:
         """Return the monotonic time when an engine was last heard from."""
-        state = self.parts.engines.states.get(sent.entry.engine)
+        state = self.components.engines.states.get(sent.entry.engine)
         return state.heard_at if state else float('-inf')
 
     def usable_copy_engine(
@@ -516,9 +540,9 @@
         """
         if sent.copy_to is None or sent.copy_name is None:
             return None
-        if self.parts.engines.is_past_life(sent.copy_to):
+        if self.components.engines.is_former_life(sent.copy_to):
             return None
-        state = self.parts.engines.states.get(sent.copy_to.engine)
+        state = self.components.engines.states.get(sent.copy_to.engine)
         if state is None or not state.is_reachable(now):
             return None
         return state
--- a/src/greengagelb/coordination/relay/successor_search.py
+++ b/src/greengagelb/coordination/relay/successor_search.py
@@ -62,10 +62,10 @@
 
     def __init__(
         self,
-        known_engines: directory.EngineDirectory,
+        engine_directory: directory.EngineDirectory,
         address_reuse_seconds: float,
     ) -> None:
-        self.engines = known_engines
+        self.engines = engine_directory
         self.address_reuse_seconds = address_reuse_seconds
         self.health_paths: dict[str, str] = {}
         self.model_services: list[str] = []
@@ -117,7 +117,7 @@
         now: float,
     ) -> list[Action]:
         """Schedule the first question at an address, once per entry."""
-        if self.engines.is_past_life(entry):
+        if self.engines.is_former_life(entry):
             return []
         if entry in [lost.entry for lost in self.lost_engines.values()]:
             return []
@@ -148,7 +148,7 @@
             LATE_ASK_INTERVAL_SECONDS if is_late else ASK_INTERVAL_SECONDS
         )
         return [
-            relay_actions.AskSuccessor(lost.entry, path, is_late),
+            relay_actions.ProbeAddress(lost.entry, path, is_late),
             self.ask_timer(number, now + interval),
         ]
 
@@ -158,11 +158,11 @@
             lost.entry.address, now
         )
         other_engines = engines_there - {lost.entry.engine}
-        is_past = self.engines.is_past_life(lost.entry)
-        return bool(other_engines) or is_past or now > lost.give_up_at
+        is_former = self.engines.is_former_life(lost.entry)
+        return bool(other_engines) or is_former or now > lost.give_up_at
 
     def accept_answer(
-        self, event: relay_events.SuccessorSeen, now: float
+        self, event: relay_events.AddressProbed, now: float
     ) -> bool:
         """Apply an answer; return whether it is from a new successor."""
         for number, lost in list(self.lost_engines.items()):
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -235,7 +235,7 @@
         request = self.dialect.write_copy_request(copy)
         self.query_engine(copy.source, request, COPY_SECONDS, done)
 
-    def ask_successor(self, question: relay_actions.AskSuccessor) -> None:
+    def ask_successor(self, question: relay_actions.ProbeAddress) -> None:
         """Ask on a new connection which engine answers at an address.
 
         If it is the same engine, its start time is requested as well, as it
@@ -252,7 +252,7 @@
             elif found and question.may_be_another_service:
                 self.ask_for_model_memory(entry, found)
             else:
-                self.dispatch(relay_events.SuccessorSeen(entry.engine, found))
+                self.dispatch(relay_events.AddressProbed(entry.engine, found))
 
         request = self.dialect.write_identity_request(entry, question.path)
         self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
@@ -274,7 +274,7 @@
                 )
             )
             self.dispatch(
-                relay_events.SuccessorSeen(
+                relay_events.AddressProbed(
                     entry.engine, found, has_model_memory=has_memory
                 )
             )
@@ -288,7 +288,7 @@
         def done(answer: timed_requests.Answer) -> None:
             start = self.read_probed_start_ms(answer)
             self.dispatch(
-                relay_events.SuccessorSeen(entry.engine, entry.engine, start)
+                relay_events.AddressProbed(entry.engine, entry.engine, start)
             )
 
         request = self.dialect.write_probe(entry)
--- a/src/greengagelb/transport/relay/instance.py
+++ b/src/greengagelb/transport/relay/instance.py
@@ -208,7 +208,7 @@
         table = self.relay.route_table
         now = self.reactor.seconds()
         instance_settings = self.settings.instance
-        store = self.relay.sharing.engines
+        store = self.relay.sharing.engine_list_freshness
         return metrics.Sample(
             identity=metrics.Identity(
                 instance_settings.name, instance_settings.data_centre
@@ -348,9 +348,9 @@
                 self.engines.check_engine(action)
             case relay_actions.CopyRun():
                 self.engines.copy_run(action)
-            case relay_actions.AskSuccessor():
+            case relay_actions.ProbeAddress():
                 self.engines.ask_successor(action)
-            case relay_actions.ForwardHints(sent_hints):
+            case relay_actions.BroadcastHints(sent_hints):
                 self.peers.broadcast_hints(sent_hints)
             case relay_actions.TellPeers(hint):
                 self.peers.send_hint_to_all(hint)
--- a/src/greengagelb/transport/relay/store_watch.py
+++ b/src/greengagelb/transport/relay/store_watch.py
@@ -179,7 +179,7 @@
         sharing = self.sharing
         self.read_repeatedly(
             self.read_configuration_when_due,
-            sharing.configuration.note_read_failed,
+            sharing.configuration_freshness.note_read_failed,
         )
         self.read_repeatedly(
             self.read_engines_when_due, sharing.note_engines_read_failed
@@ -359,9 +359,9 @@
         now = self.reactor.seconds()
         reads_for_all = self.sharing.reads_for_all
         call = store_calls.CallKind.CONFIGURATION
-        cause = self.sharing.read_cause(self.sharing.configuration)
+        cause = self.sharing.read_cause(self.sharing.configuration_freshness)
         self.calls.count_call(call, cause)
-        self.sharing.configuration.note_read_asked(now)
+        self.sharing.configuration_freshness.note_read_asked(now)
         wait = CONFIGURATION_WAIT_SECONDS if reads_for_all else 0.0
         position = self.position_to_read_from()
         try:
@@ -372,11 +372,13 @@
             read = yield self.store_client.read_configuration(None, wait)
             self.check_era(read.position)
         self.configuration_position = read.position
-        self.sharing.configuration.note_current(now)
+        self.sharing.configuration_freshness.note_current(now)
         self.record_configuration_mistake(read)
         if read.table is not None:
             self.restore_summary.add_rows('configurations read')
-            self.dispatch(relay_events.RoutesOffered(read.table, 'store'))
+            self.dispatch(
+                relay_events.ConfigurationOffered(read.table, 'store')
+            )
         self.dispatch(relay_events.ConfigurationChecked())
 
     def check_era(
@@ -442,7 +444,7 @@
         that old keys and routes stay in force. Once a newer version is known
         to exist, the current configuration is therefore read as a whole.
         """
-        if self.sharing.configuration.is_stale:
+        if self.sharing.configuration_freshness.is_stale:
             return None
         return self.configuration_position
 
@@ -463,9 +465,9 @@
         now = self.reactor.seconds()
         call = store_calls.CallKind.ENGINES
         self.calls.count_call(
-            call, self.sharing.read_cause(self.sharing.engines)
+            call, self.sharing.read_cause(self.sharing.engine_list_freshness)
         )
-        self.sharing.engines.note_read_asked(now)
+        self.sharing.engine_list_freshness.note_read_asked(now)
         self.dispatch(relay_events.EngineListRequested())
         whole = now > self.engines_read_at + MAX_CHANGES_AGE_SECONDS
         position = None if whole else self.engines_position
@@ -479,7 +481,7 @@
             self.calls.count_call(call, store_calls.CallCause.HISTORY_GONE)
             read = yield self.store_client.read_engines(None)
             self.check_era(read.position)
-        was_failing = bool(self.sharing.engines.failures)
+        was_failing = bool(self.sharing.engine_list_freshness.failures)
         self.engines_position = read.position
         self.engines_read_at = now
         self.record_engine_mistakes(read, whole=whole)
--- a/tests/common/crashing_fleet.py
+++ b/tests/common/crashing_fleet.py
@@ -156,7 +156,7 @@
     def set_up(self, instance):
         """Give an instance what it reads in the store when it starts."""
         table = relay_world.route_table()
-        instance.handle(relay_events.RoutesOffered(table, 'store'))
+        instance.handle(relay_events.ConfigurationOffered(table, 'store'))
         entries = [e.entry for e in self.engines.values() if e.alive]
         instance.handle(relay_events.EnginesListed(tuple(entries)))
         members = tuple(
@@ -285,7 +285,7 @@
                     fate = relay_events.EngineFate.ALIVE
                 checked = relay_events.EngineChecked(entry, fate)
                 self.after(2 * NETWORK_SECONDS, instance.handle, checked)
-            case relay_actions.ForwardHints(told):
+            case relay_actions.BroadcastHints(told):
                 for hint in told:
                     self.tell(
                         instance,
--- a/tests/common/instance_world.py
+++ b/tests/common/instance_world.py
@@ -134,7 +134,7 @@
     def configure(self):
         """Give it a configuration and engines."""
         table = relay_world.route_table()
-        self.handle(relay_events.RoutesOffered(table, 'test'))
+        self.handle(relay_events.ConfigurationOffered(table, 'test'))
         self.handle(relay_events.EnginesListed(relay_world.fleet()))
 
     def note_end(self, result):
--- a/tests/common/relay_world.py
+++ b/tests/common/relay_world.py
@@ -141,7 +141,7 @@
         return done
 
     def offer(self, table):
-        return self.handle(relay_events.RoutesOffered(table, 'test'))
+        return self.handle(relay_events.ConfigurationOffered(table, 'test'))
 
     def list_engines(self, entries):
         return self.handle(relay_events.EnginesListed(tuple(entries)))
@@ -158,7 +158,7 @@
         """
         for _ in range(2):
             self.now += 1.5
-            self.relay.sharing.engines.note_read_asked(self.now)
+            self.relay.sharing.engine_list_freshness.note_read_asked(self.now)
             self.change_engines()
         assert self.relay.sharing.reads_for_all
 
--- a/tests/common/store_fleet.py
+++ b/tests/common/store_fleet.py
@@ -208,7 +208,7 @@
             return
         for action in self.relay.handle(event, self.fleet.clock.seconds()):
             match action:
-                case relay_actions.ForwardHints(told):
+                case relay_actions.BroadcastHints(told):
                     self.fleet.told += len(told)
                     for hint in told:
                         event = relay_events.PeerTold(
--- a/tests/relay/test_configuration_machine.py
+++ b/tests/relay/test_configuration_machine.py
@@ -54,7 +54,7 @@
         self.world.offer(table)
         if version > self.highest:
             self.highest = version
-        self.relay.sharing.configuration.note_current(asked_at)
+        self.relay.sharing.configuration_freshness.note_current(asked_at)
 
     @rule(version=VERSIONS, lost=st.booleans())
     def peer_applies_configuration(self, version, lost):
@@ -104,7 +104,7 @@
             now > self.announced_at + store_sharing.NOTIFICATION_WAIT_SECONDS
         )
         sharing = self.relay.sharing
-        read_at = sharing.configuration.fresh_at
+        read_at = sharing.configuration_freshness.fresh_at
         if late and now > read_at + store_sharing.NOTIFICATION_WAIT_SECONDS:
             assert sharing.is_configuration_read_due(now)
 
--- a/tests/relay/test_engine_lives.py
+++ b/tests/relay/test_engine_lives.py
@@ -407,7 +407,7 @@
     before = world.relay.engines.digest()
     done = world.change_engines(next_life(entry))
     [told] = [
-        a.hints for a in done if isinstance(a, relay_actions.ForwardHints)
+        a.hints for a in done if isinstance(a, relay_actions.BroadcastHints)
     ]
     assert hints.EngineListChanged((next_life(entry),), ()) in told
     assert world.relay.engines.digest() != before
@@ -463,10 +463,10 @@
     world.lose(send)
     world.handle(relay_events.StoreLost('away'))
     world.advance(1.3)
-    asked = [a.entry for a in world.of_kind(relay_actions.AskSuccessor)]
+    asked = [a.entry for a in world.of_kind(relay_actions.ProbeAddress)]
     assert send.engine in asked
     engine = send.engine.engine
-    world.handle(relay_events.SuccessorSeen(engine, engine, SECOND_START))
+    world.handle(relay_events.AddressProbed(engine, engine, SECOND_START))
     assert state_of(world, send.engine).is_trusted(world.now)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
     assert hints.EngineRestarted(engine, SECOND_START) in told
@@ -477,7 +477,7 @@
     send = streaming(world)
     world.lose(send)
     engine = send.engine.engine
-    world.handle(relay_events.SuccessorSeen(engine, engine, FIRST_START))
+    world.handle(relay_events.AddressProbed(engine, engine, FIRST_START))
     assert not state_of(world, send.engine).is_trusted(world.now)
     told = [a.hint for a in world.of_kind(relay_actions.TellPeers)]
     assert hints.EngineRestarted(engine, FIRST_START) not in told
@@ -490,7 +490,7 @@
     world.lose(send)
     world.change_engines(next_life(send.engine))
     world.advance(3.0)
-    assert not world.of_kind(relay_actions.AskSuccessor)
+    assert not world.of_kind(relay_actions.ProbeAddress)
 
 
 def test_restart_hint_of_a_peer_ends_the_previous_life():
--- a/tests/relay/test_engine_lives_machine.py
+++ b/tests/relay/test_engine_lives_machine.py
@@ -134,7 +134,7 @@
     @stateful.rule(name=NAMES, start=REPORTED_LIVES)
     def engine_is_found_at_its_address(self, name, start):
         self.note_reported_start(name, start)
-        self.world.handle(relay_events.SuccessorSeen(name, name, start))
+        self.world.handle(relay_events.AddressProbed(name, name, start))
         self.process_actions()
 
     @stateful.rule(name=NAMES, start=LIVES)
@@ -164,11 +164,11 @@
         kind=st.sampled_from([hints.EngineFailed, hints.StreamSilent]),
     )
     def peer_reports_a_failure(self, name, start, kind):
-        is_past = 0 < start < self.latest[name]
-        before = self.state(name).doubted_until if is_past else None
+        is_former = 0 < start < self.latest[name]
+        before = self.state(name).doubted_until if is_former else None
         hint = kind(name, start)
         self.world.handle(relay_events.PeerTold('other', hint))
-        if is_past:
+        if is_former:
             assert self.state(name).doubted_until == before
         self.process_actions()
 
@@ -211,13 +211,13 @@
         number=st.integers(1, 4),
         name=NAMES,
         copy_to=NAMES,
-        is_past=st.booleans(),
+        is_former=st.booleans(),
     )
-    def peer_starts_or_ends_a_run(self, number, name, copy_to, is_past):
+    def peer_starts_or_ends_a_run(self, number, name, copy_to, is_former):
         hint = hints.RunPlaced(
             number, name, 400, 400, copy_to, f'part{number}'
         )
-        if is_past:
+        if is_former:
             hint = hints.RunEnded(number)
         self.world.handle(relay_events.PeerTold('other', hint))
 
--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -167,7 +167,7 @@
     reader.read_for_all()
     follower = relay_world.RelayWorld()
     make_unusable(reader, AFFECTED_ENGINE, 'unheard-of')
-    actions = reader.of_kind(relay_actions.ForwardHints)
+    actions = reader.of_kind(relay_actions.BroadcastHints)
     told = [hint for action in actions for hint in action.hints]
     [news] = [
         h
@@ -196,7 +196,7 @@
     assert not [
         hint
         for a in later_actions
-        if isinstance(a, relay_actions.ForwardHints)
+        if isinstance(a, relay_actions.BroadcastHints)
         for hint in a.hints
         if isinstance(hint, hints.EngineListChanged)
     ]
@@ -397,7 +397,7 @@
     reader.handle(relay_events.PeerHeard('6-other', 'south'))
     listed = (hints.Member('other', '6-other', '127.0.0.2', 'south'),)
     done = reader.handle(relay_events.MembersListed(listed))
-    [told] = [a for a in done if isinstance(a, relay_actions.ForwardHints)]
+    [told] = [a for a in done if isinstance(a, relay_actions.BroadcastHints)]
     assert told.hints == (hints.InstancesNotListed(('5-own',)),)
     unlisted_instance.relay.sharing.note_members_read(unlisted_instance.now)
     assert (
--- a/tests/relay/test_retry_budget.py
+++ b/tests/relay/test_retry_budget.py
@@ -35,20 +35,20 @@
     for one in budgets:
         one.set_fleet_size(len(instances))
     requests = [0] * 25
-    repeats = [0] * 25
+    retries = [0] * 25
     for second in range(25):
         for one, plan in zip(budgets, instances, strict=True):
             asked, wanted = plan[second]
             for _ in range(asked):
                 one.count_request('s', float(second))
             requests[second] += asked
-            repeats[second] += sum(
+            retries[second] += sum(
                 one.try_spend('s', float(second)) for _ in range(wanted)
             )
     for start in range(25 - 10):
         window = slice(start, start + 10)
         most = bounds.ratio * sum(requests[window]) + bounds.slack
-        assert sum(repeats[window]) <= most
+        assert sum(retries[window]) <= most
 
 
 def test_instance_that_knows_no_others_takes_little():
@@ -86,16 +86,16 @@
     one.count_request('s', now)
     for other in budgets:
         if other is not one:
-            other.count_peer_send('s', now, repeat=False)
+            other.count_peer_send('s', now, is_retry=False)
 
 
-def repeat(budgets, one, now=1.0):
+def spend_retry(budgets, one, now=1.0):
     """Have one instance ask for a repeat, and announce it to the others."""
     if not one.try_spend('s', now, announced=True):
         return False
     for other in budgets:
         if other is not one:
-            other.count_peer_send('s', now, repeat=True)
+            other.count_peer_send('s', now, is_retry=True)
     return True
 
 
@@ -107,13 +107,15 @@
     together used less than half of the bound.
     """
     budgets = fleet_of_budgets()
-    assert all(repeat(budgets, budgets[0]) for _ in range(15))
+    assert all(spend_retry(budgets, budgets[0]) for _ in range(15))
 
 
 def test_all_together_keep_to_the_bound_whoever_uses_it():
     """Each instance in turn takes as many repeats as it can get."""
     budgets = fleet_of_budgets()
-    taken = sum(repeat(budgets, one) for one in budgets for _ in range(1_000))
+    taken = sum(
+        spend_retry(budgets, one) for one in budgets for _ in range(1_000)
+    )
     bounds = relay_world.RETRIES
     assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
 
@@ -130,7 +132,7 @@
         for one in budgets:
             one.set_fleet_size(FLEET_SIZE, FLEET_SIZE // 3)
         taken += sum(
-            repeat(budgets, one) for one in budgets for _ in range(1_000)
+            spend_retry(budgets, one) for one in budgets for _ in range(1_000)
         )
     bounds = relay_world.RETRIES
     assert taken <= bounds.ratio * FLEET_SIZE * REQUESTS_EACH + bounds.slack
@@ -151,7 +153,7 @@
         hint = dataclasses.replace(placed, copy_to=copy_to)
         world.handle(relay_events.PeerTold('one', hint))
     window = world.relay.budget.window(relay_world.STREAMS, world.now)
-    assert len(window.peer_repeats) == 1
+    assert len(window.peer_retries) == 1
     assert not window.peer_requests
 
 
@@ -164,14 +166,14 @@
     ]
 
 
-def test_others_are_told_which_sends_are_repeats():
+def test_others_are_told_which_sends_are_retries():
     world = relay_world.RelayWorld()
     exchange = world.ask()
     world.lose(world.last_send(exchange))
     assert announced_attempts(world) == [1, 2]
 
 
-def test_unconnected_send_is_neither_request_nor_repeat():
+def test_unconnected_send_is_neither_request_nor_retry():
     """A data centre is cut off, and no connection to it can be opened.
 
     Announced as repeats, such sends would use up the budget of all instances;
--- a/tests/relay/test_store_sharing.py
+++ b/tests/relay/test_store_sharing.py
@@ -25,7 +25,7 @@
 
 
 def announced_hints(world):
-    actions = world.of_kind(relay_actions.ForwardHints)
+    actions = world.of_kind(relay_actions.BroadcastHints)
     return [hint for action in actions for hint in action.hints]
 
 
@@ -70,7 +70,7 @@
     for _ in range(5):
         assert sharing.is_engines_read_due(world.now)
         assert sharing.is_configuration_read_due(world.now)
-        sharing.engines.note_read_asked(world.now)
+        sharing.engine_list_freshness.note_read_asked(world.now)
         world.change_engines()
         world.advance(1.0)
 
@@ -94,7 +94,7 @@
     that others wait for, its answer would make that instance a reader again.
     """
     world = reading_world()
-    world.relay.sharing.engines.note_read_asked(world.now)
+    world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
     world.advance(0.1)
     notify_read(world)
     world.change_engines()
@@ -105,7 +105,7 @@
     """The store refuses the reader and serves all others."""
     world = reading_world()
     sharing = world.relay.sharing
-    sharing.engines.note_read_asked(world.now)
+    sharing.engine_list_freshness.note_read_asked(world.now)
     sharing.note_engines_read_failed()
     world.advance(0.5)
     notify_read(world, sender='~after-all-others')
@@ -120,7 +120,7 @@
     for no other instance.
     """
     world = reading_world()
-    world.relay.sharing.engines.note_read_asked(world.now)
+    world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
     world.advance(1.5)
     world.change_engines()
     assert not world.relay.sharing.reads_for_all
@@ -135,7 +135,7 @@
     world = relay_world.RelayWorld()
     for number in range(40):
         world.handle(relay_events.PeerHeard(f'{number}-other', 'north'))
-    world.relay.sharing.engines.note_read_asked(world.now)
+    world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
     world.list_engines(relay_world.fleet())
     assert announced_hints(world) == []
 
@@ -163,7 +163,7 @@
     leaving = relay_world.engine(
         'model-north-0', relay_world.STREAMS, 'north', 2, leaving=True
     )
-    reader.relay.sharing.engines.note_read_asked(reader.now)
+    reader.relay.sharing.engine_list_freshness.note_read_asked(reader.now)
     reader.change_engines(leaving, removed=['model-south-0'])
     follower = world_with_reader()
     for hint in announced_hints(reader):
@@ -184,7 +184,7 @@
     world = world_with_reader()
     notify_read(world)
     world.advance(1.45)
-    engines = world.relay.sharing.engines
+    engines = world.relay.sharing.engine_list_freshness
     engines.note_read_asked(world.now)
     engines.note_read_failed()
     world.advance(0.75)
@@ -203,8 +203,8 @@
     notify_read(world)
     world.advance(1.45)
     for _ in range(4):
-        world.relay.sharing.engines.note_read_asked(world.now)
-        world.relay.sharing.engines.note_read_failed()
+        world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
+        world.relay.sharing.engine_list_freshness.note_read_failed()
     world.advance(0.75)
     notify_read(world, digest=12345)
     assert world.relay.sharing.is_engines_read_due(world.now)
@@ -219,7 +219,7 @@
     world = world_with_reader()
     notify_read(world, digest=12345)
     before = len(announced_hints(world))
-    world.relay.sharing.engines.note_read_asked(world.now)
+    world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
     world.change_engines(*relay_world.fleet())
     assert announced_hints(world)[before:] == []
 
@@ -248,7 +248,7 @@
     """
     world = reading_world()
     before = len(announced_hints(world))
-    world.relay.sharing.engines.note_read_asked(world.now)
+    world.relay.sharing.engine_list_freshness.note_read_asked(world.now)
     world.change_engines(*relay_world.fleet(heartbeat=5))
     [hint] = announced_hints(world)[before:]
     assert isinstance(hint, hints.StoreRead)
@@ -288,7 +288,7 @@
         'model-north-0', relay_world.STREAMS, 'north', 2, leaving=True
     )
     before = len(read_notifications(reader))
-    reader.relay.sharing.engines.note_read_asked(reader.now)
+    reader.relay.sharing.engine_list_freshness.note_read_asked(reader.now)
     reader.advance(1.5)
     reader.handle(relay_events.EnginesChanged((leaving,), ()))
     assert len(read_notifications(reader)) == before
@@ -306,13 +306,13 @@
     keys and routes as long as its calls for the configuration fail.
     """
     reader = reading_world()
-    reader.relay.sharing.configuration.note_read_asked(reader.now)
-    reader.relay.sharing.configuration.note_read_failed()
-    reader.relay.sharing.engines.note_read_asked(reader.now)
+    reader.relay.sharing.configuration_freshness.note_read_asked(reader.now)
+    reader.relay.sharing.configuration_freshness.note_read_failed()
+    reader.relay.sharing.engine_list_freshness.note_read_asked(reader.now)
     reader.handle(relay_events.EnginesChanged((), ()))
     assert read_notifications(reader)[-1].version is None
-    reader.relay.sharing.configuration.note_current(reader.now)
-    reader.relay.sharing.engines.note_read_asked(reader.now)
+    reader.relay.sharing.configuration_freshness.note_current(reader.now)
+    reader.relay.sharing.engine_list_freshness.note_read_asked(reader.now)
     reader.handle(relay_events.EnginesChanged((), ()))
     assert (
         read_notifications(reader)[-1].version
--- a/tests/relay/test_successors.py
+++ b/tests/relay/test_successors.py
@@ -18,7 +18,7 @@
 
 
 def asked_successors(world):
-    return [a.entry for a in world.of_kind(relay_actions.AskSuccessor)]
+    return [a.entry for a in world.of_kind(relay_actions.ProbeAddress)]
 
 
 def test_restarted_engine_is_used_before_the_list_tells_of_it():
@@ -32,7 +32,7 @@
     world.handle(relay_events.StoreLost('away'))
     world.advance(1.3)
     assert dead in asked_successors(world)
-    world.handle(relay_events.SuccessorSeen(dead.engine, 'model-new'))
+    world.handle(relay_events.AddressProbed(dead.engine, 'model-new'))
     assert world.relay.engines.states['model-new'].entry.service == (
         dead.service
     )
@@ -51,7 +51,7 @@
     world = relay_world.RelayWorld()
     dead = lose_a_stream(world)
     world.advance(relay_world.ADDRESS_REUSE + 0.1)
-    world.handle(relay_events.SuccessorSeen(dead.engine, 'stranger'))
+    world.handle(relay_events.AddressProbed(dead.engine, 'stranger'))
     assert 'stranger' not in world.relay.engines.states
 
 
@@ -90,7 +90,7 @@
 def is_successor_used(world, dead, **fields):
     """Have an engine answer for a lost one; return whether it is used."""
     world.handle(
-        relay_events.SuccessorSeen(dead.engine, 'model-new', **fields)
+        relay_events.AddressProbed(dead.engine, 'model-new', **fields)
     )
     return 'model-new' in world.relay.engines.states
 
@@ -110,7 +110,7 @@
     send = world.last_send(world.ask())
     world.refuse(send, 421)
     world.advance(0.01)
-    question = world.of_kind(relay_actions.AskSuccessor)[-1]
+    question = world.of_kind(relay_actions.ProbeAddress)[-1]
     assert question.entry == send.engine
     assert question.may_be_another_service
     assert is_successor_used(world, send.engine, has_model_memory=True)
