--- a/src/greengagelb/coordination/relay/actions.py
+++ b/src/greengagelb/coordination/relay/actions.py
@@ -92,10 +92,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Send the caller a final answer from this instance, at once.
+    """Send the caller a final answer made by this instance, at once.
 
     ``status`` 408, 421, 429 and 503 promise that the request has not run and
-    never will. ``retry_after`` is in seconds.
+    never will; after 502 and 504 it may have run. ``retry_after`` is in
+    seconds.
     """
 
     exchange: int
@@ -144,8 +145,8 @@
 class ProbeAddress:
     """Ask which engine answers at the address of a lost one.
 
-    If it ``may_be_another_service``, it is also asked whether it has the
-    memory of a model engine.
+    Results in one ``AddressProbed``. If the engine ``may_be_another_service``,
+    it is also asked whether it has the memory of a model engine.
     """
 
     entry: engines.EngineEntry
@@ -184,7 +185,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BroadcastHints:
-    """Send hints to all other instances, to remote ones by forwarding.
+    """Send hints to all other instances, to remote ones through forwarders.
 
     Some instances of each remote data centre forward them there. Used for
     hints that take many datagrams at once and must not be lost: sent directly
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -32,8 +32,8 @@
 class EngineCheck:
     """A check in progress whether an engine has ended.
 
-    ``held_runs`` are the runs, as number of the exchange and send, whose
-    requests wait for the result.
+    ``requests_awaiting_check`` has the numbers of the exchange and the send of
+    each run whose request waits for the result.
     """
 
     entry: engines.EngineEntry
--- a/src/greengagelb/coordination/relay/crashing_requests.py
+++ b/src/greengagelb/coordination/relay/crashing_requests.py
@@ -185,7 +185,7 @@
     latest = report.crashes[-1]
     reason = (
         f'fingerprint {report.fingerprint}, {len(report.crashes)} crashes, '
-        f'the last after {latest.seconds:.3f} s'
+        f'the last {latest.seconds:.3f} s after the run began'
     )
     return actions.Record(
         'engine-crashed', reason, upstream=event.entry.engine
--- a/src/greengagelb/coordination/relay/directory.py
+++ b/src/greengagelb/coordination/relay/directory.py
@@ -4,8 +4,9 @@
 it while the store is unavailable. Two facts hold whatever the list says: an
 engine once known as leaving stays so, and an engine that failed here is
 avoided for a while. Both apply to one life of an engine, the time from one of
-its starts to the next. When an engine restarts under the same identity,
-nothing that was known of its previous life holds for the new one.
+its starts to the next (called incarnation for instances). When an engine
+restarts under the same identity, nothing that was known of its former lives
+holds for the new one.
 """
 
 import collections
@@ -39,10 +40,11 @@
 # Silences of streams within this time are taken for one event. Streams notice
 # at different times, depending on when their last event arrived.
 SILENCE_CORRELATION_SECONDS = 1.0
-# An entry has lapsed after three renewals, which take this multiple of the
-# shortest outage in which an entry can lapse.
+# An entry lapses after three intervals without a renewal. The shortest outage
+# in which an entry can lapse, ``least_lapse_seconds``, is two intervals; this
+# is the time of three as a multiple of it.
 LAPSE_FACTOR = 1.5
-# The time between two renewals as a share of that shortest outage.
+# One renewal interval as a share of ``least_lapse_seconds``.
 RENEWAL_FACTOR = 0.5
 # Peers send one read of the list in several datagrams within less than this
 # time; readers read once a second.
@@ -159,7 +161,7 @@
     def apply_entry(self, entry: engines.EngineEntry, now: float) -> bool:
         """Apply one entry; return whether its engine has started to leave.
 
-        An entry of a past life is ignored: its sender lags behind, and
+        An entry of a former life is ignored: its sender lags behind, and
         applying it would end what runs on the current life.
         """
         if self.is_former_life(entry):
@@ -210,7 +212,7 @@
     def last_certain_former_send_at(
         self, former: engine_states.EngineState, now: float
     ) -> float:
-        """Return until when every send certainly went to the former life.
+        """Return until when sends certainly went to the former life.
 
         A restarted engine accepts requests before its new entry is read,
         because they are sent under the same identity. Only requests sent well
@@ -293,7 +295,10 @@
         )
 
     def has_changed(self, entry: engines.EngineEntry) -> bool:
-        """Return whether an entry says more than that its engine is alive."""
+        """Return whether an entry changes what is known of its engine.
+
+        A mere renewal only says that the engine is alive.
+        """
         if self.is_former_life(entry):
             return False
         state = self.states.get(entry.engine)
@@ -327,9 +332,9 @@
         """Note that the list was read.
 
         A gap shorter than the least lapse time is no outage: no entry lapses
-        that fast, so an engine that is missing now has left. Kept for the two
-        seconds of grace it would be given requests for longer than is
-        promised.
+        that fast, so an engine that is missing now has left. If it were kept
+        for the grace period, it would get requests for longer than is allowed
+        after it has left.
         """
         if self.is_store_lost:
             self.is_store_lost = False
@@ -338,7 +343,7 @@
         self.note_confirmed(now)
 
     def note_store_restored(self, now: float) -> None:
-        """Expect engines to return that a restored copy of the store lacks.
+        """Expect engines to return that the restored backup lacks.
 
         They register again with the next renewal, or within about the time
         that they need after an outage.
@@ -386,7 +391,8 @@
     ) -> engine_states.EngineState | None:
         """Return the state of an engine, or None if a later life is known.
 
-        A late report about a past life must not count against the current one.
+        A late report about a former life must not count against the current
+        one.
         """
         state = self.states.get(engine)
         if state is None:
@@ -426,7 +432,7 @@
         now: float,
         started_at_ms: int = engines.UNKNOWN_START,
     ) -> None:
-        """Count an error that an engine answered a call with."""
+        """Count an error answer or a late answer of an engine to a call."""
         state = self.find_same_life(engine, started_at_ms)
         if state is None:
             return
@@ -552,11 +558,11 @@
     def candidates(
         self, service: str, excluded: set[str], now: float
     ) -> list[engine_states.EngineState]:
-        """Return the engines of a service that may get work, trusted first.
+        """Return the trusted engines of a service that may get work.
 
-        If all engines are suspected, those are returned: the links of this
-        instance may be at fault, and refusing the request for lack of engines
-        would help nobody.
+        If no usable engine is trusted, all usable ones are returned: the links
+        of this instance may be at fault, and refusing the request for lack of
+        engines would help nobody.
         """
         usable = [
             state
@@ -569,7 +575,7 @@
     def failure_risk_by_data_centre(
         self, service: str, now: float
     ) -> dict[str, float]:
-        """Return how likely the rest of each data centre fails, from 0 to 1.
+        """Return the risk, 0 to 1, that the rest of each data centre fails.
 
         Engines of one data centre tend to fail together, when it loses power
         or its link. Two recent failures are taken as certainty.
--- a/src/greengagelb/coordination/relay/engine_list.py
+++ b/src/greengagelb/coordination/relay/engine_list.py
@@ -11,7 +11,8 @@
 
 # A read that took longer says nothing about the current state. The limit is
 # what a call to the store may take on a good link; together with the time that
-# the others wait it stays below the bound on work for engines that leave.
+# followers wait for a notification it stays below the two seconds after which
+# an engine that leaves must get no new work.
 MAX_CURRENT_READ_SECONDS = 0.6
 # Ten entries take about 900 bytes.
 ENTRIES_PER_DATAGRAM = 10
@@ -78,7 +79,7 @@
         resulting: list[Action] = []
         if self.engines.is_store_lost:
             resulting.append(
-                actions.Record('store-regained', 'list of engines')
+                actions.Record('store-regained', 'list of engines read again')
             )
         resulting += self.apply_changes(entries, removed, unusable, now)
         was_reader = self.sharing.reads_for_all
@@ -107,7 +108,7 @@
         return [hints.StoreRestored(eras.era)]
 
     def handle_store_restored(self, now: float) -> list[Action]:
-        """Handle that the store was restored from a copy."""
+        """Handle that the store was restored from a backup."""
         self.engines.note_store_restored(now)
         self.sharing.note_store_restored()
         return [relay_actions.RescheduleStoreRead()]
@@ -149,7 +150,9 @@
         ending_engines = self.engines.apply_changes(consistent, removed, now)
         resulting = self.restarts.end_former_lives(restarted_entries, now)
         for engine in ending_engines:
-            resulting += self.retire_engine(engine, 'listed', now)
+            resulting += self.retire_engine(
+                engine, 'leaving or removed in the list', now
+            )
         for engine in self.engines.remove_unusable(unusable, now):
             resulting += self.retire_engine(engine, 'entry unusable', now)
         for engine in self.engines.remove_unusable(conflicting, now):
--- a/src/greengagelb/coordination/relay/engine_selection.py
+++ b/src/greengagelb/coordination/relay/engine_selection.py
@@ -39,11 +39,11 @@
 # The same for a prompt that has to be read again after a loss. A data
 # centre's streams are lost within a millisecond, before instances hear of
 # each other's choices. With the small jitter all of them chose the few least
-# loaded engines, and their callers waited for each other's prompts. It is less
-# than half of the time in which an engine reads a usual prompt.
+# loaded engines, and their callers waited for each other's prompts. The larger
+# jitter is less than half of the time in which an engine reads a usual prompt.
 LOSS_JITTER_SECONDS = 0.4
-# For the same reason, a copy is put on the emptiest of this many randomly
-# sampled engines.
+# A copy is put on the emptiest of this many randomly sampled engines, so that
+# instances do not all choose the same one.
 COPY_SAMPLE_SIZE = 3
 # The cost of an engine without free memory: the run would wait there or evict
 # another one.
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -172,10 +172,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AddressProbed:
-    """The engine that answers at the address of a lost one was found.
+    """A probe of a lost engine's address has ended.
 
-    ``new`` is its identity, or empty if none answers. If that is still the
-    same, ``started_at_ms`` is the start time that it reported.
+    ``new`` is the identity of the engine that answered, or empty if none did.
+    If it is still the same, ``started_at_ms`` is the start time it reported.
     ``has_model_memory`` is whether it was asked for the memory of a model
     engine, has it, and is not about to leave.
     """
--- a/src/greengagelb/coordination/relay/loads.py
+++ b/src/greengagelb/coordination/relay/loads.py
@@ -21,7 +21,7 @@
 class Run:
     """A run on an engine, and the copy of its memory on another engine.
 
-    ``attempt`` is 1 for the first send of a request, higher for repeats, and 0
+    ``attempt`` is 1 for the first send of a request, higher for retries, and 0
     for a send that replaces one that was never connected.
     """
 
@@ -78,7 +78,8 @@
     def add_run(self, key: tuple[str, int], run: Run, now: float) -> None:
         """Count a run; ``key`` has the instance and the number of its send.
 
-        A run that is counted already has received another copy.
+        If the run is counted already, only the engine of its copy has changed,
+        and its prompt is not added to the reading time again.
         """
         was_counted = self.remove_run(key)
         self.runs[key] = run
--- a/src/greengagelb/coordination/relay/outliers.py
+++ b/src/greengagelb/coordination/relay/outliers.py
@@ -2,8 +2,9 @@
 
 An engine may answer all calls with errors, or leave them unanswered, while it
 passes its status check and answers at once. Instances prefer engines of their
-own data centre, so that its callers would get nothing, and a call that may run
-only once cannot be tried elsewhere. A single instance sees too few calls to
+own data centre. Without outlier detection the callers in the engine's data
+centre would get no answers, and a call that may run only once cannot be tried
+elsewhere. A single instance sees too few calls to
 tell such an engine from chance. Instances therefore tell each other of each
 error and each late answer. Calls that are wrong themselves fail on all engines
 equally, and make none an outlier.
@@ -12,15 +13,15 @@
 import collections
 import dataclasses
 
-# The errors of this time are compared.
+# Errors within this time are compared.
 WINDOW_SECONDS = 3.0
 # An engine is an outlier if it has more than this many errors beyond a
 # multiple of the mean of the others. In three seconds a fleet of a few
 # instances sees about two errors per engine that the calls themselves cause.
 MIN_EXCESS_ERRORS = 4
 MEAN_ERRORS_FACTOR = 3.0
-# An outlier is avoided for the base time, which doubles each time that it is
-# one again within a window after that, up to the maximum.
+# An outlier is avoided for the base time. The time doubles, up to the maximum,
+# if the engine is an outlier again within WINDOW_SECONDS after the last time.
 BASE_AVOID_SECONDS = 1.0
 MAX_AVOID_SECONDS = 8.0
 
@@ -82,7 +83,7 @@
         return len(engine_errors.error_times)
 
     def is_outlier(self, engine: str, now: float) -> bool:
-        """Return whether other engines are preferred to an engine."""
+        """Return whether an engine is avoided as an outlier."""
         engine_errors = self.errors.get(engine)
         return engine_errors is not None and now < engine_errors.avoided_until
 
--- a/src/greengagelb/coordination/relay/peer_events.py
+++ b/src/greengagelb/coordination/relay/peer_events.py
@@ -141,7 +141,7 @@
         return self.handle_engine_loss_hint(hint, now)
 
     def announce_unlisted(self) -> list[Action]:
-        """Tell the live instances that are missing in the list that they are.
+        """Tell live instances that the list of instances lacks them.
 
         Instances that start later would never learn of them.
         """
@@ -214,7 +214,7 @@
     def handle_engine_loss_hint(
         self, hint: hints.Hint, now: float
     ) -> list[Action]:
-        """Replace the copies on an engine that died according to a hint."""
+        """Replace the copies on an engine that failed or fell silent."""
         match hint:
             case hints.EngineFailed(
                 engine, started_at_ms=started_at_ms
--- a/src/greengagelb/coordination/relay/permit_outcomes.py
+++ b/src/greengagelb/coordination/relay/permit_outcomes.py
@@ -15,7 +15,7 @@
 from greengagelb.state.relay import exchanges
 
 LIMITS_TIMER = 'relay-limits'
-# How often limits of past lives are removed.
+# How often limits of former lives are removed.
 CLEANUP_INTERVAL_SECONDS = 1.0
 
 Action = relay_actions.RelayAction
@@ -71,10 +71,11 @@
     def finish_event(
         self, resulting: list[Action], now: float
     ) -> list[Action]:
-        """Do what follows from an event and from the actions it led to.
+        """Update the limits after an event that led to these actions.
 
-        Counts checks sent to limited engines, continues sends that got an
-        answer on their permit, and sends the messages of the keeper.
+        Counts probes, checks and copy orders sent to limited engines,
+        continues sends whose permit was granted or denied, and sends the
+        messages of the limit keeper.
         """
         keeper = self.keeper
         if keeper.table.known_limits:
@@ -115,7 +116,10 @@
     def count_unpermitted_requests(
         self, resulting: list[Action], now: float
     ) -> None:
-        """Count requests to an engine that no caller has made."""
+        """Count the requests to limited engines that need no permit.
+
+        These are probes, checks and copy orders, which no caller has made.
+        """
         for action in resulting:
             match action:
                 case (
@@ -126,7 +130,7 @@
                     self.keeper.count_unpermitted(entry.life, 1, now)
 
     def forget_former_lives(self, now: float) -> None:
-        """Forget the limits of past lives."""
+        """Forget the limits of former lives."""
         if now < self.next_cleanup_at:
             return
         self.next_cleanup_at = now + CLEANUP_INTERVAL_SECONDS
@@ -238,7 +242,7 @@
             limit = f'limit {known.rate:g} known for {age:.1f} s'
         issuer = denied.issuer or 'none answered'
         return (
-            f'{limit}, issuer {issuer}, parts {denied.share:.3f}, '
+            f'{limit}, issuer {issuer}, share {denied.share:.3f}, '
             f'wait {denied.wait:.3f} s'
         )
 
--- a/src/greengagelb/coordination/relay/permit_waits.py
+++ b/src/greengagelb/coordination/relay/permit_waits.py
@@ -47,7 +47,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitingSend:
-    """A send of an exchange that waits for a permit of an engine life."""
+    """A send that waits for a permit of one life of an engine.
+
+    ``continuation`` says what to do once the permit is granted or denied.
+    """
 
     exchange: int
     engine: str
--- a/src/greengagelb/coordination/relay/relay.py
+++ b/src/greengagelb/coordination/relay/relay.py
@@ -322,10 +322,11 @@
     def duration_allowance_seconds(
         self, exchange: exchanges.Exchange, stream: bool
     ) -> float:
-        """Return how many seconds a request that starts now may take.
+        """Return the assumed seconds of a request that starts now.
 
-        A request that could not finish before this instance stops is refused:
-        if it were cut off at the end, nobody could tell whether it ran.
+        A request that could not finish in them before this instance stops is
+        refused: if it were cut off at the end, nobody could tell whether it
+        ran.
         """
         if stream:
             return self.streams.conservative_seconds(exchange)
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -54,9 +54,9 @@
     def try_spend_attempt(
         self, exchange: exchanges.Exchange, now: float
     ) -> bool:
-        """Return whether a request may be sent, counting it as a retry.
+        """Return whether one more attempt is allowed; spend a retry for it.
 
-        The first attempt does not count as a retry.
+        The first attempt spends none, nor does one that is not allowed.
         """
         if not self.has_attempts_left(exchange):
             return False
@@ -170,14 +170,14 @@
             f'fingerprint {exchange.fingerprint}',
             f'in_flight {state.in_flight}',
             f'runs {work.runs}',
-            f'tokens {work.memory_tokens}',
+            f'memory tokens {work.memory_tokens}',
         ]
         known = self.keeper.table.known_limits.get(state.entry.life)
         if known is not None and known.rate is not None:
             age = sent.began_at - known.known_at
             parts.append(f'limit {known.rate:g} known for {age:.3f} s')
         if exchange.position:
-            parts.append(f'after {exchange.position}')
+            parts.append(f'resumes after event {exchange.position}')
         if sent.from_copy:
             parts.append('from copy')
         if sent.copy_to is not None:
--- a/src/greengagelb/coordination/relay/shared_retry_budget.py
+++ b/src/greengagelb/coordination/relay/shared_retry_budget.py
@@ -1,10 +1,11 @@
 """The retry budget that all instances share.
 
-Each repeat adds load to a service that may be failing from overload. The
-operators bound the repeats of all instances together over any window of some
-seconds. Every instance has a part of its own, so that the bound holds
-whichever instances can communicate. In a large fleet that part is a few
-repeats, and the streams of a failed engine are spread unevenly over the
+A retry is any send of a request after its first, except in place of a send
+that was never connected. Each one adds load to a service that may be failing
+from overload. The operators bound the retries of all instances together over
+any window of some seconds. Every instance has a part of its own, so that the
+bound holds whichever instances can communicate. In a large fleet that part is
+a few retries, and the streams of a failed engine are spread unevenly over the
 instances. Beyond its part an instance may therefore use what all others leave,
 as far as they announce their sends.
 """
@@ -17,10 +18,11 @@
 # have just started and are not known to the others yet, and sends that the
 # others do not know of yet, or never will.
 ALLOCATED_SHARE = 0.8
-# The share of the shared allowance up to which an instance may exceed its own
-# part. Decisions within the travel time of a datagram are not known to the
-# others: a data centre of engines that fails takes a third of all streams with
-# it, about as many as the remaining half allows.
+# An instance may exceed its own part while all known retries are below this
+# share of the shared allowance. The rest is left for retries that are not
+# known yet: when one of three data centres fails, all instances retry its
+# streams, a third of all, within the travel time of a datagram. That is about
+# as many as the other half allows.
 BORROWING_SHARE = 0.5
 # The assumed fleet size until it is known: an instance takes as little of the
 # shared allowance as in a large fleet.
@@ -28,9 +30,9 @@
 
 
 class ServiceWindow:
-    """The times of requests and repeats of one service in the window.
+    """The times of requests and retries of one service in the window.
 
-    ``peer_requests`` and ``peer_repeats`` are those announced by other
+    ``peer_requests`` and ``peer_retries`` are those announced by other
     instances.
     """
 
@@ -47,7 +49,7 @@
 
     @property
     def all_retries(self) -> int:
-        """Return the number of repeats known to this instance."""
+        """Return the number of retries known to this instance."""
         return len(self.retries) + len(self.peer_retries)
 
     def drop_before(self, earliest: float) -> None:
@@ -63,12 +65,12 @@
 
 
 class SharedRetryBudget:
-    """The repeats that a service may get, as known to one instance.
+    """The retries that a service may get, as known to one instance.
 
     Over any window an instance sends at most ``ratio`` times its own requests
     plus its part of ``slack``. The sum over all instances is what the
     operators allow. For sends that are announced to the others, an instance
-    may send more while the repeats of all are few, and less when they are
+    may send more while the retries of all are few, and less when they are
     close to the bound.
 
     ``instances`` is the size of the fleet, ``reachable`` how many of these are
@@ -108,12 +110,12 @@
         send_times.append(now)
 
     def own_allowance(self, window: ServiceWindow) -> float:
-        """Return how many repeats this instance may send in the window."""
+        """Return how many retries this instance may send in the window."""
         own_slack = ALLOCATED_SHARE * self.bounds.slack / self.instances
         return own_slack + self.bounds.ratio * len(window.requests)
 
     def shared_allowance(self, window: ServiceWindow) -> float:
-        """Return how many repeats all reachable instances may send together.
+        """Return how many retries all reachable instances may send together.
 
         The unreachable ones have as much for themselves.
         """
@@ -123,7 +125,7 @@
     def try_spend(
         self, service: str, now: float, *, announced: bool = False
     ) -> bool:
-        """Take one repeat from the budget; return whether there was one.
+        """Spend one retry of the budget; return whether there was one left.
 
         ``announced`` tells that every send to the service is announced to the
         other instances.
--- a/src/greengagelb/coordination/relay/stopping.py
+++ b/src/greengagelb/coordination/relay/stopping.py
@@ -79,14 +79,14 @@
         """Stop serving; ``cut_requests`` requests are cut."""
         self.machine.work_finished()
         return [
-            actions.Record('stopped', f'{cut_requests} cut'),
+            actions.Record('stopped', f'{cut_requests} requests cut'),
             actions.FinishStopping(),
         ]
 
     def end_process(self, cut_requests: int) -> list[actions.Record]:
         """Let the process end; it cuts ``cut_requests`` requests."""
         self.machine.connections_closed()
-        return [actions.Record('ended', f'{cut_requests} cut')]
+        return [actions.Record('ended', f'{cut_requests} requests cut')]
 
     def may_be_cut(
         self, expected_end_at: float, now: float, *, stream: bool
--- a/src/greengagelb/coordination/relay/store_eras.py
+++ b/src/greengagelb/coordination/relay/store_eras.py
@@ -1,9 +1,10 @@
-"""Distinguishes a store restored from a copy from a late answer.
+"""Tells what an answer of the store with another era means.
 
-The answers of both state another era than the known one. A higher era is a
-restore. A lower one, or none, belongs to an old answer of a connection that
-was stalled; applying it would bring back removed entries. But if only such
-answers arrive for some time, the store itself has gone back to that era.
+Either the store was restored from a backup, or the answer is late. A higher
+era is a restore. A lower one, or none, belongs to an old answer of a
+connection that was stalled; applying it would bring back removed entries. But
+if only such answers arrive for some time, the store itself has gone back to
+that era.
 """
 
 import enum
--- a/src/greengagelb/coordination/relay/store_sharing.py
+++ b/src/greengagelb/coordination/relay/store_sharing.py
@@ -1,13 +1,13 @@
 """Decides which instance reads the store, and when the others do.
 
-One instance, the reader, reads at the pace that the bounds require. After each
-read it sends the changes to all others, together with digests of its state. An
-instance that receives no notification in time reads the store itself and, if
-that succeeds, becomes a reader; of two readers the one with the lower
-incarnation remains. Instances that are cut off together thus get a reader of
-their own. An instance whose digest differs reads the store once. A lost
-datagram, or a reader that died or was cut off, costs a few calls and breaks no
-bound.
+One instance, the reader, reads often enough that an engine that leaves gets no
+new work after two seconds. After each read it sends the changes to all other
+instances, the followers, together with digests of its state. A follower that
+receives no notification in time reads the store itself and, if that succeeds,
+becomes a reader; of two readers the one with the lower incarnation remains.
+Instances that are cut off together thus get a reader of their own. An instance
+whose digest differs reads the store once. A lost datagram, or a reader that
+died or was cut off, costs a few calls, and the two seconds are still kept.
 
 While the store is unavailable every instance would retry, and each refused
 call costs as much as any other. An instance that retries after a failure
@@ -21,42 +21,44 @@
 from greengagelb.coordination.relay import store_eras
 from greengagelb.state.relay import store_calls
 
-# Time between two reads of the engine list by the reader: half of the time
-# within which an engine that leaves must get no more work.
+# Time between two reads of the engine list by the reader: half of the two
+# seconds after which an engine that leaves must get no new work.
 READ_INTERVAL_SECONDS = 1.0
-# How long the others wait for a notification. Together with the time of a call
-# this is well below that bound.
+# How long followers wait for a notification. Together with the time of a call
+# this is well below those two seconds.
 NOTIFICATION_WAIT_SECONDS = 1.4
-# Differences between instances in that wait, so that the first one that reads
-# in place of the reader can notify the others before they ask, too.
+# The wait is shorter by up to this time, differently on each instance. The
+# first one that reads in place of the reader can then notify the others before
+# they read, too.
 NOTIFICATION_WAIT_SPREAD_SECONDS = 0.2
-# The least time between two reads for the same reason. Otherwise each read
+# The least time between two reads with the same cause. Otherwise each read
 # that failed or changed nothing would be followed by the next at once.
 MIN_READ_GAP_SECONDS = 0.7
 # The gap doubles with each failure after the first, which may have been one
-# lost answer, up to this limit. After an outage the bounds on stale state
-# count from three seconds or more.
+# lost answer, up to this limit. The limits on the age of the known state apply
+# only from three seconds or more after the end of an outage.
 MAX_READ_GAP_SECONDS = 2.0
 # After the announced attempt of another instance, an instance that has failed
 # waits for this pause and a random part of the spread, so that one of them
 # tries before the rest.
 PEER_ATTEMPT_PAUSE_SECONDS = 1.0
 PEER_ATTEMPT_SPREAD_SECONDS = 1.0
-# The list of engines shows whether the store is available, so the
-# configuration is read later by the delay, the time of a fast answer. While
-# the list is unanswered it waits for the second value, the longest time of an
-# answer, and after a failed read of the list for the third, in case only the
-# list fails.
+# How much later than the list of engines the configuration is read: the time
+# of a fast answer. The read of the list shows whether the store is available.
 CONFIGURATION_DELAY_SECONDS = 0.02
+# The delay while a read of the list is unanswered: the longest time of an
+# answer.
 CONFIGURATION_UNANSWERED_DELAY_SECONDS = 0.7
+# The delay after a failed read of the list. The configuration is read all the
+# same, in case only the list fails.
 CONFIGURATION_OUTAGE_DELAY_SECONDS = 10.0
 # How long a starting instance waits for a newer configuration if the store has
 # an older one than other instances. Operators write the newest one again to a
-# store that was restored from a copy.
+# store that was restored from a backup.
 OLDER_CONFIGURATION_WAIT_SECONDS = 5.0
 # Time between two reads of the list of instances by the reader.
 READER_MEMBERS_INTERVAL_SECONDS = 10.0
-# Time between two reads by the others, randomised by half. They learn of
+# Time between two reads by a follower, randomised by half. Followers learn of
 # instances that come and go by heartbeats; the list shows whose departure they
 # missed.
 FOLLOWER_MEMBERS_INTERVAL_SECONDS = 300.0
@@ -71,8 +73,9 @@
     last had something newer, if ever. A notification is awaited for
     ``wait_seconds``. ``failures`` counts failed reads in a row; after a
     failure, and the attempt of another instance, the next read is not before
-    ``retry_not_before``. ``notification_overdue`` tells that the latest read
-    was made because no notification came, so that the others lack one, too.
+    ``retry_not_before``. ``read_for_missing_notification`` tells whether the
+    latest read was made because no notification had come; the other instances
+    then lack one, too.
     All times are monotonic, in seconds.
     """
 
@@ -103,8 +106,9 @@
     def min_read_gap_seconds(self) -> float:
         """Return the least time between the starts of two reads.
 
-        While something newer is known to exist, or nothing is known yet,
-        failures do not lengthen the gap, whatever the calls cost.
+        The first failure at the start is retried at once. While something
+        newer is known to exist, or nothing is known yet, failures do not
+        lengthen the gap, whatever the calls cost.
         """
         if self.is_never_read and self.failures == 1:
             return 0.0
@@ -156,8 +160,8 @@
     def note_current(self, asked_at: float) -> None:
         """Note that the state known here was current at a time.
 
-        For a read this is when it was asked for: its answer lacks anything
-        newer that was announced in the meantime.
+        For a read this is when it began: its answer lacks anything newer that
+        was announced in the meantime.
         """
         self.fresh_at = max(self.fresh_at, asked_at)
         self.failures = 0
--- a/src/greengagelb/coordination/relay/streams.py
+++ b/src/greengagelb/coordination/relay/streams.py
@@ -23,12 +23,12 @@
 
 SILENCE_TIMER = 'relay-silence'
 # A stream is moved after it has been silent for this share of the pause that
-# its callers do not notice. The rest suffices to continue on another engine;
+# its callers accept. The rest suffices to continue on another engine;
 # moving earlier takes streams away from engines that are only reading another
 # prompt.
 MAX_SILENCE_SHARE = 0.55
-# The pause that callers do not notice, for routes that state none: callers
-# give up on a stream after two seconds.
+# The longest pause that callers accept, for routes that state none: they give
+# up on a stream after two seconds.
 DEFAULT_GAP_GOAL_SECONDS = 2.0
 # Reading a prompt takes at least this share of the expected time.
 MIN_READING_SHARE = 0.8
@@ -303,7 +303,9 @@
             exchange.position + 1, exchange.position + 1 + len(new_events)
         )
         if [e.number for e in new_events] != list(expected):
-            return self.handle_lost_send(exchange, sent, 'gap in events', now)
+            return self.handle_lost_send(
+                exchange, sent, 'event numbers missing', now
+            )
         if first:
             self.components.engines.note_success(sent.entry.engine, now)
             waited = now - sent.began_at
@@ -370,7 +372,7 @@
         event: relay_events.AnswerComplete,
         now: float,
     ) -> list[Action]:
-        """Handle an answer that is not a stream."""
+        """Handle an answer that is not a stream: a refusal or a failure."""
         told = self.components.send_manager.note_answer_head(
             exchange, sent, event.head, now
         )
--- a/src/greengagelb/coordination/relay/successor_search.py
+++ b/src/greengagelb/coordination/relay/successor_search.py
@@ -22,12 +22,12 @@
 from greengagelb.state.relay import routes
 
 SUCCESSOR_TIMER = 'relay-successor'
-# Delay of the first question after a loss, and the interval of the following
+# Delay of the first probe after a loss, and the interval of the following
 # ones. Engines are back after a second or more, and usually the list has shown
 # them by then.
 FIRST_ASK_DELAY_SECONDS = 1.3
 ASK_INTERVAL_SECONDS = 0.25
-# The interval once the address may belong to another service: two questions
+# The interval once the address may belong to another service: two requests
 # are needed each time then, and the first second has shown that the engine
 # takes longer.
 LATE_ASK_INTERVAL_SECONDS = 0.5
@@ -44,7 +44,7 @@
 
     ``same_service_until`` is the monotonic time until which its address can
     not have been given to another service, and ``give_up_at`` that of the last
-    question.
+    probe.
     """
 
     entry: engines.EngineEntry
@@ -53,7 +53,7 @@
 
 
 class SuccessorSearch:
-    """Asks at the addresses of lost engines which engine answers there now.
+    """Probes the addresses of lost engines to find which engine answers there.
 
     ``address_reuse_seconds`` is the least time before an address is given to
     another service. ``health_paths`` has the path of the status check of each
--- a/tests/relay/test_engine_lives_machine.py
+++ b/tests/relay/test_engine_lives_machine.py
@@ -45,7 +45,7 @@
         self.copies = {}
 
     def note_start(self, name, start, *, leaving=False):
-        """Note a reported start; those of past lives are ignored."""
+        """Note a reported start; those of former lives are ignored."""
         if start and start < self.latest[name]:
             return
         if start > self.latest[name]:
@@ -77,7 +77,7 @@
             self.leaving_engines.discard(name)
 
     def check_send(self, send):
-        """Check that no send goes to a past life, or relies on its copies."""
+        """Check that no send goes to a former life or uses its copies."""
         assert self.is_latest_life(send.engine)
         self.sent[send.exchange, send.send] = send
         held = self.copies.setdefault(send.exchange, [])
--- a/tests/relay/test_retry_budget.py
+++ b/tests/relay/test_retry_budget.py
@@ -13,7 +13,7 @@
 from greengagelb.state.relay import hints
 from tests.common import relay_world
 
-# One second of an instance: its requests, and the repeats it asks for.
+# One second of an instance: its requests, and the retries it asks for.
 SECONDS = st.tuples(st.integers(0, 9), st.integers(0, 60))
 
 
@@ -24,9 +24,9 @@
     )
 )
 def test_all_instances_together_keep_to_the_shared_bound(instances):
-    """A data centre of engines fails; all instances repeat their requests.
+    """A data centre of engines fails; all instances retry their requests.
 
-    Unbounded, the repeats would overload the remaining engines.
+    Unbounded, the retries would overload the remaining engines.
     """
     bounds = relay_world.RETRIES
     budgets = [
@@ -90,7 +90,7 @@
 
 
 def spend_retry(budgets, one, now=1.0):
-    """Have one instance ask for a repeat, and announce it to the others."""
+    """Have one instance ask for a retry, and announce it to the others."""
     if not one.try_spend('s', now, announced=True):
         return False
     for other in budgets:
@@ -102,7 +102,7 @@
 def test_instance_may_use_the_allowance_that_others_leave():
     """Engines fail whose streams mostly belong to one instance.
 
-    A ninetieth of the budget is five repeats in ten seconds. Limited to it,
+    A ninetieth of the budget is five retries in ten seconds. Limited to it,
     larger simulated fleets broke off one stream in ten, while all instances
     together used less than half of the bound.
     """
@@ -111,7 +111,7 @@
 
 
 def test_all_together_keep_to_the_bound_whoever_uses_it():
-    """Each instance in turn takes as many repeats as it can get."""
+    """Each instance in turn takes as many retries as it can get."""
     budgets = fleet_of_budgets()
     taken = sum(
         spend_retry(budgets, one) for one in budgets for _ in range(1_000)
@@ -176,7 +176,7 @@
 def test_unconnected_send_is_neither_request_nor_retry():
     """A data centre is cut off, and no connection to it can be opened.
 
-    Announced as repeats, such sends would use up the budget of all instances;
+    Announced as retries, such sends would use up the budget of all instances;
     announced as requests they would enlarge it.
     """
     world = relay_world.RelayWorld()
