--- a/measure/in_force.py
+++ b/measure/in_force.py
@@ -37,7 +37,7 @@
         figures = relay_metrics.RelayMetrics()
         sample = metrics.Sample(identity=metrics.Identity('a', 'north'))
         figures.sample = lambda: sample
-        return figures.render_relay(opened=0)
+        return figures.render_relay(connections_opened=0)
 
 
 async def look(reactor: interfaces.IReactorCore, instances: int) -> None:
@@ -55,9 +55,11 @@
     ]
     reader = page_reader.PageReader(reactor)
     began_at = time.monotonic()
-    found = await reader.read_all(addresses)
+    found = await reader.read_all_pages(addresses)
     seconds = time.monotonic() - began_at
-    answers = sum(isinstance(page, in_force.InForce) for _, page in found)
+    answers = sum(
+        isinstance(page, in_force.InstanceReport) for _, page in found
+    )
     print(f'{answers} of {instances} answered, {seconds:.2f} s')
 
 
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -76,9 +76,9 @@
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
         for number in range(engines):
-            running.engine(f'engine-{number}')
-        running.service('plain-0')
-        running.instance('router-0')
+            running.start_engine(f'engine-{number}')
+        running.start_service('plain-0')
+        running.start_instance('router-0')
         running.configure(running.configuration())
         instance = running.instances['router-0']
         warm = callers.StreamCaller('warm', 20)
@@ -262,11 +262,15 @@
 ) -> None:
     """Hear all peers once and send one heartbeat to each."""
     for number in range(1, peers + 1):
-        frame = codec.seal(peer_api.message_of(sample_heartbeat(number)))
-        found.handle_heartbeat(peer_api.heartbeat_of(codec.open(frame)), 1.0)
+        frame = codec.seal_message(
+            peer_api.to_message(sample_heartbeat(number))
+        )
+        found.handle_heartbeat(
+            peer_api.to_heartbeat(codec.open_frame(frame)), 1.0
+        )
     for action in found.tick(1.0):
         if isinstance(action, membership.SendHeartbeat):
-            codec.seal(peer_api.message_of(action.heartbeat))
+            codec.seal_message(peer_api.to_message(action.heartbeat))
 
 
 def peer_lines() -> dict[str, Line]:
@@ -282,7 +286,7 @@
         rounds.append((float(peers), seconds))
         held = bytes_of(lambda n=peers: peers_heard(n))
         memory.append((float(peers), float(held)))
-    frame = codec.seal(peer_api.message_of(sample_heartbeat(1)))
+    frame = codec.seal_message(peer_api.to_message(sample_heartbeat(1)))
     return {
         'heartbeat_round_per_peer': fit('processor seconds', rounds),
         'memory_per_peer': fit('bytes', memory),
@@ -301,7 +305,7 @@
         for number in range(loads)
     )
     heartbeat = dataclasses.replace(sample_heartbeat(1), loads=told)
-    return float(len(codec.seal(peer_api.message_of(heartbeat))))
+    return float(len(codec.seal_message(peer_api.to_message(heartbeat))))
 
 
 def relay_lines() -> dict[str, Line]:
@@ -347,9 +351,9 @@
         tempfile.TemporaryDirectory() as folder,
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
-        running.engine('engine-0')
-        running.service('plain-0')
-        running.instance('router-0')
+        running.start_engine('engine-0')
+        running.start_service('plain-0')
+        running.start_instance('router-0')
         configuration = running.configuration()
         upstream = configuration['pools'][0]['upstreams'][0]
         upstream['port'] = listener.getsockname()[1]
@@ -370,7 +374,7 @@
         fleet.Fleet(pathlib.Path(folder)) as running,
     ):
         port = listener.getsockname()[1]
-        running.instance('router-0', platform_port=port)
+        running.start_instance('router-0', platform_port=port)
         return exchange_bytes(listener, row)
 
 
@@ -413,9 +417,9 @@
             fleet.Fleet(pathlib.Path(folder)) as running,
         ):
             running.poll_seconds = seconds
-            running.engine('engine-0')
-            running.service('plain-0')
-            running.instance('router-0')
+            running.start_engine('engine-0')
+            running.start_service('plain-0')
+            running.start_instance('router-0')
             running.configure(running.configuration())
             instance = running.instances['router-0']
             before = recovery.processor_seconds(instance)
--- a/src/greengagelb/cli/running.py
+++ b/src/greengagelb/cli/event_loop.py
@@ -1,4 +1,4 @@
-"""Runs the event loop once for a command that ends by itself."""
+"""Runs the event loop once, for a command that ends by itself."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -12,7 +12,7 @@
 from greengagelb import errors
 
 T = TypeVar('T')
-SIGNALLED = 'stopped by a signal'
+SIGNALLED_MESSAGE = 'stopped by a signal'
 
 
 class Interrupted(errors.GreengagelbError):
@@ -21,16 +21,15 @@
     code = 'interrupted'
 
 
-def run_once(
+def run_coroutine(
     work: Callable[[interfaces.IReactorCore], Coroutine[Any, Any, T]],
 ) -> T:
-    """Return what a coroutine returns, or raise what it raises.
+    """Run a coroutine; return its result or raise its exception.
 
     A reactor can't be started twice in a process, so a command calls this
-    once, with everything it has to do.
+    once, with all of its work.
     """
-    # The reactor is installed by its import, so that happens only where one
-    # is run.
+    # Importing the reactor installs it, so only commands that run one do so.
     from twisted.internet import reactor  # noqa: PLC0415
 
     outcomes: list[Any] = []
@@ -40,17 +39,17 @@
         if reactor.running:
             reactor.stop()
 
-    def begin() -> None:
+    def start_work() -> None:
         defer.Deferred.fromCoroutine(work(reactor)).addBoth(finish)
 
-    def interrupted() -> None:
-        # A signal stops the loop. The work then fails with whatever the lost
-        # connections bring, which would hide that it was interrupted.
+    def record_interruption() -> None:
+        # A signal stops the loop. The coroutine then fails because its
+        # connections are lost, which would hide the interruption.
         if not outcomes:
-            outcomes.append(failure.Failure(Interrupted(SIGNALLED)))
+            outcomes.append(failure.Failure(Interrupted(SIGNALLED_MESSAGE)))
 
-    reactor.callWhenRunning(begin)
-    reactor.addSystemEventTrigger('before', 'shutdown', interrupted)
+    reactor.callWhenRunning(start_work)
+    reactor.addSystemEventTrigger('before', 'shutdown', record_interruption)
     reactor.run()
     if isinstance(outcomes[0], failure.Failure):
         outcomes[0].raiseException()
--- a/src/greengagelb/cli/in_force.py
+++ b/src/greengagelb/cli/in_force.py
@@ -1,4 +1,4 @@
-"""The subcommand that shows what is in force on which instance."""
+"""The subcommand that shows what is in force on each instance."""
 
 from collections.abc import Callable
 import dataclasses
@@ -12,9 +12,9 @@
 from twisted.internet import task
 
 from greengagelb import errors
+from greengagelb.cli import event_loop
 from greengagelb.cli import exit_codes
 from greengagelb.cli import operator_flags
-from greengagelb.cli import running
 from greengagelb.cli import tables
 from greengagelb.state import in_force
 from greengagelb.transport import operator_client
@@ -42,9 +42,8 @@
     'deadline_seconds', 30.0, 'How long to wait, in seconds.'
 )
 AS_JSON = flags.DEFINE_boolean('json', False, 'Print JSON, a line for each.')
-# How long after one look the next one follows, in seconds.
-LOOK_SECONDS = 0.5
-HEAD = (
+POLL_INTERVAL_SECONDS = 0.5
+COLUMNS = (
     'ADDRESS',
     'INSTANCE',
     'DATA CENTRE',
@@ -59,25 +58,29 @@
     'DIFFERS',
 )
 
-Has = Callable[[in_force.InForce], bool]
+Condition = Callable[[in_force.InstanceReport], bool]
 
 
-def show(words: list[str]) -> int:
-    """Show what is in force where; wait for it if that is asked for."""
+def show_in_force(words: list[str]) -> int:
+    """Print what is in force on each instance; wait if a flag asks for it."""
     addresses = read_addresses()
-    wanted = wanted_by_flags()
+    condition = condition_from_flags()
 
-    async def look(reactor: interfaces.IReactorCore) -> list[in_force.Seen]:
+    async def poll(
+        reactor: interfaces.IReactorCore,
+    ) -> list[in_force.ComparedReport]:
         reader = page_reader.PageReader(reactor)
-        return await look_until(reactor, reader, addresses, wanted)
+        return await poll_instances(reactor, reader, addresses, condition)
 
-    seen = running.run_once(look)
-    sys.stdout.write(as_json(seen) if AS_JSON.value else as_table(seen))
-    return exit_code_of(seen, wanted)
+    seen = event_loop.run_coroutine(poll)
+    sys.stdout.write(
+        render_json(seen) if AS_JSON.value else render_table(seen)
+    )
+    return exit_code_of(seen, condition)
 
 
 def read_addresses() -> list[operator_client.Address]:
-    """Return the addresses that the flags name, each once."""
+    """Return the addresses in the flags, without duplicates."""
     texts = list(PAGES.value)
     if PAGES_FILE.value is not None:
         try:
@@ -95,41 +98,45 @@
     ]
 
 
-def wanted_by_flags() -> Has | None:
-    """Return what all instances are to have, or None."""
+def condition_from_flags() -> Condition | None:
+    """Return the condition that instances have to meet, or None."""
     version, digest = WAIT_FOR_VERSION.value, WAIT_FOR_DIGEST.value
     if version is None and digest is None:
         return None
 
-    def has(page: in_force.InForce) -> bool:
+    def is_met(page: in_force.InstanceReport) -> bool:
         return (version is None or page.configuration_version >= version) and (
             digest is None or page.digest == digest
         )
 
-    return has
+    return is_met
 
 
-async def look_until(
+async def poll_instances(
     reactor: interfaces.IReactorCore,
     reader: page_reader.PageReader,
     addresses: list[operator_client.Address],
-    wanted: Has | None,
-) -> list[in_force.Seen]:
-    """Return what is found, at once or when all have what is wanted."""
+    condition: Condition | None,
+) -> list[in_force.ComparedReport]:
+    """Return the state of the instances.
+
+    With a condition, polls until all instances meet it or the deadline is
+    over.
+    """
     deadline = reactor.seconds() + DEADLINE_SECONDS.value
-    last_told = ''
+    last_progress = ''
     while True:
-        found = await reader.read_all(addresses)
-        if wanted is None:
-            return in_force.compare(found)
-        count = sum(has_it(page, wanted) for _, page in found)
-        told = f'{count} of {len(found)} have it\n'
-        if told != last_told:
-            sys.stderr.write(told)
-            last_told = told
+        found = await reader.read_all_pages(addresses)
+        if condition is None:
+            return in_force.compare_reports(found)
+        count = sum(meets_condition(page, condition) for _, page in found)
+        progress = f'{count} of {len(found)} have it\n'
+        if progress != last_progress:
+            sys.stderr.write(progress)
+            last_progress = progress
         if count == len(found) or reactor.seconds() >= deadline:
-            return in_force.compare(found)
-        await sleep(reactor, LOOK_SECONDS)
+            return in_force.compare_reports(found)
+        await sleep(reactor, POLL_INTERVAL_SECONDS)
 
 
 def sleep(
@@ -139,22 +146,27 @@
     return task.deferLater(reactor, seconds, lambda: None)
 
 
-def has_it(page: in_force.InForce | in_force.NoPage, wanted: Has) -> bool:
-    """Return whether an instance has what is waited for."""
-    return isinstance(page, in_force.InForce) and wanted(page)
+def meets_condition(
+    page: in_force.InstanceReport | in_force.ReportUnavailable,
+    condition: Condition,
+) -> bool:
+    """Return whether an instance answered and meets the condition."""
+    return isinstance(page, in_force.InstanceReport) and condition(page)
 
 
 def exit_code_of(
-    seen: list[in_force.Seen], wanted: Has | None
+    seen: list[in_force.ComparedReport], condition: Condition | None
 ) -> exit_codes.ExitCode:
-    """Return the exit code: the worst of what was seen."""
-    answered = [one for one in seen if isinstance(one.found, in_force.InForce)]
+    """Return the exit code for the state of the instances."""
+    answered = [
+        one for one in seen if isinstance(one.found, in_force.InstanceReport)
+    ]
     if not answered:
         return exit_codes.ExitCode.NOTHING_FOUND
     if len(answered) < len(seen):
         return exit_codes.ExitCode.UNREACHABLE
-    if wanted is not None:
-        agree = all(has_it(one.found, wanted) for one in seen)
+    if condition is not None:
+        agree = all(meets_condition(one.found, condition) for one in seen)
     else:
         agree = not any(one.differences for one in seen)
     if agree:
@@ -162,20 +174,20 @@
     return exit_codes.ExitCode.DIFFERENT
 
 
-def as_table(seen: list[in_force.Seen]) -> str:
-    """Return a line for each instance, and how many agree."""
-    rows = [list(HEAD), *map(row_of, seen)]
+def render_table(seen: list[in_force.ComparedReport]) -> str:
+    """Return a table row for each instance, and how many agree."""
+    rows = [list(COLUMNS), *map(row_of, seen)]
     agree = sum(not one.differences for one in seen)
     return tables.render(rows) + f'{agree} of {len(seen)} agree\n'
 
 
-def row_of(seen: in_force.Seen) -> list[str]:
-    """Return the cells of one instance."""
+def row_of(seen: in_force.ComparedReport) -> list[str]:
+    """Return the table cells of one instance."""
     differs = '; '.join(seen.differences)
     match seen.found:
-        case in_force.NoPage():
-            return [seen.address, *['?'] * (len(HEAD) - 2), differs]
-        case in_force.InForce() as page:
+        case in_force.ReportUnavailable():
+            return [seen.address, *['?'] * (len(COLUMNS) - 2), differs]
+        case in_force.InstanceReport() as page:
             age = page.store_seconds
             return [
                 seen.address,
@@ -193,12 +205,12 @@
             ]
 
 
-def as_json(seen: list[in_force.Seen]) -> str:
+def render_json(seen: list[in_force.ComparedReport]) -> str:
     """Return a line of JSON for each instance."""
     lines = []
     for one in seen:
         fields = {'address': one.address, 'differences': one.differences}
-        if isinstance(one.found, in_force.InForce):
+        if isinstance(one.found, in_force.InstanceReport):
             fields |= dataclasses.asdict(one.found)
         lines.append(json.dumps(fields))
     return '\n'.join(lines) + '\n'
--- a/src/greengagelb/cli/interruption.py
+++ b/src/greengagelb/cli/interruption.py
@@ -1,42 +1,44 @@
-"""Signals to a command that has started other processes."""
+"""Signal handling for a command that has started other processes."""
 
 import signal
 
-from greengagelb.cli import running
+from greengagelb.cli import event_loop
 
 SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class Interruption:
-    """Remembers a signal until the command can act on it.
+    """Keeps a signal until the command checks for it.
 
-    A signal that ended this process at once would leave the others running.
-    An error raised from within the handler could come between the start of a
-    process and the moment at which its end is arranged, and leave that one.
-    So the command asks, at places of its own choice.
+    If a signal ended this process at once, the processes that it started would
+    go on running. An exception raised in the handler could come between the
+    start of a process and the registration of its cleanup, and leave that
+    process running. So the command checks for signals where it is safe.
     """
 
     def __init__(self) -> None:
         self.signalled = False
-        self.before = {}
+        self.previous_handlers = {}
 
     def __enter__(self) -> 'Interruption':
         for number in SIGNALS:
-            self.before[number] = signal.signal(number, self.remember)
+            self.previous_handlers[number] = signal.signal(
+                number, self.handle_signal
+            )
         return self
 
     def __exit__(self, *exception: object) -> None:
-        for number, handler in self.before.items():
+        for number, handler in self.previous_handlers.items():
             signal.signal(number, handler)
         if exception[0] is None:
-            # One that came after the last look at it counts too.
-            self.check()
+            # A signal may have come after the last check.
+            self.raise_if_signalled()
 
-    def remember(self, number: int, frame: object) -> None:
-        """Take in a signal."""
+    def handle_signal(self, number: int, frame: object) -> None:
+        """Note that a signal has arrived."""
         self.signalled = True
 
-    def check(self) -> None:
-        """Raise if a signal has come."""
+    def raise_if_signalled(self) -> None:
+        """Raise ``Interrupted`` if a signal has arrived."""
         if self.signalled:
-            raise running.Interrupted(running.SIGNALLED)
+            raise event_loop.Interrupted(event_loop.SIGNALLED_MESSAGE)
--- a/src/greengagelb/cli/launcher.py
+++ b/src/greengagelb/cli/launcher.py
@@ -1,7 +1,7 @@
-"""Starts the processes of the demonstration and ends them again.
+"""Starts and stops the processes of the demonstration.
 
-The program itself never starts a process: only ``greengagelb demo`` uses
-this, in place of the operator who would start them on many machines.
+Only ``greengagelb demo`` starts processes. In a deployment, operators start
+them on many machines.
 """
 
 from collections.abc import Callable
@@ -24,25 +24,25 @@
 
 HOST = '127.0.0.1'
 DATA_CENTRE = 'demo-1'
-ENDING_SECONDS = 20.0
-PORTS = range(12_000, 32_000)
-RESERVATIONS: list[socket.socket] = []
+STOP_TIMEOUT_SECONDS = 20.0
+PORT_RANGE = range(12_000, 32_000)
+RESERVED_SOCKETS: list[socket.socket] = []
 
 
 class LaunchedProcess:
-    """A process that this one has started."""
+    """A child process."""
 
     def __init__(
         self,
         name: str,
         popen: subprocess.Popen,
         ports: list[int],
-        log: pathlib.Path,
+        log_path: pathlib.Path,
     ) -> None:
         self.name = name
         self.popen = popen
         self.ports = ports
-        self.log = log
+        self.log_path = log_path
 
     @property
     def port(self) -> int:
@@ -61,36 +61,40 @@
 
     @property
     def served_ports(self) -> list[int]:
-        """Return the ports that are asked over HTTP.
+        """Return the ports that serve HTTP.
 
-        An instance opens one after the other, so that its first port answers
-        a moment before its second.
+        An instance opens them one after the other, so its first port answers
+        slightly before its second.
         """
         return self.ports[:2]
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process only."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, as a crash would."""
+        """Kill the process, to simulate a crash."""
         self.popen.kill()
         self.popen.wait()
 
     def stop(self) -> int:
-        """Ask the process to stop, and return its exit code."""
+        """Send SIGTERM and return the exit code.
+
+        Raises :class:`~greengagelb.errors.DemoFailed` if the process does not
+        exit in time.
+        """
         self.popen.send_signal(signal.SIGTERM)
         try:
-            return self.popen.wait(ENDING_SECONDS)
+            return self.popen.wait(STOP_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired as exc:
             raise errors.DemoFailed(f'{self.name} does not stop') from exc
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
-    """Where an instance stands, and which others its settings name.
+class InstanceLocation:
+    """The data centre, peers and platform of an instance.
 
-    ``platform_port`` 0 stands for that of the launcher's own platform.
+    ``platform_port`` 0 means the port of the launcher's own platform.
     """
 
     data_centre: str = DATA_CENTRE
@@ -99,7 +103,7 @@
 
 
 class Launcher(contextlib.ExitStack):
-    """A small fleet on loopback; whatever is left is killed on exit."""
+    """A small fleet on loopback; ends processes that still run on exit."""
 
     poll_seconds = 0.2
     heartbeat_seconds = 0.5
@@ -112,7 +116,7 @@
         self.operator_key = secrets.token_urlsafe(16)
         self.account_key = secrets.token_urlsafe(16)
         self.cursor_secret = secrets.token_urlsafe(24)
-        self.platform = self.stand_in('platform', 'platform')
+        self.platform = self.start_stand_in('platform', 'platform')
         self.engines: dict[str, LaunchedProcess] = {}
         self.services: dict[str, LaunchedProcess] = {}
         self.instances: dict[str, LaunchedProcess] = {}
@@ -126,22 +130,22 @@
             self.platform,
         ]
 
-    def start(
+    def start_process(
         self, name: str, words: list[str], ports: list[int]
     ) -> LaunchedProcess:
-        """Start the program with these arguments; its output goes to a log."""
-        log = self.folder / f'{name}.log'
+        """Start the program with arguments; its output goes to a log file."""
+        log_path = self.folder / f'{name}.log'
         popen = subprocess.Popen(
-            [*program_words(), *words],
+            [*program_arguments(), *words],
             stdin=subprocess.DEVNULL,
-            stdout=self.enter_context(log.open('wb')),
+            stdout=self.enter_context(log_path.open('wb')),
             stderr=subprocess.STDOUT,
         )
-        self.callback(self.end, popen)
-        return LaunchedProcess(name, popen, ports, log)
+        self.callback(self.terminate_process, popen)
+        return LaunchedProcess(name, popen, ports, log_path)
 
-    def end(self, popen: subprocess.Popen) -> None:
-        """End a process that still runs, if it can by itself."""
+    def terminate_process(self, popen: subprocess.Popen) -> None:
+        """Terminate a process that still runs; kill it after 1 s."""
         if popen.poll() is None:
             popen.terminate()
             with contextlib.suppress(subprocess.TimeoutExpired):
@@ -150,40 +154,46 @@
             popen.kill()
         popen.wait()
 
-    def stand_in(self, kind: str, name: str, *flags: str) -> LaunchedProcess:
+    def start_stand_in(
+        self, kind: str, name: str, *flags: str
+    ) -> LaunchedProcess:
         """Start a stand-in."""
-        port = free_port()
+        port = reserve_port()
         words = ['stand-in', kind, f'--port={port}', f'--name={name}', *flags]
-        return self.start(name, words, [port])
+        return self.start_process(name, words, [port])
 
-    def engine(self, name: str, *flags: str) -> LaunchedProcess:
+    def start_engine(self, name: str, *flags: str) -> LaunchedProcess:
         """Start an engine stand-in."""
-        self.engines[name] = self.stand_in('engine', name, *flags)
+        self.engines[name] = self.start_stand_in('engine', name, *flags)
         return self.engines[name]
 
-    def service(self, name: str) -> LaunchedProcess:
+    def start_service(self, name: str) -> LaunchedProcess:
         """Start a plain-service stand-in."""
-        self.services[name] = self.stand_in('service', name)
+        self.services[name] = self.start_stand_in('service', name)
         return self.services[name]
 
-    def instance(self, name: str, place: Place = Place()) -> LaunchedProcess:
+    def start_instance(
+        self, name: str, location: InstanceLocation = InstanceLocation()
+    ) -> LaunchedProcess:
         """Start an instance."""
-        ports = [free_port() for _ in range(3)]
+        ports = [reserve_port() for _ in range(3)]
         path = self.folder / f'{name}.ini'
-        path.write_text(self.settings_text(name, ports, place))
+        path.write_text(self.render_settings(name, ports, location))
         words = ['serve', f'--settings={path}']
-        self.instances[name] = self.start(name, words, ports)
+        self.instances[name] = self.start_process(name, words, ports)
         return self.instances[name]
 
-    def settings_text(self, name: str, ports: list[int], place: Place) -> str:
+    def render_settings(
+        self, name: str, ports: list[int], location: InstanceLocation
+    ) -> str:
         """Return the settings file of an instance."""
-        peers = ', '.join(f'{HOST}:{one.peer_port}' for one in place.peers)
+        peers = ', '.join(f'{HOST}:{one.peer_port}' for one in location.peers)
         addresses = f'addresses = {peers}' if peers else ''
         return textwrap.dedent(
             f"""\
             [instance]
             name = {name}
-            data_centre = {place.data_centre}
+            data_centre = {location.data_centre}
             host = {HOST}
             caller_port = {ports[0]}
             operator_port = {ports[1]}
@@ -191,7 +201,7 @@
 
             [platform]
             host = {HOST}
-            port = {place.platform_port or self.platform.port}
+            port = {location.platform_port or self.platform.port}
             poll_seconds = {self.poll_seconds}
             timeout_seconds = 1.0
 
@@ -235,8 +245,8 @@
             ),
         )
 
-    def last_lines(self) -> str:
-        """Return the end of each log, for a report of what went wrong."""
+    def log_tails(self) -> str:
+        """Return the last lines of each log, for the report of a failure."""
         parts = []
         for path in sorted(self.folder.glob('*.log')):
             lines = path.read_text('utf-8', 'replace').splitlines()[-5:]
@@ -244,10 +254,10 @@
         return '\n'.join(parts) + '\n'
 
 
-def program_words() -> list[str]:
-    """Return the words that start this program once more.
+def program_arguments() -> list[str]:
+    """Return the arguments that start this program.
 
-    Within the one-file archive there is no module of that name to run.
+    Inside the single-file archive, ``-m`` finds no module of that name.
     """
     if zipfile.is_zipfile(sys.argv[0]):
         return [sys.executable, sys.argv[0]]
@@ -264,19 +274,19 @@
     )
 
 
-def free_port() -> int:
-    """Return a port that nobody uses, kept for this process's children.
+def reserve_port() -> int:
+    """Return an unused port, reserved for this process's children.
 
-    The system gives outgoing connections ports from 32768 up, at any time,
-    so the port is drawn from below. It stays bound here: otherwise another
-    launcher, or this one, could draw it again before the process that it is
-    meant for listens, which then fails with "address already in use".
-    Address reuse is switched on once it is bound, so that a process which
-    sets it too, as Twisted and zmq do, may listen all the same, while the
-    next one to draw the port is refused.
+    The operating system may assign ports from 32768 up to outgoing connections
+    at any time, so the port is chosen below that. It stays bound here, because
+    otherwise this launcher or another one could choose it again before the
+    process that it is meant for listens, which would then fail with "address
+    already in use". Address reuse is enabled after binding, so that a process
+    which also enables it, as Twisted and zmq do, can listen on the port, while
+    a launcher that tries to reserve it again can't bind it.
     """
     while True:
-        port = secrets.choice(PORTS)
+        port = secrets.choice(PORT_RANGE)
         reservation = socket.socket()
         try:
             reservation.bind((HOST, port))
@@ -284,17 +294,17 @@
             reservation.close()
             continue
         reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        RESERVATIONS.append(reservation)
+        RESERVED_SOCKETS.append(reservation)
         return port
 
 
 def digest(key: str) -> str:
-    """Return the digest under which a key is kept."""
+    """Return the digest that is stored in place of a key."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
-def listens(port: int) -> bool:
-    """Return whether somebody listens on a port."""
+def is_listening(port: int) -> bool:
+    """Return whether a process listens on a port."""
     try:
         with socket.create_connection((HOST, port), timeout=1.0):
             return True
@@ -304,19 +314,23 @@
 
 def wait_until_listening(
     processes: list[LaunchedProcess],
-    check: Callable[[], None],
-    patience_seconds: float = 30.0,
+    check_interrupted: Callable[[], None],
+    timeout_seconds: float = 30.0,
 ) -> None:
-    """Return once all processes listen; raise if one ends or takes long.
+    """Return once all processes listen.
 
-    ``check`` is called now and again, and may raise.
+    Calls ``check_interrupted`` while waiting, which may raise. Raises
+    :class:`~greengagelb.errors.DemoFailed` if a process ends or the timeout
+    passes.
     """
-    give_up_at = time.monotonic() + patience_seconds
+    deadline = time.monotonic() + timeout_seconds
     for process in processes:
-        while not all(listens(port) for port in process.served_ports):
-            check()
+        while not all(is_listening(port) for port in process.served_ports):
+            check_interrupted()
             if process.popen.poll() is not None:
-                raise errors.DemoFailed(f'{process.name} ended by itself')
-            if time.monotonic() > give_up_at:
-                raise errors.DemoFailed(f'{process.name} does not listen')
+                raise errors.DemoFailed(f'{process.name} exited unexpectedly')
+            if time.monotonic() > deadline:
+                raise errors.DemoFailed(
+                    f'{process.name} does not listen in time'
+                )
             time.sleep(0.02)
--- a/src/greengagelb/cli/operators.py
+++ b/src/greengagelb/cli/operators.py
@@ -1,4 +1,4 @@
-"""The operators' commands: plan, show-plan, confirm and status."""
+"""The commands for operators: plan, show-plan, confirm and status."""
 
 from collections.abc import Callable
 from collections.abc import Coroutine
@@ -11,9 +11,9 @@
 from twisted.internet import interfaces
 
 from greengagelb import errors
+from greengagelb.cli import event_loop
 from greengagelb.cli import exit_codes
 from greengagelb.cli import operator_flags
-from greengagelb.cli import running
 from greengagelb.cli import tables
 from greengagelb.protocol import codec
 from greengagelb.protocol import operator_api
@@ -24,7 +24,7 @@
 DRAIN = flags.DEFINE_string(
     'drain', None, 'Intent: give the upstream of this name no new work.'
 )
-RETURN = flags.DEFINE_string(
+RETURN_UPSTREAM = flags.DEFINE_string(
     'return_upstream',
     None,
     'Intent: give new work again to the drained upstream of this name.',
@@ -39,15 +39,15 @@
 )
 
 T = TypeVar('T')
-Work = Callable[
+PlanCall = Callable[
     [operator_client.OperatorClient], Coroutine[Any, Any, plan_state.Plan]
 ]
 
 
 def plan(words: list[str]) -> int:
-    """Ask for the plan of an intent; nothing takes effect yet."""
+    """Request and print the plan for an intent; nothing takes effect yet."""
     intent = read_intent()
-    made = ask_first(lambda client: client.propose(intent))
+    made = ask_first_instance(lambda client: client.propose_plan(intent))
     sys.stdout.write(render_plan(made))
     sys.stdout.write(
         'nothing has changed yet; to put it in force:\n'
@@ -57,16 +57,18 @@
 
 
 def show_plan(words: list[str]) -> int:
-    """Show a plan that was made before."""
-    plan_id = one_word(words, 'show-plan PLAN_ID')
-    sys.stdout.write(render_plan(ask_first(lambda c: c.show(plan_id))))
+    """Print an existing plan."""
+    plan_id = only_argument(words, 'show-plan PLAN_ID')
+    sys.stdout.write(
+        render_plan(ask_first_instance(lambda c: c.show_plan(plan_id)))
+    )
     return exit_codes.ExitCode.SUCCESS
 
 
 def confirm(words: list[str]) -> int:
     """Put a plan in force."""
-    plan_id = one_word(words, 'confirm PLAN_ID')
-    done = ask_first(lambda client: client.confirm(plan_id))
+    plan_id = only_argument(words, 'confirm PLAN_ID')
+    done = ask_first_instance(lambda client: client.confirm_plan(plan_id))
     sys.stdout.write(
         f'plan {done.plan_id} is confirmed: configuration version '
         f'{done.result.version}\nsee how far it is in force: '
@@ -76,8 +78,8 @@
 
 
 def status(words: list[str]) -> int:
-    """Show what all instances say of themselves."""
-    addresses = operator_flags.addresses()
+    """Print the status that each instance reports."""
+    addresses = operator_flags.operator_addresses()
     key = operator_flags.operator_key()
 
     async def ask(reactor: interfaces.IReactorCore) -> list[Any]:
@@ -85,17 +87,17 @@
             operator_client.OperatorClient(reactor, address, key)
             for address in addresses
         ]
-        return await operator_client.ask_all(
-            clients, lambda client: client.status()
+        return await operator_client.query_instances(
+            clients, lambda client: client.fetch_status()
         )
 
-    answers = running.run_once(ask)
+    answers = event_loop.run_coroutine(ask)
     sys.stdout.write(render_status(answers))
     return exit_code_of(answers)
 
 
 def exit_code_of(answers: list[Any]) -> exit_codes.ExitCode:
-    """Return the exit code where some instances may not have answered."""
+    """Return the exit code for answers, some of which may be missing."""
     code = exit_codes.ExitCode.SUCCESS
     for answer in answers:
         match answer:
@@ -108,21 +110,21 @@
     return code
 
 
-def one_word(words: list[str], usage: str) -> str:
-    """Return the only argument of a command."""
+def only_argument(words: list[str], usage: str) -> str:
+    """Return the only argument of a command; raise if there are others."""
     if len(words) != 1:
         raise errors.CommandError(f'write greengagelb {usage}')
     return words[0]
 
 
-def ask_first(work: Work) -> plan_state.Plan:
-    """Ask the first of the given instances; the others are not needed.
+def ask_first_instance(work: PlanCall) -> plan_state.Plan:
+    """Send a call to the first of the given instances.
 
-    An instance that can't be reached was not changed by this command, but
-    the command does not go on to the next by itself: a confirmation whose
-    answer was lost may have taken effect, and the operator has to look.
+    The call is not repeated at the next instance if the first one can't be
+    reached: a confirmation whose answer was lost may have taken effect, and
+    the operator has to check that.
     """
-    address = operator_flags.addresses()[0]
+    address = operator_flags.operator_addresses()[0]
     key = operator_flags.operator_key()
 
     async def ask(reactor: interfaces.IReactorCore) -> plan_state.Plan:
@@ -130,12 +132,12 @@
             operator_client.OperatorClient(reactor, address, key)
         )
 
-    return running.run_once(ask)
+    return event_loop.run_coroutine(ask)
 
 
 def read_intent() -> plan_state.Intent:
-    """Return the one intent that the flags state."""
-    flags_given = (DRAIN, RETURN, CONFIGURATION, INTENT)
+    """Return the intent in the flags; raise unless there is exactly one."""
+    flags_given = (DRAIN, RETURN_UPSTREAM, CONFIGURATION, INTENT)
     if sum(flag.value is not None for flag in flags_given) != 1:
         raise errors.CommandError(
             'write one of --drain=UPSTREAM, --return_upstream=UPSTREAM, '
@@ -143,22 +145,22 @@
         )
     if DRAIN.value is not None:
         return plan_state.DrainUpstream(DRAIN.value)
-    if RETURN.value is not None:
-        return plan_state.ReturnUpstream(RETURN.value)
+    if RETURN_UPSTREAM.value is not None:
+        return plan_state.ReturnUpstream(RETURN_UPSTREAM.value)
     if CONFIGURATION.value is not None:
         return plan_state.ReplaceConfiguration(
             read_json(CONFIGURATION.value, read_configuration)
         )
-    return read_json(INTENT.value, operator_api.read_intent)
+    return read_json(INTENT.value, operator_api.decode_intent)
 
 
 def read_configuration(raw: bytes) -> configuration_state.Configuration:
-    """Return the configuration in a message."""
+    """Decode a configuration."""
     return codec.decode(raw, configuration_state.Configuration)
 
 
 def read_json(name: str, read: Callable[[bytes], T]) -> T:
-    """Return the message in a JSON file, validated."""
+    """Return the validated message in a JSON file."""
     try:
         return read(pathlib.Path(name).read_bytes())
     except (OSError, errors.ProtocolError) as exc:
@@ -179,11 +181,11 @@
     ]
     lines += [capacity_line(capacity) for capacity in shown.capacity]
     lines += [f'  WARNING: {warning}' for warning in shown.warnings]
-    return '\n'.join(tables.clean(line) for line in lines) + '\n'
+    return '\n'.join(tables.replace_unprintable(line) for line in lines) + '\n'
 
 
 def capacity_line(capacity: plan_state.Capacity) -> str:
-    """Return one line on the places of a pool or of an account in it."""
+    """Return a line on the places of a pool, or of an account in a pool."""
     owner = f'pool {capacity.pool}'
     if capacity.account:
         owner += f', account {capacity.account}'
@@ -196,7 +198,7 @@
 def render_status(
     answers: list[operator_api.Status | operator_client.NoAnswer],
 ) -> str:
-    """Return a table of all instances, and how far the newest version is."""
+    """Return a table of instances, and how many have the newest version."""
     rows = [
         ['INSTANCE', 'DATA CENTRE', 'VERSION', 'STATE', 'RUNNING', 'WAITING']
     ]
@@ -220,7 +222,7 @@
 
 
 def missing_notes(answer: operator_api.Status) -> list[str]:
-    """Return which instances lack the version, as this one sees them."""
+    """Return notes on instances that this one sees with an older version."""
     return [
         f'{answer.process} sees an older version on {name}'
         for name in answer.missing
@@ -228,7 +230,7 @@
 
 
 def status_row(answer: operator_api.Status) -> list[str]:
-    """Return the cells of one instance."""
+    """Return the table cells of one instance."""
     state = 'serving' if answer.configuration_version else 'not configured'
     if answer.stopping:
         state = 'stopping'
--- a/src/greengagelb/coordination/relay/crash_watch.py
+++ b/src/greengagelb/coordination/relay/crash_watch.py
@@ -11,8 +11,8 @@
 from greengagelb.coordination import actions
 from greengagelb.coordination.relay import actions as relay_actions
 from greengagelb.coordination.relay import events as relay_events
+from greengagelb.coordination.sharing import broken_runs
 from greengagelb.coordination.sharing import crash_records
-from greengagelb.coordination.sharing import suspicions
 from greengagelb.state import crashes as crash_state
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import exchanges
@@ -32,14 +32,14 @@
 class EngineCheck:
     """A check in progress whether an engine has ended.
 
-    ``held_runs`` are the runs, as number of the exchange and send, whose
-    requests wait for the result.
+    ``requests_awaiting_check`` has the numbers of the exchange and the send of
+    each run whose request waits for the result.
     """
 
     entry: engines.EngineEntry
     attempts: int = 1
-    held_runs: list[tuple[int, exchanges.Sent]] = dataclasses.field(
-        default_factory=list
+    requests_awaiting_check: list[tuple[int, exchanges.InFlightSend]] = (
+        dataclasses.field(default_factory=list)
     )
 
 
@@ -48,7 +48,7 @@
     """The requests that a crash counts against, and those to resume."""
 
     counted_fingerprints: tuple[str, ...]
-    held_runs: tuple[tuple[int, exchanges.Sent], ...]
+    requests_awaiting_check: tuple[tuple[int, exchanges.InFlightSend], ...]
 
 
 class CrashWatch:
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
-        self.suspicions = suspicions.Suspicions()
+        self.broken_runs = broken_runs.BrokenRuns()
         self.checks: dict[str, EngineCheck] = {}
         self.next_peer_query_at = float('-inf')
 
@@ -70,31 +70,34 @@
     def suspect_engine(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         began_at: float,
         now: float,
     ) -> list[Action]:
         """Suspect the engine of a run that broke off; have it checked."""
         life = sent.entry.life
-        suspicion = suspicions.Suspicion(
+        broken_run = broken_runs.BrokenRun(
             exchange.fingerprint, life, began_at, now
         )
-        self.suspicions.forget_expired(now)
-        self.suspicions.add(life, suspicion)
+        self.broken_runs.forget_expired(now)
+        self.broken_runs.add(life, broken_run)
         if life in self.checks:
             return []
         self.checks[life] = EngineCheck(sent.entry)
         return [relay_actions.CheckEngine(sent.entry)]
 
     def hold_until_checked(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> bool:
         """Hold a request that the checks in progress may block.
 
         It is held if it would be blocked should all its engines under check
         turn out to have ended. Returns whether it is held.
         """
-        suspected_lives = self.suspicions.suspected_crashes(
+        suspected_lives = self.broken_runs.suspected_crashes(
             exchange.fingerprint
         )
         lives_under_check = [
@@ -106,7 +109,7 @@
             exchange.fingerprint, suspected_lives, now
         ):
             return False
-        self.checks[lives_under_check[-1]].held_runs.append(
+        self.checks[lives_under_check[-1]].requests_awaiting_check.append(
             (exchange.number, sent)
         )
         return True
@@ -118,19 +121,23 @@
         life = event.entry.life
         check = self.checks.get(life)
         if event.fate is relay_events.EngineFate.UNKNOWN and (
-            check is not None and check.attempts < suspicions.MAX_PROBES
+            check is not None and check.attempts < broken_runs.MAX_PROBES
         ):
-            again_at = now + suspicions.PROBE_RETRY_SECONDS
+            again_at = now + broken_runs.PROBE_RETRY_SECONDS
             return actions.SetTimer(f'{RECHECK_TIMER}:{life}', again_at)
         self.checks.pop(life, None)
-        suspected_runs = self.suspicions.pop_suspicions(life, now)
+        suspected_runs = self.broken_runs.pop_broken_runs(life, now)
         if event.fate is not relay_events.EngineFate.ENDED:
             suspected_runs = []
-        counted_fingerprints = suspicions.count_crashes(
+        counted_fingerprints = broken_runs.count_crashes(
             suspected_runs, self.records, now
         )
-        held_runs = check.held_runs if check is not None else []
-        return CheckResult(tuple(counted_fingerprints), tuple(held_runs))
+        requests_awaiting_check = (
+            check.requests_awaiting_check if check is not None else []
+        )
+        return CheckResult(
+            tuple(counted_fingerprints), tuple(requests_awaiting_check)
+        )
 
     def check_again(self, life: str) -> list[Action]:
         """Repeat the check of an engine that gave no answer."""
--- a/src/greengagelb/coordination/relay/directory.py
+++ b/src/greengagelb/coordination/relay/directory.py
@@ -4,8 +4,9 @@
 it while the store is unavailable. Two facts hold whatever the list says: an
 engine once known as leaving stays so, and an engine that failed here is
 avoided for a while. Both apply to one life of an engine, the time from one of
-its starts to the next. When an engine restarts under the same identity,
-nothing that was known of its previous life holds for the new one.
+its starts to the next (called incarnation for instances). When an engine
+restarts under the same identity, nothing that was known of its former lives
+holds for the new one.
 """
 
 import collections
@@ -39,10 +40,11 @@
 # Silences of streams within this time are taken for one event. Streams notice
 # at different times, depending on when their last event arrived.
 SILENCE_CORRELATION_SECONDS = 1.0
-# An entry has lapsed after three renewals, which take this multiple of the
-# shortest outage in which an entry can lapse.
+# An entry lapses after three intervals without a renewal. The shortest outage
+# in which an entry can lapse, ``least_lapse_seconds``, is two intervals; this
+# is the time of three as a multiple of it.
 LAPSE_FACTOR = 1.5
-# The time between two renewals as a share of that shortest outage.
+# One renewal interval as a share of ``least_lapse_seconds``.
 RENEWAL_FACTOR = 0.5
 # Peers send one read of the list in several datagrams within less than this
 # time; readers read once a second.
@@ -107,7 +109,7 @@
         # time of confirmation.
         self.note_list_read(now)
         for entry in entries:
-            if not self.is_past_life(entry):
+            if not self.is_former_life(entry):
                 self.states[entry.engine].listed = True
         for name in removed:
             state = self.states.get(name)
@@ -140,7 +142,7 @@
             for name, state in self.states.items()
             if state.entry.address == entry.address
             and name != entry.engine
-            and not entry.ended_before(state.entry.started_at_ms)
+            and not entry.is_earlier_than(state.entry.started_at_ms)
             and state.learned_at < learned_before
             and not state.replaced
         ]
@@ -159,10 +161,10 @@
     def apply_entry(self, entry: engines.EngineEntry, now: float) -> bool:
         """Apply one entry; return whether its engine has started to leave.
 
-        An entry of a past life is ignored: its sender lags behind, and
+        An entry of a former life is ignored: its sender lags behind, and
         applying it would end what runs on the current life.
         """
-        if self.is_past_life(entry):
+        if self.is_former_life(entry):
             return False
         if self.is_new_life(entry):
             self.begin_life(entry, now)
@@ -182,14 +184,14 @@
         state = self.states.get(entry.engine)
         if state is None:
             return False
-        return state.entry.ended_before(entry.started_at_ms)
+        return state.entry.is_earlier_than(entry.started_at_ms)
 
-    def is_past_life(self, entry: engines.EngineEntry) -> bool:
+    def is_former_life(self, entry: engines.EngineEntry) -> bool:
         """Return whether a later life of an entry's engine is known."""
         state = self.states.get(entry.engine)
         if state is None:
             return False
-        return entry.ended_before(state.entry.started_at_ms)
+        return entry.is_earlier_than(state.entry.started_at_ms)
 
     def begin_life(self, entry: engines.EngineEntry, now: float) -> None:
         """Replace what is known of an engine by an entry.
@@ -200,17 +202,17 @@
         former = self.states.get(entry.engine)
         if former is not None:
             state.in_flight = former.in_flight
-            state.former_until = self.former_life_sends_until(former, now)
+            state.former_until = self.last_certain_former_send_at(former, now)
             del self.by_service[former.entry.service][entry.engine]
             self.outliers.forget_engines({entry.engine})
         self.states[entry.engine] = state
         service_engines = self.by_service.setdefault(entry.service, {})
         service_engines[entry.engine] = state
 
-    def former_life_sends_until(
+    def last_certain_former_send_at(
         self, former: engine_states.EngineState, now: float
     ) -> float:
-        """Return until when every send certainly went to the former life.
+        """Return until when sends certainly went to the former life.
 
         A restarted engine accepts requests before its new entry is read,
         because they are sent under the same identity. Only requests sent well
@@ -236,7 +238,7 @@
         Returns its entry, or None if the life is not newer than the known one.
         """
         state = self.states.get(engine)
-        if state is None or not state.entry.ended_before(started_at_ms):
+        if state is None or not state.entry.is_earlier_than(started_at_ms):
             return None
         entry = dataclasses.replace(
             state.entry,
@@ -288,13 +290,16 @@
             entry.engine
             for entry in entries
             if entry.engine in self.states
-            and not (self.is_past_life(entry) or self.is_restart(entry))
+            and not (self.is_former_life(entry) or self.is_restart(entry))
             and entry.service != self.states[entry.engine].entry.service
         )
 
-    def is_news(self, entry: engines.EngineEntry) -> bool:
-        """Return whether an entry says more than that its engine is alive."""
-        if self.is_past_life(entry):
+    def has_changed(self, entry: engines.EngineEntry) -> bool:
+        """Return whether an entry changes what is known of its engine.
+
+        A mere renewal only says that the engine is alive.
+        """
+        if self.is_former_life(entry):
             return False
         state = self.states.get(entry.engine)
         if state is None or not state.listed or self.is_restart(entry):
@@ -327,9 +332,9 @@
         """Note that the list was read.
 
         A gap shorter than the least lapse time is no outage: no entry lapses
-        that fast, so an engine that is missing now has left. Kept for the two
-        seconds of grace it would be given requests for longer than is
-        promised.
+        that fast, so an engine that is missing now has left. If it were kept
+        for the grace period, it would get requests for longer than is allowed
+        after it has left.
         """
         if self.is_store_lost:
             self.is_store_lost = False
@@ -338,7 +343,7 @@
         self.note_confirmed(now)
 
     def note_store_restored(self, now: float) -> None:
-        """Expect engines to return that a restored copy of the store lacks.
+        """Expect engines to return that the restored backup lacks.
 
         They register again with the next renewal, or within about the time
         that they need after an outage.
@@ -386,7 +391,8 @@
     ) -> engine_states.EngineState | None:
         """Return the state of an engine, or None if a later life is known.
 
-        A late report about a past life must not count against the current one.
+        A late report about a former life must not count against the current
+        one.
         """
         state = self.states.get(engine)
         if state is None:
@@ -426,7 +432,7 @@
         now: float,
         started_at_ms: int = engines.UNKNOWN_START,
     ) -> None:
-        """Count an error that an engine answered a call with."""
+        """Count an error answer or a late answer of an engine to a call."""
         state = self.find_same_life(engine, started_at_ms)
         if state is None:
             return
@@ -434,7 +440,7 @@
         others = [
             name
             for name, other in service_engines.items()
-            if name != engine and other.usable(now)
+            if name != engine and other.is_usable(now)
         ]
         self.outliers.count_error(engine, others, now)
 
@@ -534,7 +540,7 @@
             name
             for name, state in self.states.items()
             if state.entry.address == address
-            and state.usable(now)
+            and state.is_usable(now)
             and self.is_configured_service(state.entry.service)
         }
 
@@ -552,33 +558,33 @@
     def candidates(
         self, service: str, excluded: set[str], now: float
     ) -> list[engine_states.EngineState]:
-        """Return the engines of a service that may get work, trusted first.
+        """Return the trusted engines of a service that may get work.
 
-        If all engines are suspected, those are returned: the links of this
-        instance may be at fault, and refusing the request for lack of engines
-        would help nobody.
+        If no usable engine is trusted, all usable ones are returned: the links
+        of this instance may be at fault, and refusing the request for lack of
+        engines would help nobody.
         """
         usable = [
             state
             for name, state in self.by_service.get(service, {}).items()
-            if name not in excluded and state.usable(now)
+            if name not in excluded and state.is_usable(now)
         ]
-        trusted = [state for state in usable if state.trusted(now)]
+        trusted = [state for state in usable if state.is_trusted(now)]
         return trusted or usable
 
-    def data_centre_failure_risks(
+    def failure_risk_by_data_centre(
         self, service: str, now: float
     ) -> dict[str, float]:
-        """Return how likely the rest of each data centre fails, from 0 to 1.
+        """Return the risk, 0 to 1, that the rest of each data centre fails.
 
         Engines of one data centre tend to fail together, when it loses power
         or its link. Two recent failures are taken as certainty.
         """
         failed: collections.Counter[str] = collections.Counter()
         for state in self.by_service.get(service, {}).values():
-            if not state.usable(now):
+            if not state.is_usable(now):
                 continue
-            if now < state.doubted_until or not state.trusted(now):
+            if now < state.doubted_until or not state.is_trusted(now):
                 failed[state.entry.data_centre] += 1
         return {
             data_centre: min(1.0, failure_count / DATA_CENTRE_FAILURE_COUNT)
--- a/src/greengagelb/coordination/relay/events.py
+++ b/src/greengagelb/coordination/relay/events.py
@@ -78,7 +78,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RoutesOffered:
+class ConfigurationOffered:
     """A source offers a configuration, which may be an old one."""
 
     table: routes.RouteTable
@@ -171,11 +171,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SuccessorSeen:
-    """The engine that answers at the address of a lost one was found.
+class AddressProbed:
+    """A probe of a lost engine's address has ended.
 
-    ``new`` is its identity, or empty if none answers. If that is still the
-    same, ``started_at_ms`` is the start time that it reported.
+    ``new`` is the identity of the engine that answered, or empty if none did.
+    If it is still the same, ``started_at_ms`` is the start time it reported.
     ``has_model_memory`` is whether it was asked for the memory of a model
     engine, has it, and is not about to leave.
     """
@@ -226,7 +226,7 @@
 
     incarnation: str
     data_centre: str
-    known: hints.Digests = hints.NOTHING_KNOWN
+    known: hints.Digests = hints.EMPTY_DIGESTS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -252,7 +252,7 @@
     | AnswerComplete
     | SendFailed
     | ConfigurationChecked
-    | RoutesOffered
+    | ConfigurationOffered
     | EnginesListed
     | EnginesChanged
     | StoreLost
@@ -265,7 +265,7 @@
     | EngineChecked
     | CrashesListed
     | RunCopied
-    | SuccessorSeen
+    | AddressProbed
     | MembersListed
     | PeerHeard
     | PeerLeft
--- a/src/greengagelb/coordination/relay/sending.py
+++ b/src/greengagelb/coordination/relay/sending.py
@@ -24,7 +24,7 @@
 OWN_INSTANCE = ''
 
 
-class SendTable:
+class SendManager:
     """Starts and abandons sends, and counts them for each engine.
 
     ``pending_hints`` are those that other instances have not been sent yet.
@@ -51,12 +51,12 @@
         """Return whether the route allows one more attempt."""
         return exchange.attempts < exchange.ruling.route.most_attempts
 
-    def acquire_attempt(
+    def try_spend_attempt(
         self, exchange: exchanges.Exchange, now: float
     ) -> bool:
-        """Return whether a request may be sent, counting it as a retry.
+        """Return whether one more attempt is allowed; spend a retry for it.
 
-        The first attempt does not count as a retry.
+        The first attempt spends none, nor does one that is not allowed.
         """
         if not self.has_attempts_left(exchange):
             return False
@@ -78,8 +78,8 @@
     ) -> list[Action]:
         """Send a request to an engine, from the caller's position on."""
         request, ruling = exchange.request, exchange.ruling
-        stream = ruling.route.repeat is routes.Repeat.STREAM
-        sent = exchanges.Sent(
+        stream = ruling.route.repeat is routes.RepeatPolicy.STREAM
+        sent = exchanges.InFlightSend(
             next(self.send_numbers),
             state.entry,
             began_at=now,
@@ -116,21 +116,21 @@
                 exchange.position or None,
                 copy_from,
                 copy_to,
-                fresh=not ruling.route.repeatable,
+                fresh=not ruling.route.is_repeatable,
             ),
         ]
 
     def note_answer_head(
         self,
         exchange: exchanges.Exchange,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
         head: requests.AnswerHead,
         now: float,
     ) -> list[Action]:
         """Record the load and the limit that an answer's head reports."""
         self.engines.update_load(sent.entry.engine, head.load, now)
         life = sent.entry.life
-        if isinstance(head.limit, limits.Unusable):
+        if isinstance(head.limit, limits.UnusableLimit):
             why = f'limit-unusable: {head.limit.text}'
             return [record(exchange, sent, 'engine-limit-refused', why)]
         changed_limit = self.keeper.update_from_answer(
@@ -161,7 +161,7 @@
         self,
         exchange: exchanges.Exchange,
         state: engine_states.EngineState,
-        sent: exchanges.Sent,
+        sent: exchanges.InFlightSend,
     ) -> str:
         """Return the figures behind the choice of an engine for a send."""
         work = self.loads.work_on(state.entry.engine)
@@ -170,14 +170,14 @@
             f'fingerprint {exchange.fingerprint}',
             f'in_flight {state.in_flight}',
             f'runs {work.runs}',
-            f'tokens {work.memory_tokens}',
+            f'memory tokens {work.memory_tokens}',
         ]
         known = self.keeper.table.known_limits.get(state.entry.life)
         if known is not None and known.rate is not None:
             age = sent.began_at - known.known_at
             parts.append(f'limit {known.rate:g} known for {age:.3f} s')
         if exchange.position:
-            parts.append(f'after {exchange.position}')
+            parts.append(f'resumes after event {exchange.position}')
         if sent.from_copy:
             parts.append('from copy')
         if sent.copy_to is not None:
@@ -185,7 +185,10 @@
         return ', '.join(parts)
 
     def count_run(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> None:
         """Count a run's memory and unread prompt for its engine."""
         prompt = exchange.request.prompt
@@ -199,7 +202,7 @@
             sent.alone_with = unread_tokens
         run = loads.Run(
             sent.entry.engine,
-            prompt.most_memory,
+            prompt.max_memory_tokens,
             unread_tokens,
             copy_to,
             prompt.own_part,
@@ -208,7 +211,10 @@
         self.count_and_announce_run(sent.number, run, now)
 
     def update_copy_location(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent, now: float
+        self,
+        exchange: exchanges.Exchange,
+        sent: exchanges.InFlightSend,
+        now: float,
     ) -> None:
         """Count the copy of a run for the engine that now holds it."""
         known = self.loads.runs.get((OWN_INSTANCE, sent.number))
@@ -223,7 +229,7 @@
         """Count a run here, and announce it to the other instances."""
         self.loads.add_run((OWN_INSTANCE, number), run, now)
         self.pending_hints.append(
-            hints.Placed(
+            hints.RunPlaced(
                 number,
                 run.engine,
                 run.memory_tokens,
@@ -235,7 +241,7 @@
         )
 
     def note_engine_replaced(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> None:
         """Record that another engine answered at a send's address.
 
@@ -246,13 +252,13 @@
         replaced = sent.entry
         self.engines.note_replaced(replaced.engine, replaced.started_at_ms)
         self.pending_hints.append(
-            hints.Replaced(
+            hints.EngineReplaced(
                 replaced.engine, started_at_ms=replaced.started_at_ms
             )
         )
 
     def release_send(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> None:
         """Stop counting a send; its later events are ignored."""
         del exchange.sends[sent.number]
@@ -260,10 +266,10 @@
         if state is not None:
             state.in_flight -= 1
         if self.loads.remove_run((OWN_INSTANCE, sent.number)):
-            self.pending_hints.append(hints.Ended(sent.number))
+            self.pending_hints.append(hints.RunEnded(sent.number))
 
     def abandon_send(
-        self, exchange: exchanges.Exchange, sent: exchanges.Sent
+        self, exchange: exchanges.Exchange, sent: exchanges.InFlightSend
     ) -> list[Action]:
         """Release a send and close its connection."""
         self.release_send(exchange, sent)
@@ -271,10 +277,10 @@
 
     def abandon_all_sends(self, exchange: exchanges.Exchange) -> list[Action]:
         """Abandon all sends of an exchange."""
-        done: list[Action] = []
+        resulting: list[Action] = []
         for sent in list(exchange.sends.values()):
-            done += self.abandon_send(exchange, sent)
-        return done
+            resulting += self.abandon_send(exchange, sent)
+        return resulting
 
 
 def announced_attempt(exchange: exchanges.Exchange) -> int:
@@ -289,7 +295,7 @@
 
 def lost_send_record(
     exchange: exchanges.Exchange,
-    sent: exchanges.Sent,
+    sent: exchanges.InFlightSend,
     detail: str,
     now: float,
 ) -> actions.Record:
@@ -303,7 +309,7 @@
 
 def record(
     exchange: exchanges.Exchange,
-    sent: exchanges.Sent | None,
+    sent: exchanges.InFlightSend | None,
     kind: str,
     reason: str,
 ) -> actions.Record:
--- a/src/greengagelb/coordination/sharing/admission.py
+++ b/src/greengagelb/coordination/sharing/admission.py
@@ -15,12 +15,13 @@
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import requests
 
+# Bounds of the Retry-After before jitter is added.
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 120.0
 SECONDS_PER_MINUTE = 60.0
-# The wait is estimated from means. At five times capacity, a fifth of the
-# admitted long requests waited only to be refused without this margin, and a
-# thirtieth with it.
+# Factor on the estimated wait, which is a mean. At five times capacity, it
+# lowered the share of admitted long requests that were refused after waiting
+# from a fifth to a thirtieth.
 WAIT_MARGIN = 1.5
 
 QueueKey = tuple[str, configuration_state.Priority]
@@ -69,8 +70,8 @@
         self.resume_buckets: dict[str, rates.CostBucket] = {}
         self.recheck_needed = False
 
-    def resize(self, live_instances: int) -> None:
-        """Divide the limits of the data centre among its live instances."""
+    def set_instance_count(self, live_instances: int) -> None:
+        """Set the live instances that share the data centre's limits."""
         self.live_instances = max(1, live_instances)
         self.unpark_all_accounts()
 
@@ -101,7 +102,7 @@
         of it.
         """
         if self.queued_per_account[account.name] >= account.most_queued:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'account-queue-full',
                 f'{account.most_queued} requests wait already',
                 self.expected_wait_seconds(ticket),
@@ -109,13 +110,13 @@
         wait = self.expected_wait_seconds(ticket)
         latest = now + WAIT_MARGIN * wait + self.expected_run_seconds(ticket)
         if latest > ticket.deadline:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'deadline-too-near',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
             )
         if now + WAIT_MARGIN * wait > ticket.start_by:
-            return self.not_run_failure(
+            return self.refuse_with_jitter(
                 'wait-too-long',
                 f'would have to wait for about {wait:.1f} s',
                 wait,
@@ -134,14 +135,14 @@
         if not account.tokens_per_second:
             return None
         rate = account.tokens_per_second / self.live_instances
-        burst = rate * rates.BURST_SECONDS
+        burst = rate * rates.ACCOUNT_BURST_SECONDS
         bucket = self.rate_buckets.setdefault(
             account.name, rates.CostBucket(burst, now)
         )
         wait = bucket.take(ticket.cost, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run_failure(
+        return self.refuse_with_jitter(
             'account-rate-exceeded', account.name, wait
         )
 
@@ -162,12 +163,14 @@
         wait = bucket.take(1.0, rate, burst, now)
         if wait is None:
             return None
-        return self.not_run_failure('resume-budget-spent', account.name, wait)
+        return self.refuse_with_jitter(
+            'resume-budget-spent', account.name, wait
+        )
 
-    def not_run_failure(
+    def refuse_with_jitter(
         self, code: str, detail: str, wait: float
     ) -> requests.Failure:
-        """Return a refusal with a Retry-After in seconds.
+        """Return a refusal with a jittered Retry-After in seconds.
 
         Without jitter all refused callers would come back at the same time and
         be refused again.
--- a/src/greengagelb/coordination/sharing/crash_guard.py
+++ b/src/greengagelb/coordination/sharing/crash_guard.py
@@ -1,17 +1,17 @@
 """Blocks requests of the product's own API that crash engines.
 
-When an attempt breaks off, its upstream is suspected of a crash and asked for
-its report. If the connection is refused, or the upstream reports another
-incarnation, the crash counts against the request.
+When the connection of an attempt breaks, its upstream may have crashed and is
+probed: it is asked for its report. If the connection is refused, or the
+upstream reports another incarnation, the crash counts against the request.
 """
 
 import dataclasses
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
+from greengagelb.coordination.sharing import broken_runs
 from greengagelb.coordination.sharing import crash_records
 from greengagelb.coordination.sharing import fingerprints
-from greengagelb.coordination.sharing import suspicions
 from greengagelb.state import configuration as configuration_state
 from greengagelb.state import crashes as crash_state
 
@@ -20,9 +20,9 @@
 BLOCKED_NOT_RUN_CODE = 'request-crashes-engines'
 BLOCKED_RAN_CODE = 'engine-deaths-exceeded'
 PROBE_TIMER = 'ask-suspect'
-# How long a suspect is reported in heartbeats after its last change. The time
-# is shorter for a single crash, because a crash makes every request on the
-# engine a suspect.
+# How long a suspected request is reported in heartbeats after its last change.
+# The time is shorter for a single crash, because one crash makes every request
+# on the engine a suspect.
 REPORT_SECONDS = 30.0
 REPORT_SINGLE_CRASH_SECONDS = 5.0
 MAX_REPORTS_PER_HEARTBEAT = 24
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingProbe:
-    """A pending check whether a suspected upstream has ended.
+    """A pending check whether an upstream has ended.
 
     ``incarnation`` is the one that the upstream had when the broken attempts
     began.
@@ -41,67 +41,69 @@
     probe_count: int = 1
 
 
-class CrashGuard:
-    """The crash records and suspicions of this instance."""
+class ProductCrashGuard:
+    """Crash records and broken runs of requests of the product's own API."""
 
     def __init__(self) -> None:
         self.records = crash_records.CrashRecords()
-        self.suspicions = suspicions.Suspicions()
+        self.broken_runs = broken_runs.BrokenRuns()
         self.pending_probes: dict[str, PendingProbe] = {}
         self.cached_change_count = 0
-        self.cached_suspects: tuple[crash_state.Suspect, ...] = ()
+        self.cached_suspects: tuple[crash_state.SuspectRequest, ...] = ()
 
     def blocked_until(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> float | None:
         """Return the time until which a request is blocked, or None."""
         if not self.records.histories:
             return None
-        fingerprint = fingerprints.for_own_request(request)
+        fingerprint = fingerprints.for_product_request(request)
         return self.records.blocked_until(fingerprint, now)
 
-    def is_blocked(self, request: fingerprints.OwnRequest, now: float) -> bool:
+    def is_blocked(
+        self, request: fingerprints.ProductRequest, now: float
+    ) -> bool:
         """Return whether a request is blocked now."""
         return self.blocked_until(request, now) is not None
 
-    def has_blocking_suspicions(
-        self, request: fingerprints.OwnRequest, now: float
+    def has_blocking_suspected_crashes(
+        self, request: fingerprints.ProductRequest, now: float
     ) -> bool:
         """Return whether suspected crashes would block a request."""
-        if not self.suspicions.by_engine:
+        if not self.broken_runs.by_engine:
             return False
-        fingerprint = fingerprints.for_own_request(request)
-        suspected = self.suspicions.suspected_crashes(fingerprint)
+        fingerprint = fingerprints.for_product_request(request)
+        suspected = self.broken_runs.suspected_crashes(fingerprint)
         if not suspected:
             return False
         return self.records.would_be_blocked(fingerprint, suspected, now)
 
     def must_not_run(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> bool:
-        """Return whether a request is blocked, or would be by suspicions."""
-        return self.is_blocked(request, now) or self.has_blocking_suspicions(
+        """Return whether known or suspected crashes block a request."""
+        return self.is_blocked(
             request, now
-        )
+        ) or self.has_blocking_suspected_crashes(request, now)
 
     def suspect_upstream(
         self,
-        request: fingerprints.OwnRequest,
+        request: fingerprints.ProductRequest,
         upstream: configuration_state.Upstream,
         incarnation: str,
         began_at: float,
         now: float,
     ) -> list[actions.Action]:
-        """Suspect the upstream of a broken attempt and have it probed."""
+        """Record a broken attempt and have its upstream probed."""
         self.forget_expired(now)
         name = upstream.name
-        suspicion = suspicions.Suspicion(
-            fingerprints.for_own_request(request),
+        broken_run = broken_runs.BrokenRun(
+            fingerprints.for_product_request(request),
             f'{name} {incarnation}',
             began_at,
             now,
         )
-        is_first = self.suspicions.add(name, suspicion)
+        is_first = self.broken_runs.add(name, broken_run)
         if not is_first and name in self.pending_probes:
             self.pending_probes[name].incarnation = incarnation
             return []
@@ -119,7 +121,7 @@
         known_incarnation = probe.incarnation
         if known_incarnation and known_incarnation != event.engine.incarnation:
             return self.count_crash(name, now)
-        self.suspicions.clear_engine(name)
+        self.broken_runs.clear_engine(name)
         return []
 
     def handle_unreachable(
@@ -140,38 +142,38 @@
     ) -> list[actions.Action]:
         """Return the timer of the next probe, if one is to follow."""
         probe = self.pending_probes.get(event.name)
-        if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
+        if probe is None or probe.probe_count >= broken_runs.MAX_PROBES:
             return []
         timer = f'{PROBE_TIMER}:{event.name}'
-        return [actions.SetTimer(timer, now + suspicions.PROBE_RETRY_SECONDS)]
+        return [actions.SetTimer(timer, now + broken_runs.PROBE_RETRY_SECONDS)]
 
     def repeat_probe(self, name: str) -> list[actions.Action]:
         """Probe an upstream again that did not answer."""
         probe = self.pending_probes.get(name)
-        if probe is None or probe.probe_count >= suspicions.MAX_PROBES:
+        if probe is None or probe.probe_count >= broken_runs.MAX_PROBES:
             return []
         probe.probe_count += 1
         return [actions.ProbeUpstream(probe.upstream)]
 
     def count_crash(self, name: str, now: float) -> list[str]:
         """Count the crash of an upstream; return the affected fingerprints."""
-        runs = self.suspicions.pop_suspicions(name, now)
-        return suspicions.count_crashes(runs, self.records, now)
+        runs = self.broken_runs.pop_broken_runs(name, now)
+        return broken_runs.count_crashes(runs, self.records, now)
 
     def record_survival(
-        self, request: fingerprints.OwnRequest, now: float
+        self, request: fingerprints.ProductRequest, now: float
     ) -> None:
         """Record that an upstream ran a request to its end."""
         if self.records.histories:
             self.records.record_survival(
-                fingerprints.for_own_request(request), now, now
+                fingerprints.for_product_request(request), now, now
             )
 
     def forget_expired(self, now: float) -> None:
-        """Drop suspicions and probes of upstreams that were never resolved."""
-        self.suspicions.forget_expired(now)
+        """Drop broken runs and probes that were never resolved."""
+        self.broken_runs.forget_expired(now)
         for name in (
-            self.pending_probes.keys() - self.suspicions.by_engine.keys()
+            self.pending_probes.keys() - self.broken_runs.by_engine.keys()
         ):
             del self.pending_probes[name]
 
@@ -185,8 +187,8 @@
             if self.records.merge_report(report, now)
         ]
 
-    def sorted_suspects(self) -> tuple[crash_state.Suspect, ...]:
-        """Return the suspects to report, those with most crashes first."""
+    def sorted_suspects(self) -> tuple[crash_state.SuspectRequest, ...]:
+        """Return the suspected requests, those with most crashes first."""
         if self.cached_change_count == self.records.change_count:
             return self.cached_suspects
         self.cached_change_count = self.records.change_count
@@ -204,7 +206,10 @@
 
 
 def heartbeat_reports(
-    suspects: tuple[crash_state.Suspect, ...], now: float, *, include_all: bool
+    suspects: tuple[crash_state.SuspectRequest, ...],
+    now: float,
+    *,
+    include_all: bool,
 ) -> tuple[crash_state.CrashReport, ...]:
     """Return the crash reports for a heartbeat, most crashes first."""
     selected = [
@@ -213,12 +218,12 @@
         if include_all or now < suspect.changed_at + report_seconds(suspect)
     ]
     return tuple(
-        crash_state.report_on(suspect, now)
+        crash_state.build_crash_report(suspect, now)
         for suspect in selected[:MAX_REPORTS_PER_HEARTBEAT]
     )
 
 
-def report_seconds(suspect: crash_state.Suspect) -> float:
-    """Return for how many seconds a suspect is reported."""
+def report_seconds(suspect: crash_state.SuspectRequest) -> float:
+    """Return for how many seconds a suspected request is reported."""
     is_single = len(suspect.crashes) == 1
     return REPORT_SINGLE_CRASH_SECONDS if is_single else REPORT_SECONDS
--- a/src/greengagelb/coordination/sharing/issuer_ranking.py
+++ b/src/greengagelb/coordination/sharing/issuer_ranking.py
@@ -14,20 +14,21 @@
 from greengagelb.coordination.fleet import rendezvous
 from greengagelb.state import limits
 
-# An issuer is suspected if it has answered none of SUSPECT_AFTER_QUESTIONS
-# questions for SUSPECT_AFTER_SECONDS. It is probed at once and then after an
-# interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
-SUSPECT_AFTER_QUESTIONS = 4
+# An issuer is suspected if it has answered none of SUSPECT_AFTER_REQUESTS
+# permit requests for SUSPECT_AFTER_SECONDS. It is probed at once and then
+# after an interval that doubles up to MAX_PROBE_INTERVAL_SECONDS.
+SUSPECT_AFTER_REQUESTS = 4
 SUSPECT_AFTER_SECONDS = 0.05
 FIRST_PROBE_INTERVAL_SECONDS = 0.05
 MAX_PROBE_INTERVAL_SECONDS = 2.0
-# After so many unanswered probes an issuer is skipped until it is heard again,
-# for at most SUSPICION_TTL_SECONDS.
+# After this many unanswered probes an issuer is skipped until it is heard
+# again, for at most SUSPICION_TTL_SECONDS.
 SKIP_AFTER_PROBES = 2
 SUSPICION_TTL_SECONDS = 20.0
-# Reports of other instances add at most so many suspected issuers.
+# Reports of other instances add suspected issuers up to this number in all.
 MAX_SUSPECTED = 512
-# This instance issues permits itself if so many others are skipped.
+# Length of a ranking. If all of its instances are skipped, this instance
+# issues the permits itself.
 MAX_RANKED = 8
 # How long a ranking is used before the members are read again.
 RANKING_TTL_SECONDS = 0.5
@@ -42,20 +43,20 @@
 
 
 @dataclasses.dataclass(slots=True)
-class UnansweredQuestions:
-    """Questions to an issuer since which it has sent nothing."""
+class UnansweredRequests:
+    """Permit requests to an issuer since which it has sent nothing."""
 
-    first_asked_at: float
+    first_request_at: float
     count: int = 0
 
     @property
     def suspect_at(self) -> float:
         """Return when the issuer becomes suspected."""
-        too_few = self.count < SUSPECT_AFTER_QUESTIONS
+        too_few = self.count < SUSPECT_AFTER_REQUESTS
         return (
             float('inf')
             if too_few
-            else self.first_asked_at + SUSPECT_AFTER_SECONDS
+            else self.first_request_at + SUSPECT_AFTER_SECONDS
         )
 
 
@@ -96,7 +97,7 @@
         self.members: Callable[[str], Collection[str]] = no_members
         self.has_part: Callable[[str], bool] = has_every_part
         self.rankings: dict[str, Ranking] = {}
-        self.unanswered: dict[str, UnansweredQuestions] = {}
+        self.unanswered: dict[str, UnansweredRequests] = {}
         self.suspected: dict[str, SuspectedIssuer] = {}
 
     def issuer_of(self, life: str, now: float) -> str:
@@ -124,12 +125,12 @@
             and now < suspect.forget_at
         )
 
-    def count_question(self, issuer: str, now: float) -> None:
-        """Count a question to an issuer."""
-        questions = self.unanswered.setdefault(
-            issuer, UnansweredQuestions(now)
+    def count_permit_request(self, issuer: str, now: float) -> None:
+        """Count a permit request to an issuer."""
+        unanswered_requests = self.unanswered.setdefault(
+            issuer, UnansweredRequests(now)
         )
-        questions.count += 1
+        unanswered_requests.count += 1
 
     def mark_alive(self, sender: str) -> None:
         """Clear the suspicion of an instance that sent something."""
@@ -142,9 +143,9 @@
         self.mark_alive(incarnation)
 
     def suspect_unanswered(self, now: float) -> None:
-        """Suspect the issuers that have left questions unanswered."""
-        for issuer, questions in list(self.unanswered.items()):
-            if now >= questions.suspect_at:
+        """Suspect the issuers that have left permit requests unanswered."""
+        for issuer, unanswered_requests in list(self.unanswered.items()):
+            if now >= unanswered_requests.suspect_at:
                 del self.unanswered[issuer]
                 self.suspect_issuer(issuer, now)
 
@@ -198,7 +199,7 @@
                 MAX_PROBE_INTERVAL_SECONDS, interval_seconds
             )
             suspect.probe_count += 1
-            messages.append(OutgoingMessage(issuer, limits.PresenceWanted()))
+            messages.append(OutgoingMessage(issuer, limits.LivenessQuery()))
         return messages
 
     def next_due_at(self) -> float:
--- a/src/greengagelb/coordination/sharing/leases.py
+++ b/src/greengagelb/coordination/sharing/leases.py
@@ -1,5 +1,8 @@
 """Parts of a limit, which instances lend to one of them for a time.
 
+A part is what an instance lends; its share is the size of the part, from 0 to
+1. The lease is the time for which the part is lent.
+
 Each instance has an equal part of every limit and lends it to one borrower at
 a time. So the parts add up to no more than the limit, whichever instances hear
 each other. The borrower counts a lease from when it asked for it, by its own
@@ -20,8 +23,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Loan:
-    """The borrower of a part, and until when it is lent."""
+class Lease:
+    """The borrower of this instance's part, until a monotonic time."""
 
     borrower: str
     until: float
@@ -41,12 +44,12 @@
         self.previous_instance_count = 0
         self.previous_count_until = float('-inf')
         self.joins_at = float('inf')
-        self.loans: dict[str, Loan] = {}
+        self.leases_given: dict[str, Lease] = {}
 
-    def resize(
+    def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Divide limits among so many instances, including this one.
+        """Set the number of instances that share limits, with this one.
 
         An instance that has stopped may have lent its part, so the others take
         over its part only after such a lease has ended.
@@ -71,12 +74,12 @@
         return max(self.instance_count, previous)
 
     @property
-    def phase(self) -> float:
-        """Return this instance's position among all, from 0 to 1."""
+    def relative_rank(self) -> float:
+        """Return this instance's rank relative to all, from 0 to 1."""
         return self.rank / max(1, self.instance_count)
 
     def share(self, now: float) -> float:
-        """Return this instance's part of a limit, from 0 to 1."""
+        """Return the share of this instance's part, from 0 to 1."""
         if now < self.joins_at:
             return 0.0
         return 1.0 / self.counted_instances(now)
@@ -90,37 +93,37 @@
         it is lent to another borrower. It was never lent before
         ``free_since``.
         """
-        loan = self.loans.get(life)
+        lease = self.leases_given.get(life)
         until = now + LEASE_SECONDS
-        if loan is None or now >= loan.until:
+        if lease is None or now >= lease.until:
             since = max(free_since, self.joins_at)
-            if loan is not None:
-                since = max(since, loan.until)
-            self.loans[life] = Loan(borrower, until)
+            if lease is not None:
+                since = max(since, lease.until)
+            self.leases_given[life] = Lease(borrower, until)
             return min(MAX_UNUSED_SECONDS, max(0.0, now - since))
-        if loan.borrower != borrower:
+        if lease.borrower != borrower:
             return None
-        loan.until = until
+        lease.until = until
         return 0.0
 
     def take_back(self, life: str, borrower: str, now: float) -> None:
         """End the lease of a part early."""
-        loan = self.loans.get(life)
-        if loan is not None and loan.borrower == borrower:
-            loan.until = min(loan.until, now)
+        lease = self.leases_given.get(life)
+        if lease is not None and lease.borrower == borrower:
+            lease.until = min(lease.until, now)
 
     def take_back_all(self, borrower: str, now: float) -> None:
         """End the leases of an instance that has stopped."""
-        for life in self.loans:
+        for life in self.leases_given:
             self.take_back(life, borrower, now)
 
     def forget_life(self, life: str) -> None:
         """Drop a life that has no limit any more."""
-        self.loans.pop(life, None)
+        self.leases_given.pop(life, None)
 
 
 @dataclasses.dataclass(slots=True)
-class BorrowedPart:
+class LeasedPart:
     """A lender's share of the limit, until a monotonic time."""
 
     share: float
@@ -134,14 +137,14 @@
     """
 
     def __init__(self, now: float) -> None:
-        self.parts: dict[str, BorrowedPart] = {}
+        self.parts: dict[str, LeasedPart] = {}
         self.accrued_until = now
 
     def add_part(self, lender: str, share: float, until: float) -> None:
         """Add a lender's part, or replace it if the new lease ends later."""
         part = self.parts.get(lender)
         if part is None or until > part.until:
-            self.parts[lender] = BorrowedPart(share, until)
+            self.parts[lender] = LeasedPart(share, until)
 
     def end_part(self, lender: str, now: float) -> None:
         """End a lender's part now."""
@@ -155,7 +158,9 @@
         return min(1.0, sum(shares))
 
     def take_accrued_seconds(self, now: float) -> float:
-        """Return the seconds of the whole limit accrued since the last call.
+        """Return the seconds since the last call, weighted by the share.
+
+        Each second counts by the share that was borrowed in it.
 
         Parts that have ended are dropped.
         """
--- a/src/greengagelb/coordination/sharing/limit_keeper.py
+++ b/src/greengagelb/coordination/sharing/limit_keeper.py
@@ -26,7 +26,7 @@
 # A limit is broadcast again after these delays, as datagrams may be lost.
 REBROADCAST_DELAYS_SECONDS = (0.4, 1.2)
 # The least time between two requests for the limits of others.
-NEWS_REQUEST_INTERVAL_SECONDS = 0.5
+LIMITS_REQUEST_INTERVAL_SECONDS = 0.5
 # The least time between two calls of ``run_due``.
 MIN_STEP_SECONDS = 0.001
 # How long an issuer's answer may take to arrive.
@@ -72,8 +72,8 @@
 class Denied:
     """The refusal of a permit within the time of the request.
 
-    ``wait`` is in seconds. ``issuer`` had the part ``share`` of the limit; it
-    is empty if none answered.
+    ``wait`` is in seconds. ``issuer`` had borrowed the share ``share`` of the
+    limit; it is empty if none answered.
     """
 
     number: int
@@ -94,7 +94,10 @@
 
 
 class LimitKeeper:
-    """This instance's part in keeping the limits.
+    """Requests and issues permits, and exchanges limits with instances.
+
+    It requests permits for the sends of this instance, issues permits to all
+    instances, and exchanges the limits that engines report.
 
     The caller takes and empties ``outgoing`` and ``outcomes``.
     ``schedule_changed`` is set when the result of ``next_due_at`` may have
@@ -117,7 +120,7 @@
         self.account_blocks: dict[tuple[str, str], AccountBlock] = {}
         self.recent_grants: dict[int, float] = {}
         self.rebroadcasts: list[tuple[float, str]] = []
-        self.next_news_request_at = float('-inf')
+        self.next_limits_request_at = float('-inf')
         self.granted_count = 0
         self.denied_count = 0
         self.schedule_changed = False
@@ -130,21 +133,21 @@
 
     def update_from_answer(
         self, life: str, rate: float | None, asked_at: float, now: float
-    ) -> limits.LimitNews | None:
+    ) -> limits.LimitUpdate | None:
         """Apply the limit in an answer; broadcast it if it is new."""
-        news = self.table.update_from_answer(life, rate, asked_at, now)
-        if news is not None:
-            self.send('', news)
+        update = self.table.update_from_answer(life, rate, asked_at, now)
+        if update is not None:
+            self.send('', update)
             self.rebroadcasts += [
                 (now + seconds, life) for seconds in REBROADCAST_DELAYS_SECONDS
             ]
             self.apply_limit_change(life, now)
-        return news
+        return update
 
-    def figures(self) -> limits.Figures:
+    def figures(self) -> limits.LimitStatistics:
         """Return the metrics of limits."""
         rates = self.table.limits_in_force().values()
-        return limits.Figures(
+        return limits.LimitStatistics(
             len(rates),
             sum(rates),
             len(self.requests),
@@ -152,21 +155,21 @@
             self.denied_count,
         )
 
-    def request_news_if_different(
+    def request_limits_if_different(
         self, incarnation: str, digest: int, now: float
     ) -> None:
         """Request the limits of an instance with another digest."""
-        if digest == self.table.digest() or now < self.next_news_request_at:
+        if digest == self.table.digest() or now < self.next_limits_request_at:
             return
-        self.next_news_request_at = now + NEWS_REQUEST_INTERVAL_SECONDS
-        self.send(incarnation, limits.NewsWanted())
+        self.next_limits_request_at = now + LIMITS_REQUEST_INTERVAL_SECONDS
+        self.send(incarnation, limits.LimitUpdatesRequest())
 
-    def merge_news(self, news: limits.LimitNews, now: float) -> bool:
-        """Merge the limit of another instance; return whether it is new."""
-        is_news = self.table.merge_news(news, now)
-        if is_news:
-            self.apply_limit_change(news.life, now)
-        return is_news
+    def merge_limit(self, update: limits.LimitUpdate, now: float) -> bool:
+        """Merge the limit of another instance; return whether it is newer."""
+        is_newer = self.table.merge_limit(update, now)
+        if is_newer:
+            self.apply_limit_change(update.life, now)
+        return is_newer
 
     def apply_limit_change(self, life: str, now: float) -> None:
         """Apply a changed limit; grant what needs no permit any more."""
@@ -243,7 +246,7 @@
         limit = self.table.known_limits.get(request.life)
         if limit is None or limit.rate is None:
             return
-        wanted = limits.PermitWanted(
+        wanted = limits.PermitRequestMessage(
             request.life,
             request.number,
             request.account,
@@ -253,7 +256,7 @@
             limit.version,
         )
         if issuer != self.own_incarnation:
-            self.ranking.count_question(issuer, now)
+            self.ranking.count_permit_request(issuer, now)
         self.send_or_handle(issuer, wanted, now)
 
     def return_permit(self, life: str, granted: Granted, now: float) -> None:
@@ -266,7 +269,7 @@
     def count_unpermitted(self, life: str, count: int, now: float) -> None:
         """Report requests that were sent to a life without a permit."""
         issuer = self.ranking.issuer_of(life, now)
-        self.send_or_handle(issuer, limits.Spent(life, count), now)
+        self.send_or_handle(issuer, limits.UnpermittedSends(life, count), now)
 
     def deny_request(
         self,
@@ -291,11 +294,11 @@
         key = (request.life, request.account)
         self.account_blocks[key] = AccountBlock(now + seconds, now + wait)
 
-    def resize(
+    def set_instance_count(
         self, instance_count: int, heartbeat_seconds: float, now: float
     ) -> None:
-        """Divide limits among the given number of instances."""
-        self.parts.resize(instance_count, heartbeat_seconds, now)
+        """Set the number of instances that share limits, with this one."""
+        self.parts.set_instance_count(instance_count, heartbeat_seconds, now)
 
     def remove_instance(self, incarnation: str, now: float) -> None:
         """Remove an instance that has stopped."""
@@ -313,42 +316,42 @@
         self.schedule_changed = True
         self.ranking.mark_alive(sender)
         match message:
-            case limits.LimitNews():
-                self.merge_news(message, now)
-            case limits.NewsWanted():
-                for news in self.table.list_news():
-                    self.send(sender, news)
-            case limits.LeaseWanted():
+            case limits.LimitUpdate():
+                self.merge_limit(message, now)
+            case limits.LimitUpdatesRequest():
+                for update in self.table.list_limits():
+                    self.send(sender, update)
+            case limits.LeaseRequest():
                 self.issuers.handle_lease_wanted(sender, message, now)
-            case limits.Leased():
+            case limits.LeaseGrant():
                 self.issuers.handle_lease(sender, message, now)
             case limits.LeaseReturned(life):
                 self.parts.take_back(life, sender, now)
-            case limits.PermitWanted():
+            case limits.PermitRequestMessage():
                 self.handle_permit_wanted(sender, message, now)
             case limits.PermitAnswer():
                 self.handle_permit_answer(sender, message, now)
             case limits.PermitReturned():
                 self.issuers.handle_permit_returned(sender, message, now)
-            case limits.Spent():
+            case limits.UnpermittedSends():
                 self.issuers.handle_spent(message, now)
-            case limits.PresenceWanted() | limits.IssuerSilent(
+            case limits.LivenessQuery() | limits.IssuerSilent(
                 self.own_incarnation
             ):
-                self.send(sender, limits.Present())
+                self.send(sender, limits.LivenessReply())
             case limits.IssuerSilent(issuer):
                 self.ranking.suspect_reported(issuer, now)
 
     def handle_permit_wanted(
-        self, sender: str, wanted: limits.PermitWanted, now: float
+        self, sender: str, wanted: limits.PermitRequestMessage, now: float
     ) -> None:
         """Process a permit request and its sender's view of the limit."""
         life = wanted.life
-        news = limits.LimitNews(life, wanted.rate, wanted.version)
-        self.merge_news(news, now)
+        update = limits.LimitUpdate(life, wanted.rate, wanted.version)
+        self.merge_limit(update, now)
         limit = self.table.known_limits[life]
         if limit.version > wanted.version:
-            newer = limits.LimitNews(life, limit.rate, limit.version)
+            newer = limits.LimitUpdate(life, limit.rate, limit.version)
             self.send(sender, newer)
         self.issuers.handle_permit_wanted(sender, wanted, now)
 
@@ -423,7 +426,7 @@
         """Broadcast a limit again."""
         limit = self.table.known_limits.get(life)
         if limit is not None:
-            self.send('', limits.LimitNews(life, limit.rate, limit.version))
+            self.send('', limits.LimitUpdate(life, limit.rate, limit.version))
 
     def give_up_request(self, request: PermitRequest, now: float) -> None:
         """Deny a request that was not answered in time."""
--- a/src/greengagelb/coordination/streams/supervisor.py
+++ b/src/greengagelb/coordination/streams/supervisor.py
@@ -50,7 +50,7 @@
         directory: routing.UpstreamDirectory,
         cancellation_supervisor: cancellations.CancellationSupervisor,
         incarnation: str,
-        guard: crash_guard.CrashGuard,
+        guard: crash_guard.ProductCrashGuard,
     ) -> None:
         self.directory = directory
         self.guard = guard
@@ -92,7 +92,7 @@
                     request, 'engine-deaths-exceeded'
                 )
             ]
-        digest = stream_state.digest_of_request(request)
+        digest = stream_state.hash_request(request)
         stream = stream_state.Stream(request, service, pool, digest)
         self.streams[request.exchange] = stream
         return [
@@ -160,7 +160,7 @@
             return []
         planned = self.keep_one_attempt(stream, attempt, now)
         position = stream.position
-        stream.accept(event.position + already_sent, tokens)
+        stream.append_tokens(event.position + already_sent, tokens)
         stream.recover_by = None
         stream.excluded.clear()
         self.stall_detector.observe_tokens(stream, attempt, now)
@@ -169,7 +169,7 @@
                 stream.request.exchange,
                 position,
                 tokens,
-                stream.resume_point(),
+                stream.build_resume_point(),
             )
         )
         planned.append(
@@ -295,7 +295,7 @@
             stream
             for stream in self.streams.values()
             if not (stream.attempt and stream.attempt.has_progressed)
-            and fingerprints.for_own_request(stream.request) == fingerprint
+            and fingerprints.for_product_request(stream.request) == fingerprint
         ]
         return [
             action
@@ -399,7 +399,7 @@
         return [
             self.stall_detector.reset_stall_timer(stream, attempt, now)
             for stream in self.streams.values()
-            for attempt in stream.own_attempts()
+            for attempt in stream.active_attempts()
         ]
 
     def has_recovering_stream_in(self, pool: configuration_state.Pool) -> bool:
--- a/src/greengagelb/platform/store.py
+++ b/src/greengagelb/platform/store.py
@@ -1,11 +1,11 @@
-"""The calls of the platform's store."""
+"""Calls to the platform's store."""
 
 import urllib.parse
 
 from twisted.internet import defer
 
 from greengagelb import errors
-from greengagelb.platform import row_answers
+from greengagelb.platform import row_decoding
 from greengagelb.platform import rows
 from greengagelb.protocol import codec
 from greengagelb.state import crashes
@@ -14,48 +14,47 @@
 from greengagelb.state.relay import positions
 from greengagelb.transport.relay import http1
 from greengagelb.transport.relay import http_client
-from greengagelb.transport.relay import questions
 from greengagelb.transport.relay import store_watch
+from greengagelb.transport.relay import timed_requests
 from greengagelb.transport.relay import unusable_entries
 
 OPERATORS_TABLE = 'op'
 CONFIGURATION_KEY = 'config'
 ENGINES_TABLE = 'servers'
-# A table of our own: one row for each instance, by its name.
+# Our own table, with one row for each instance; the key is its name.
 MEMBERS_TABLE = 'instances'
-# Beside them stand the crashes under requests, so that no further call reads
-# them. Names of instances have no slash.
-CRASHES_PREFIX = 'crashes/'
-# The most rows in one answer, by the platform's page on its store.
-MOST_ROWS = 500
-# In the head of each answer: how often the store has come back from a copy.
-ERA = b'store-era'
-# Longer ones are no count, and don't fit our own datagrams.
-MOST_ERA_DIGITS = 15
-# How often a list of several answers is begun anew, as a copy has taken the
-# store's place meanwhile.
-MOST_LIST_TRIES = 3
-OK = 200
-GONE = 410
-# An answer begins within some milliseconds, and within a quarter of a second
-# while the store is slow. On a connection on which an answer was lost nothing
-# more ever comes. In seconds.
-ANSWER_SECONDS = 0.6
-# An answer has at most a megabyte of rows, by the platform's page on its
-# store; the second one is for what stands around them.
-MOST_BYTES = 2 << 20
-# How long an answer may come that tells all there is, in seconds. Nothing
-# shorter could be asked for, so it only bounds what a store may hold up that
-# sends a little now and then: a megabyte takes 1.6 s on the smallest link in
-# use, of 5 Mbit/s, and that has callers to serve besides.
-WHOLE_SECONDS = 10.0
-# The same for changes. What there is may be far less than what has changed,
-# and then comes sooner.
-CHANGES_SECONDS = 1.0
+# Crashes by request are kept in the same table, so that reading them takes no
+# further call. Names of instances contain no slash.
+CRASH_KEY_PREFIX = 'crashes/'
+# According to the platform's documentation of its store.
+MAX_ROWS_PER_PAGE = 500
+# Header field of each answer: how often the store was restored from a copy.
+ERA_HEADER = b'store-era'
+# Longer numbers are no plausible count and don't fit our own datagrams.
+MAX_ERA_DIGITS = 15
+# How often the read of a list of several pages is tried, as it has to start
+# again when the store is restored from a copy between two pages.
+MAX_LIST_ATTEMPTS = 3
+STATUS_OK = 200
+STATUS_GONE = 410
+# An answer begins within a few milliseconds, or within 0.25 s while the store
+# is slow. A connection on which an answer was lost receives nothing more.
+ANSWER_START_TIMEOUT_SECONDS = 0.6
+# An answer has at most 1 MB of rows, according to the platform's documentation
+# of its store; the second megabyte is for the JSON around them.
+MAX_ANSWER_BYTES = 2 << 20
+# Bounds the transfer of an answer with a whole list. No shorter answer could
+# be requested instead, so this only limits how long a store that sends slowly
+# can delay the read: 1 MB takes 1.6 s on the slowest link in use, of 5 Mbit/s,
+# which also carries the callers' traffic.
+LIST_TRANSFER_TIMEOUT_SECONDS = 10.0
+# The same for an answer with changes. It is shorter because the whole list may
+# be far smaller than the changes, and can then be read sooner.
+CHANGES_TRANSFER_TIMEOUT_SECONDS = 1.0
 
 
 class PlatformStore:
-    """Reads the store; the watch decides what to read and when."""
+    """Client of the store; the store watch decides what to read and when."""
 
     def __init__(
         self, pool: http_client.ConnectionPool, address: engines.Address
@@ -63,166 +62,184 @@
         self.pool = pool
         self.address = address
 
-    def move_to(self, address: engines.Address) -> None:
-        """Ask at another address from now on."""
+    def use_address(self, address: engines.Address) -> None:
+        """Send further requests to another address."""
         self.address = address
 
-    def get(
+    def get_rows(
         self, target: str, seconds: float, coming_seconds: float
     ) -> defer.Deferred:
-        """Return the rows in a good answer to a reading call."""
+        """Fetch the rows that a target of the store returns.
+
+        ``seconds`` limits the time until the answer begins, and
+        ``coming_seconds`` the time of its transfer.
+        """
         host = (b'Host', str(self.address).encode())
         request = http_client.WireRequest(b'GET', target.encode(), (host,))
-        asked = self.ask(request, seconds, coming_seconds)
-        return asked.addCallback(read_rows)
+        pending = self.send_request(request, seconds, coming_seconds)
+        return pending.addCallback(read_rows)
 
-    def write(self, change: rows.Change) -> defer.Deferred:
-        """Carry out a change of one row."""
+    def commit_transaction(
+        self, transaction: rows.Transaction
+    ) -> defer.Deferred:
+        """Send a transaction to the store."""
         headers = (
             (b'Host', str(self.address).encode()),
             (b'Content-Type', b'application/json'),
         )
-        body = codec.encode(change)
-        return self.ask(
+        body = codec.encode(transaction)
+        return self.send_request(
             http_client.WireRequest(b'POST', b'/api/rows-tx', headers, body),
-            ANSWER_SECONDS,
+            ANSWER_START_TIMEOUT_SECONDS,
         )
 
-    def ask(
+    def send_request(
         self,
         request: http_client.WireRequest,
         seconds: float,
         coming_seconds: float = 0.0,
     ) -> defer.Deferred:
-        """Return a good answer.
+        """Send a request and return its answer once the status is good.
 
         Raises :class:`~greengagelb.errors.PlatformUnavailable`,
         :class:`~greengagelb.errors.HistoryGone` and
         :class:`~greengagelb.errors.AnswerTooLong`.
         """
-        asked: defer.Deferred = defer.Deferred()
-        question = questions.Question(
+        pending: defer.Deferred = defer.Deferred()
+        question = timed_requests.TimedRequest(
             f'store {self.address}',
             self.address,
             request,
             seconds,
-            MOST_BYTES,
-            coming_seconds=coming_seconds,
+            MAX_ANSWER_BYTES,
+            receive_seconds=coming_seconds,
         )
-        questions.ask(self.pool, question, asked.callback)
-        return asked.addCallback(check_status)
+        timed_requests.send_timed_request(
+            self.pool, question, pending.callback
+        )
+        return pending.addCallback(check_status)
 
     @defer.inlineCallbacks
-    def read_all(self, table: str) -> object:
+    def read_whole_table(self, table: str) -> object:
         """Return all rows of a table, however many answers they take.
 
-        The version is that of the first answer: what changes while the others
-        are fetched is then found again among the changes since. Answers of
-        two eras don't belong together.
+        The version is that of the first answer, so that rows which change
+        while the other pages are fetched are read again with the changes since
+        then. Pages of different eras can't be combined.
+
+        Raises :class:`~greengagelb.errors.PlatformUnavailable` if the era
+        changes during each attempt.
         """
-        for _ in range(MOST_LIST_TRIES):
+        for _ in range(MAX_LIST_ATTEMPTS):
             pages = yield self.read_pages(table)
             if len({page.era for page in pages}) == 1:
                 found = [row for page in pages for row in page.rows]
                 return rows.Rows(found, pages[0].ver, era=pages[0].era)
-        raise errors.PlatformUnavailable('store came back within a list')
+        raise errors.PlatformUnavailable(
+            'store was restored while a list was read'
+        )
 
     @defer.inlineCallbacks
     def read_pages(self, table: str) -> object:
-        """Return a table's answers, up to the first of another era."""
+        """Return the pages of a table, up to the first one of another era."""
         pages = [(yield self.read_page(table, ''))]
-        last = ''
+        start_key = ''
         while pages[-1].has_more and pages[-1].era == pages[0].era:
-            last = last_key(pages[-1], last)
-            page = yield self.read_page(table, last)
-            page.rows = [row for row in page.rows if row.key != last]
+            start_key = next_page_start(pages[-1], start_key)
+            page = yield self.read_page(table, start_key)
+            page.rows = [row for row in page.rows if row.key != start_key]
             pages.append(page)
         return pages
 
-    def read_page(self, table: str, begin: str) -> defer.Deferred:
-        """Return the rows of a table from a key on, that one included."""
-        target = f'/api/rows-get?table={table}&part=&limit={MOST_ROWS}'
-        if begin:
-            target += f'&from={urllib.parse.quote(begin, safe="")}'
-        return self.get(target, ANSWER_SECONDS, WHOLE_SECONDS)
+    def read_page(self, table: str, start_key: str) -> defer.Deferred:
+        """Return the rows of a table from ``start_key`` on, inclusive."""
+        target = f'/api/rows-get?table={table}&part=&limit={MAX_ROWS_PER_PAGE}'
+        if start_key:
+            target += f'&from={urllib.parse.quote(start_key, safe="")}'
+        return self.get_rows(
+            target, ANSWER_START_TIMEOUT_SECONDS, LIST_TRANSFER_TIMEOUT_SECONDS
+        )
 
     def read_changes(
-        self, table: str, position: positions.Position, wait_seconds: float
+        self,
+        table: str,
+        position: positions.StorePosition,
+        wait_seconds: float,
     ) -> defer.Deferred:
-        """Return the rows that have changed since a version."""
+        """Return the rows that have changed since a position."""
         wait = int(wait_seconds * 1000)
         since = position.version
-        return self.get(
+        return self.get_rows(
             f'/api/rows-feed?table={table}&after_rev={since}&wait_ms={wait}',
-            wait_seconds + ANSWER_SECONDS,
-            CHANGES_SECONDS,
+            wait_seconds + ANSWER_START_TIMEOUT_SECONDS,
+            CHANGES_TRANSFER_TIMEOUT_SECONDS,
         )
 
-    # -- what the watch asks for --------------------------------------------
-
     def read_configuration(
-        self, position: positions.Position | None, wait_seconds: float
+        self, position: positions.StorePosition | None, wait_seconds: float
     ) -> defer.Deferred:
-        """Return the configuration, or what has become of it since."""
+        """Return the configuration, or its changes since a position."""
         if position is None:
-            found = self.read_all(OPERATORS_TABLE)
+            found = self.read_whole_table(OPERATORS_TABLE)
         else:
             found = self.read_changes(OPERATORS_TABLE, position, wait_seconds)
-        return found.addCallback(configuration_of)
+        return found.addCallback(configuration_from_rows)
 
     def read_engines(
-        self, position: positions.Position | None
+        self, position: positions.StorePosition | None
     ) -> defer.Deferred:
-        """Return the list of engines, or what has changed in it since."""
+        """Return the list of engines, or its changes since a position."""
         if position is None:
-            found = self.read_all(ENGINES_TABLE)
+            found = self.read_whole_table(ENGINES_TABLE)
         else:
             found = self.read_changes(ENGINES_TABLE, position, 0.0)
-        return found.addCallback(engines_of)
+        return found.addCallback(engines_from_rows)
 
     def register(self, member: hints.Member) -> defer.Deferred:
         """Write this instance's own entry."""
         row = rows.NewRow(
             MEMBERS_TABLE, '', member.name, rows.encode_value(member)
         )
-        return self.write(rows.Change([], [row], []))
+        return self.commit_transaction(rows.Transaction([], [row], []))
 
     def unregister(self, member: hints.Member) -> defer.Deferred:
         """Remove this instance's own entry."""
         row = rows.RowName(MEMBERS_TABLE, '', member.name)
-        return self.write(rows.Change([], [], [row]))
+        return self.commit_transaction(rows.Transaction([], [], [row]))
 
     def read_members(self) -> defer.Deferred:
         """Return the entries of all instances."""
-        return self.read_all(MEMBERS_TABLE).addCallback(members_of)
+        return self.read_whole_table(MEMBERS_TABLE).addCallback(
+            members_from_rows
+        )
 
-    def keep_crashes(self, kept: crashes.KeptCrashes) -> defer.Deferred:
-        """Write the crashes under a request."""
-        key = CRASHES_PREFIX + kept.fingerprint
+    def write_crashes(self, kept: crashes.StoredCrashes) -> defer.Deferred:
+        """Write the crashes that are kept for a request."""
+        key = CRASH_KEY_PREFIX + kept.fingerprint
         row = rows.NewRow(MEMBERS_TABLE, '', key, rows.encode_value(kept))
-        return self.write(rows.Change([], [row], []))
+        return self.commit_transaction(rows.Transaction([], [row], []))
 
-    def drop_crashes(self, fingerprint: str) -> defer.Deferred:
-        """Remove the crashes under a request."""
-        row = rows.RowName(MEMBERS_TABLE, '', CRASHES_PREFIX + fingerprint)
-        return self.write(rows.Change([], [], [row]))
+    def delete_crashes(self, fingerprint: str) -> defer.Deferred:
+        """Remove the crashes that are kept for a request."""
+        row = rows.RowName(MEMBERS_TABLE, '', CRASH_KEY_PREFIX + fingerprint)
+        return self.commit_transaction(rows.Transaction([], [], [row]))
 
 
-def last_key(page: rows.Rows, before: str) -> str:
-    """Return the key with which the next page is to begin.
+def next_page_start(page: rows.Rows, previous_start: str) -> str:
+    """Return the key at which the next page begins.
 
-    Raises :class:`~greengagelb.errors.ProtocolError` where the page brings
-    no key but the one that it began with: asked for the same again and again,
-    the store would never have told the whole list.
+    Raises :class:`~greengagelb.errors.ProtocolError` if the page has no key
+    other than the one that it was requested from: the same page would be
+    requested forever.
     """
     for row in reversed(page.rows):
-        if row.key and row.key != before and is_text(row.key):
+        if row.key and row.key != previous_start and is_encodable(row.key):
             return row.key
-    raise errors.ProtocolError('page of rows does not lead on')
+    raise errors.ProtocolError('page of rows has no key for the next page')
 
 
-def is_text(key: str) -> bool:
-    """Return whether a key can be sent; half a surrogate pair can't."""
+def is_encodable(key: str) -> bool:
+    """Return whether a key can be sent; a lone surrogate can't."""
     try:
         key.encode()
     except UnicodeEncodeError:
@@ -230,8 +247,8 @@
     return True
 
 
-def members_of(found: rows.Rows) -> store_watch.MembersRead:
-    """Return the instances in some rows, and the crashes beside them."""
+def members_from_rows(found: rows.Rows) -> store_watch.MembersRead:
+    """Return the instances and the kept crashes in some rows."""
     members = []
     kept = []
     mistakes = {}
@@ -239,64 +256,69 @@
         if row.tombstone:
             continue
         try:
-            if row.key.startswith(CRASHES_PREFIX):
-                kept.append(rows.read_crashes(row, CRASHES_PREFIX))
+            if row.key.startswith(CRASH_KEY_PREFIX):
+                kept.append(rows.read_crashes(row, CRASH_KEY_PREFIX))
             else:
                 members.append(rows.read_member(row))
         except errors.ProtocolError as exc:
             mistakes[row.key] = str(exc)
-    return store_watch.MembersRead(tuple(members), told(mistakes), tuple(kept))
+    return store_watch.MembersRead(
+        tuple(members), unusable_entries_from(mistakes), tuple(kept)
+    )
 
 
-def check_status(answer: questions.Answer) -> questions.Answer:
-    """Return a good answer, or raise what is wrong with it."""
+def check_status(answer: timed_requests.Answer) -> timed_requests.Answer:
+    """Return an answer with a good status; raise an error for any other."""
     if answer.too_long:
         raise errors.AnswerTooLong(answer.detail)
     if answer.response is None:
         raise errors.PlatformUnavailable(answer.detail)
     status = answer.response.status_code
-    if status == GONE:
-        raise errors.HistoryGone('changes are no longer kept')
-    if status != OK:
+    if status == STATUS_GONE:
+        raise errors.HistoryGone(
+            'store no longer has the changes since this version'
+        )
+    if status != STATUS_OK:
         raise errors.PlatformUnavailable(f'status {status}')
     return answer
 
 
-def read_rows(answer: questions.Answer) -> rows.Rows:
-    """Return the rows in an answer, with the era in its head."""
-    found = row_answers.read_rows(answer.body)
+def read_rows(answer: timed_requests.Answer) -> rows.Rows:
+    """Return the rows in an answer, with the era in its header."""
+    found = row_decoding.read_rows(answer.body)
     found.era = read_era(answer)
     return found
 
 
-def read_era(answer: questions.Answer) -> int:
-    """Return the era that an answer states, if it is a whole number."""
+def read_era(answer: timed_requests.Answer) -> int:
+    """Return the era in an answer's header, or ``NO_ERA`` if it is invalid."""
     fields = tuple(answer.response.headers.raw_items())
-    stated = http1.first_value(fields, ERA) or b''
-    if not stated.isdigit() or len(stated) > MOST_ERA_DIGITS:
+    stated = http1.first_header_value(fields, ERA_HEADER) or b''
+    if not stated.isdigit() or len(stated) > MAX_ERA_DIGITS:
         return positions.NO_ERA
     return int(stated)
 
 
-def configuration_of(found: rows.Rows) -> store_watch.ConfigurationRead:
+def configuration_from_rows(found: rows.Rows) -> store_watch.ConfigurationRead:
     """Return the configuration among some rows."""
     table = None
     mistake = ''
     for row in found.rows:
         if row.key == CONFIGURATION_KEY and not row.tombstone:
             try:
-                table = rows.read_table(row)
+                table = rows.read_route_table(row)
                 mistake = ''
             except errors.ProtocolError as exc:
                 mistake = str(exc)
     return store_watch.ConfigurationRead(found.position, table, mistake)
 
 
-def engines_of(found: rows.Rows) -> store_watch.EnginesRead:
+def engines_from_rows(found: rows.Rows) -> store_watch.EnginesRead:
     """Return the entries of engines among some rows.
 
-    Of several changes of one row the last one counts; that an engine said in
-    an earlier one that it leaves is kept.
+    The last of several changes of a row decides whether it was removed or is
+    invalid. Earlier valid entries are returned too, so that an engine's notice
+    that it is leaving is not lost.
     """
     entries = []
     removed: dict[str, None] = {}
@@ -312,14 +334,17 @@
         except errors.ProtocolError as exc:
             mistakes[row.key] = str(exc)
     return store_watch.EnginesRead(
-        found.position, tuple(entries), tuple(removed), told(mistakes)
+        found.position,
+        tuple(entries),
+        tuple(removed),
+        unusable_entries_from(mistakes),
     )
 
 
-def told(
+def unusable_entries_from(
     mistakes: dict[str, str],
 ) -> tuple[unusable_entries.UnusableEntry, ...]:
-    """Return mistakes by the keys of their rows as they are told."""
+    """Return mistakes, given by the keys of their rows."""
     return tuple(
         unusable_entries.UnusableEntry(key, why)
         for key, why in mistakes.items()
--- a/src/greengagelb/protocol/limit_messages.py
+++ b/src/greengagelb/protocol/limit_messages.py
@@ -1,7 +1,7 @@
-"""What instances tell each other of limits, for both ways in which they do.
+"""Messages between instances about limits, for both peer transports.
 
-Arrays, as other messages between instances are. Texts are bounded, as whoever
-reaches the port may send anything.
+They are encoded as arrays like other messages between instances. The length
+of texts is limited, as anyone who reaches the port may send arbitrary data.
 """
 
 from typing import Annotated
@@ -19,35 +19,35 @@
 Rate = Annotated[float, msgspec.Meta(ge=0.0, lt=1e10)]
 
 
-class LimitNews(
+class LimitUpdate(
     msgspec.Struct, frozen=True, array_like=True, tag='ln', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.LimitNews`."""
+    """See :class:`greengagelb.state.limits.LimitUpdate`."""
 
     life: Life
     rate: Rate | None
     version: Number
 
 
-class NewsWanted(
+class LimitUpdatesRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lq', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.NewsWanted`."""
+    """See :class:`greengagelb.state.limits.LimitUpdatesRequest`."""
 
 
-class LeaseWanted(
+class LeaseRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='lw', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.LeaseWanted`."""
+    """See :class:`greengagelb.state.limits.LeaseRequest`."""
 
     life: Life
     stamp: float
 
 
-class Leased(
+class LeaseGrant(
     msgspec.Struct, frozen=True, array_like=True, tag='ll', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Leased`."""
+    """See :class:`greengagelb.state.limits.LeaseGrant`."""
 
     life: Life
     share: Share
@@ -63,10 +63,10 @@
     life: Life
 
 
-class PermitWanted(
+class PermitRequestMessage(
     msgspec.Struct, frozen=True, array_like=True, tag='lp', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.PermitWanted`."""
+    """See :class:`greengagelb.state.limits.PermitRequestMessage`."""
 
     life: Life
     number: Number
@@ -98,25 +98,25 @@
     number: Number
 
 
-class Spent(
+class UnpermittedSends(
     msgspec.Struct, frozen=True, array_like=True, tag='ls', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Spent`."""
+    """See :class:`greengagelb.state.limits.UnpermittedSends`."""
 
     life: Life
     count: Number
 
 
-class PresenceWanted(
+class LivenessQuery(
     msgspec.Struct, frozen=True, array_like=True, tag='lh', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.PresenceWanted`."""
+    """See :class:`greengagelb.state.limits.LivenessQuery`."""
 
 
-class Present(
+class LivenessReply(
     msgspec.Struct, frozen=True, array_like=True, tag='li', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.limits.Present`."""
+    """See :class:`greengagelb.state.limits.LivenessReply`."""
 
 
 class IssuerSilent(
@@ -127,48 +127,48 @@
     issuer: Incarnation
 
 
-Wire = (
-    LimitNews
-    | NewsWanted
-    | LeaseWanted
-    | Leased
+WireMessage = (
+    LimitUpdate
+    | LimitUpdatesRequest
+    | LeaseRequest
+    | LeaseGrant
     | LeaseReturned
-    | PermitWanted
+    | PermitRequestMessage
     | PermitAnswer
     | PermitReturned
-    | Spent
-    | PresenceWanted
-    | Present
+    | UnpermittedSends
+    | LivenessQuery
+    | LivenessReply
     | IssuerSilent
 )
-WIRES = {
-    limits.LimitNews: LimitNews,
-    limits.NewsWanted: NewsWanted,
-    limits.LeaseWanted: LeaseWanted,
-    limits.Leased: Leased,
+WIRE_TYPES = {
+    limits.LimitUpdate: LimitUpdate,
+    limits.LimitUpdatesRequest: LimitUpdatesRequest,
+    limits.LeaseRequest: LeaseRequest,
+    limits.LeaseGrant: LeaseGrant,
     limits.LeaseReturned: LeaseReturned,
-    limits.PermitWanted: PermitWanted,
+    limits.PermitRequestMessage: PermitRequestMessage,
     limits.PermitAnswer: PermitAnswer,
     limits.PermitReturned: PermitReturned,
-    limits.Spent: Spent,
-    limits.PresenceWanted: PresenceWanted,
-    limits.Present: Present,
+    limits.UnpermittedSends: UnpermittedSends,
+    limits.LivenessQuery: LivenessQuery,
+    limits.LivenessReply: LivenessReply,
     limits.IssuerSilent: IssuerSilent,
 }
-MESSAGES = {wire: message for message, wire in WIRES.items()}
+MESSAGE_TYPES = {wire: message for message, wire in WIRE_TYPES.items()}
 
 
-def write(message: limits.Message) -> Wire:
-    """Return a message as it is sent.
+def to_wire(message: limits.Message) -> WireMessage:
+    """Return the wire message for a message.
 
-    Both kinds have the same fields in the same order.
+    Both classes have the same fields in the same order.
     """
-    wire = WIRES[type(message)]
+    wire = WIRE_TYPES[type(message)]
     fields = [getattr(message, name) for name in wire.__struct_fields__]
     return wire(*fields)
 
 
-def read(wire: Wire) -> limits.Message:
-    """Return the message that was sent."""
+def from_wire(wire: WireMessage) -> limits.Message:
+    """Return the message in a wire message."""
     fields = [getattr(wire, name) for name in wire.__struct_fields__]
-    return MESSAGES[type(wire)](*fields)
+    return MESSAGE_TYPES[type(wire)](*fields)
--- a/src/greengagelb/protocol/metrics_page.py
+++ b/src/greengagelb/protocol/metrics_page.py
@@ -1,7 +1,7 @@
-"""Reads what is in force from an instance's page of metrics.
+"""Parses what is in force on an instance from its metrics page.
 
-Whoever answers at an address may send anything: what is missing or of another
-kind is an error, and the rest of the page is not looked at.
+The process that answers at an address may not be an instance: missing metrics
+and values of the wrong type are errors, and other metrics are ignored.
 """
 
 import re
@@ -10,62 +10,64 @@
 from greengagelb.state import in_force
 
 PREFIX = 'greengagelb_'
-MOST_LABEL_CHARACTERS = 128
+MAX_LABEL_CHARACTERS = 128
 LINE = re.compile(r'^(?P<name>[a-z_]+)(?:\{(?P<labels>.*)\})? (?P<value>\S+)$')
 LABEL = re.compile(r'([a-z_]+)="((?:[^"\\]|\\.)*)"')
 
 
-def read(raw: bytes) -> in_force.InForce:
-    """Return what a page says; raise :class:`errors.ProtocolError` if not."""
+def parse_page(raw: bytes) -> in_force.InstanceReport:
+    """Return the report in a page; raises :class:`errors.ProtocolError`."""
     try:
         text = raw.decode('utf-8')
     except UnicodeDecodeError as exc:
-        raise errors.ProtocolError('not UTF-8') from exc
-    figures: dict[str, float] = {}
+        raise errors.ProtocolError('metrics page is not UTF-8') from exc
+    metrics: dict[str, float] = {}
     labels: dict[str, str] = {}
     for line in text.splitlines():
-        found = LINE.match(line)
-        if found is None or not found['name'].startswith(PREFIX):
+        line_match = LINE.match(line)
+        if line_match is None or not line_match['name'].startswith(PREFIX):
             continue
-        name = found['name'].removeprefix(PREFIX)
+        name = line_match['name'].removeprefix(PREFIX)
         if name == 'instance':
-            labels = dict(LABEL.findall(found['labels'] or ''))
-        elif found['labels'] is None:
-            figures[name] = number(name, found['value'])
-    return in_force.InForce(
-        name=label(labels, 'name'),
-        data_centre=label(labels, 'data_centre'),
-        release=label(labels, 'release'),
-        stopping=bool(figure(figures, 'stopping')),
-        settings_digest=int(figure(figures, 'settings_digest')),
-        settings_seconds=figure(figures, 'settings_age_seconds'),
-        configuration_version=int(figure(figures, 'configuration_version')),
-        engines=int(figure(figures, 'engines')),
-        running=int(figure(figures, 'running')),
-        store_seconds=figures.get('store_age_seconds'),
+            labels = dict(LABEL.findall(line_match['labels'] or ''))
+        elif line_match['labels'] is None:
+            metrics[name] = parse_number(name, line_match['value'])
+    return in_force.InstanceReport(
+        name=require_label(labels, 'name'),
+        data_centre=require_label(labels, 'data_centre'),
+        release=require_label(labels, 'release'),
+        stopping=bool(require_metric(metrics, 'stopping')),
+        settings_digest=int(require_metric(metrics, 'settings_digest')),
+        settings_seconds=require_metric(metrics, 'settings_age_seconds'),
+        configuration_version=int(
+            require_metric(metrics, 'configuration_version')
+        ),
+        engines=int(require_metric(metrics, 'engines')),
+        running=int(require_metric(metrics, 'running')),
+        store_seconds=metrics.get('store_age_seconds'),
     )
 
 
-def number(name: str, text: str) -> float:
+def parse_number(name: str, text: str) -> float:
     """Return the value of a metric."""
     try:
         value = float(text)
     except ValueError:
         value = -1.0
     if not 0.0 <= value < 1e18:
-        raise errors.BadValue(f'{PREFIX}{name} is no number from 0 on')
+        raise errors.BadValue(f'{PREFIX}{name} is not a valid number')
     return value
 
 
-def figure(figures: dict[str, float], name: str) -> float:
-    """Return a metric that has to be there."""
-    if name not in figures:
+def require_metric(metrics: dict[str, float], name: str) -> float:
+    """Return a required metric."""
+    if name not in metrics:
         raise errors.BadValue(f'{PREFIX}{name} is missing')
-    return figures[name]
+    return metrics[name]
 
 
-def label(labels: dict[str, str], name: str) -> str:
-    """Return a label of the instance that has to be there."""
+def require_label(labels: dict[str, str], name: str) -> str:
+    """Return a required label of the instance."""
     if name not in labels:
         raise errors.BadValue(f'{PREFIX}instance has no {name}')
-    return labels[name][:MOST_LABEL_CHARACTERS]
+    return labels[name][:MAX_LABEL_CHARACTERS]
--- a/src/greengagelb/protocol/relay_hints.py
+++ b/src/greengagelb/protocol/relay_hints.py
@@ -1,8 +1,8 @@
-"""Hints between instances as datagrams.
+"""Encoding of hints between instances as datagrams.
 
-Datagrams and not ``zmq``: a hint that is late is worthless, so nothing is
-queued or sent again, and an instance needs one socket for hundreds of others
-instead of a connection to each.
+Datagrams are used rather than ``zmq`` because late hints are useless, so
+nothing has to be queued or resent, and because an instance needs one socket
+for hundreds of others instead of a connection to each.
 """
 
 from typing import Annotated
@@ -23,7 +23,7 @@
 class Heartbeat(
     msgspec.Struct, frozen=True, array_like=True, tag='h', tag_field='kind'
 ):
-    """The sender is there; ``leaving`` that it stops now."""
+    """The sender is alive; with ``leaving`` it is about to stop."""
 
     name: str
     host: str
@@ -33,10 +33,10 @@
     limits_digest: int = 0
 
 
-class Placed(
+class RunPlaced(
     msgspec.Struct, frozen=True, array_like=True, tag='p', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Placed`."""
+    """See :class:`greengagelb.state.relay.hints.RunPlaced`."""
 
     number: int
     engine: str
@@ -47,61 +47,61 @@
     attempt: int = 0
 
 
-class Ended(
+class RunEnded(
     msgspec.Struct, frozen=True, array_like=True, tag='e', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Ended`."""
+    """See :class:`greengagelb.state.relay.hints.RunEnded`."""
 
     number: int
 
 
-class Failed(
+class EngineFailed(
     msgspec.Struct, frozen=True, array_like=True, tag='f', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Failed`."""
+    """See :class:`greengagelb.state.relay.hints.EngineFailed`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Erred(
+class EngineErrored(
     msgspec.Struct, frozen=True, array_like=True, tag='x', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Erred`."""
+    """See :class:`greengagelb.state.relay.hints.EngineErrored`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Silent(
+class StreamSilent(
     msgspec.Struct, frozen=True, array_like=True, tag='q', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Silent`."""
+    """See :class:`greengagelb.state.relay.hints.StreamSilent`."""
 
     engine: str
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Replaced(
+class EngineReplaced(
     msgspec.Struct, frozen=True, array_like=True, tag='r', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Replaced`."""
+    """See :class:`greengagelb.state.relay.hints.EngineReplaced`."""
 
     engine: str
     successor: str = ''
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class Restarted(
+class EngineRestarted(
     msgspec.Struct, frozen=True, array_like=True, tag='a', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.Restarted`."""
+    """See :class:`greengagelb.state.relay.hints.EngineRestarted`."""
 
     engine: str
     started_at_ms: int
 
 
-class Engine(msgspec.Struct, frozen=True, array_like=True):
+class EngineEntry(msgspec.Struct, frozen=True, array_like=True):
     """See :class:`greengagelb.state.relay.engines.EngineEntry`."""
 
     engine: str
@@ -115,12 +115,12 @@
     started_at_ms: int = engines.UNKNOWN_START
 
 
-class EnginesTold(
+class EngineListChanged(
     msgspec.Struct, frozen=True, array_like=True, tag='t', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.EnginesTold`."""
+    """See :class:`greengagelb.state.relay.hints.EngineListChanged`."""
 
-    entries: tuple[Engine, ...]
+    entries: tuple[EngineEntry, ...]
     removed: tuple[str, ...]
     unusable: tuple[str, ...] = ()
 
@@ -134,10 +134,10 @@
     version: int | None
 
 
-class StoreTried(
+class StoreProbed(
     msgspec.Struct, frozen=True, array_like=True, tag='u', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.StoreTried`."""
+    """See :class:`greengagelb.state.relay.hints.StoreProbed`."""
 
 
 class StoreRestored(
@@ -148,10 +148,10 @@
     era: int
 
 
-class NotListed(
+class InstancesNotListed(
     msgspec.Struct, frozen=True, array_like=True, tag='n', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.relay.hints.NotListed`."""
+    """See :class:`greengagelb.state.relay.hints.InstancesNotListed`."""
 
     incarnations: tuple[str, ...]
 
@@ -159,7 +159,7 @@
 class Forwarded(
     msgspec.Struct, frozen=True, array_like=True, tag='d', tag_field='kind'
 ):
-    """A datagram for all instances of the receiver's data centre."""
+    """A datagram to pass on to all instances of the receiver's data centre."""
 
     datagram: bytes
 
@@ -172,8 +172,8 @@
     version: int
 
 
-class ToldCrash(msgspec.Struct, frozen=True, array_like=True):
-    """See :class:`greengagelb.state.crashes.ToldCrash`."""
+class ReportedCrash(msgspec.Struct, frozen=True, array_like=True):
+    """See :class:`greengagelb.state.crashes.ReportedCrash`."""
 
     life: Life
     seconds: float
@@ -186,14 +186,14 @@
     """See :class:`greengagelb.state.crashes.CrashReport`."""
 
     fingerprint: Fingerprint
-    crashes: tuple[ToldCrash, ...]
+    crashes: tuple[ReportedCrash, ...]
     survived_age: float | None = None
 
 
-class CrashesWanted(
+class CrashReportsRequest(
     msgspec.Struct, frozen=True, array_like=True, tag='w', tag_field='kind'
 ):
-    """See :class:`greengagelb.state.crashes.Wanted`."""
+    """See :class:`greengagelb.state.crashes.CrashReportsRequest`."""
 
 
 class Datagram(msgspec.Struct, frozen=True, array_like=True):
@@ -202,23 +202,23 @@
     incarnation: str
     message: (
         Heartbeat
-        | Placed
-        | Ended
-        | Failed
-        | Erred
-        | Silent
-        | Replaced
-        | Restarted
-        | EnginesTold
+        | RunPlaced
+        | RunEnded
+        | EngineFailed
+        | EngineErrored
+        | StreamSilent
+        | EngineReplaced
+        | EngineRestarted
+        | EngineListChanged
         | StoreRead
-        | StoreTried
+        | StoreProbed
         | StoreRestored
-        | NotListed
+        | InstancesNotListed
         | ConfigurationApplied
         | CrashReport
-        | CrashesWanted
+        | CrashReportsRequest
         | Forwarded
-        | limit_messages.Wire
+        | limit_messages.WireMessage
     )
 
 
@@ -226,9 +226,9 @@
 _decoder = msgspec.msgpack.Decoder(Datagram)
 
 
-def write_engine(entry: engines.EngineEntry) -> Engine:
-    """Return an engine's entry as it is sent."""
-    return Engine(
+def write_engine(entry: engines.EngineEntry) -> EngineEntry:
+    """Return the wire message for an engine's entry."""
+    return EngineEntry(
         entry.engine,
         entry.service,
         entry.address.host,
@@ -241,8 +241,8 @@
     )
 
 
-def read_engine(wire: Engine) -> engines.EngineEntry:
-    """Return an engine's entry."""
+def read_engine(wire: EngineEntry) -> engines.EngineEntry:
+    """Return the engine's entry in a wire message."""
     return engines.EngineEntry(
         wire.engine,
         wire.service,
@@ -258,8 +258,8 @@
 def encode_hint(incarnation: str, hint: hints.Hint) -> bytes:
     """Return a hint as a datagram."""
     match hint:
-        case hints.Placed():
-            wire = Placed(
+        case hints.RunPlaced():
+            wire = RunPlaced(
                 hint.number,
                 hint.engine,
                 hint.memory_tokens,
@@ -268,38 +268,40 @@
                 hint.part,
                 hint.attempt,
             )
-        case hints.Ended(number):
-            wire = Ended(number)
-        case hints.Failed(engine, started_at_ms):
-            wire = Failed(engine, started_at_ms)
-        case hints.Erred(engine, started_at_ms):
-            wire = Erred(engine, started_at_ms)
-        case hints.Silent(engine, started_at_ms):
-            wire = Silent(engine, started_at_ms)
-        case hints.Replaced(engine, successor, started_at_ms):
-            wire = Replaced(engine, successor, started_at_ms)
-        case hints.Restarted(engine, started_at_ms):
-            wire = Restarted(engine, started_at_ms)
-        case hints.EnginesTold(entries, removed, unusable):
-            written = tuple(map(write_engine, entries))
-            wire = EnginesTold(written, removed, unusable)
+        case hints.RunEnded(number):
+            wire = RunEnded(number)
+        case hints.EngineFailed(engine, started_at_ms):
+            wire = EngineFailed(engine, started_at_ms)
+        case hints.EngineErrored(engine, started_at_ms):
+            wire = EngineErrored(engine, started_at_ms)
+        case hints.StreamSilent(engine, started_at_ms):
+            wire = StreamSilent(engine, started_at_ms)
+        case hints.EngineReplaced(engine, successor, started_at_ms):
+            wire = EngineReplaced(engine, successor, started_at_ms)
+        case hints.EngineRestarted(engine, started_at_ms):
+            wire = EngineRestarted(engine, started_at_ms)
+        case hints.EngineListChanged(entries, removed, unusable):
+            encoded_entries = tuple(map(write_engine, entries))
+            wire = EngineListChanged(encoded_entries, removed, unusable)
         case hints.StoreRead(digest, version):
             wire = StoreRead(digest, version)
-        case hints.StoreTried():
-            wire = StoreTried()
+        case hints.StoreProbed():
+            wire = StoreProbed()
         case hints.StoreRestored(era):
             wire = StoreRestored(era)
-        case hints.NotListed(incarnations):
-            wire = NotListed(incarnations)
+        case hints.InstancesNotListed(incarnations):
+            wire = InstancesNotListed(incarnations)
         case hints.ConfigurationApplied(version):
             wire = ConfigurationApplied(version)
         case crashes.CrashReport(fingerprint, found, survived_age):
-            told = tuple(ToldCrash(c.life, c.seconds, c.age) for c in found)
-            wire = CrashReport(fingerprint, told, survived_age)
-        case crashes.Wanted():
-            wire = CrashesWanted()
+            reported = tuple(
+                ReportedCrash(c.life, c.seconds, c.age) for c in found
+            )
+            wire = CrashReport(fingerprint, reported, survived_age)
+        case crashes.CrashReportsRequest():
+            wire = CrashReportsRequest()
         case _:
-            wire = limit_messages.write(hint)
+            wire = limit_messages.to_wire(hint)
     return _encoder.encode(Datagram(incarnation, wire))
 
 
@@ -307,30 +309,30 @@
     member: hints.Member,
     *,
     leaving: bool = False,
-    known: hints.Digests = hints.NOTHING_KNOWN,
+    digests: hints.Digests = hints.EMPTY_DIGESTS,
 ) -> bytes:
     """Return a heartbeat as a datagram."""
-    beat = Heartbeat(
+    heartbeat = Heartbeat(
         member.name,
         member.host,
         member.data_centre,
         leaving,
-        known.crashes,
-        known.limits,
+        digests.crashes,
+        digests.limits,
     )
-    return _encoder.encode(Datagram(member.incarnation, beat))
+    return _encoder.encode(Datagram(member.incarnation, heartbeat))
 
 
 def encode_forwarded(incarnation: str, raw: bytes) -> bytes:
-    """Return a datagram to be passed on to a data centre, as one."""
+    """Return a datagram that asks its receiver to pass ``raw`` on."""
     return _encoder.encode(Datagram(incarnation, Forwarded(raw)))
 
 
 Message = Heartbeat | Forwarded | hints.Hint
 
 
-def decode(raw: bytes) -> tuple[str, Message]:
-    """Return who sent a datagram, and what.
+def decode_datagram(raw: bytes) -> tuple[str, Message]:
+    """Return the sender's incarnation and the message of a datagram.
 
     Raises :class:`~greengagelb.errors.ProtocolError`.
     """
@@ -339,8 +341,8 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as exc:
         raise errors.ProtocolError(str(exc)) from exc
     match datagram.message:
-        case Placed() as wire:
-            hint = hints.Placed(
+        case RunPlaced() as wire:
+            hint = hints.RunPlaced(
                 wire.number,
                 wire.engine,
                 wire.memory_tokens,
@@ -349,40 +351,41 @@
                 wire.part,
                 wire.attempt,
             )
-        case Ended(number):
-            hint = hints.Ended(number)
-        case Failed(engine, started_at_ms):
-            hint = hints.Failed(engine, started_at_ms)
-        case Erred(engine, started_at_ms):
-            hint = hints.Erred(engine, started_at_ms)
-        case Silent(engine, started_at_ms):
-            hint = hints.Silent(engine, started_at_ms)
-        case Replaced(engine, successor, started_at_ms):
-            hint = hints.Replaced(engine, successor, started_at_ms)
-        case Restarted(engine, started_at_ms):
-            hint = hints.Restarted(engine, started_at_ms)
-        case EnginesTold(entries, removed, unusable):
-            read = tuple(map(read_engine, entries))
-            hint = hints.EnginesTold(read, removed, unusable)
+        case RunEnded(number):
+            hint = hints.RunEnded(number)
+        case EngineFailed(engine, started_at_ms):
+            hint = hints.EngineFailed(engine, started_at_ms)
+        case EngineErrored(engine, started_at_ms):
+            hint = hints.EngineErrored(engine, started_at_ms)
+        case StreamSilent(engine, started_at_ms):
+            hint = hints.StreamSilent(engine, started_at_ms)
+        case EngineReplaced(engine, successor, started_at_ms):
+            hint = hints.EngineReplaced(engine, successor, started_at_ms)
+        case EngineRestarted(engine, started_at_ms):
+            hint = hints.EngineRestarted(engine, started_at_ms)
+        case EngineListChanged(entries, removed, unusable):
+            decoded_entries = tuple(map(read_engine, entries))
+            hint = hints.EngineListChanged(decoded_entries, removed, unusable)
         case StoreRead(digest, version):
             hint = hints.StoreRead(digest, version)
-        case StoreTried():
-            hint = hints.StoreTried()
+        case StoreProbed():
+            hint = hints.StoreProbed()
         case StoreRestored(era):
             hint = hints.StoreRestored(era)
-        case NotListed(incarnations):
-            hint = hints.NotListed(incarnations)
+        case InstancesNotListed(incarnations):
+            hint = hints.InstancesNotListed(incarnations)
         case ConfigurationApplied(version):
             hint = hints.ConfigurationApplied(version)
-        case CrashReport(fingerprint, told, survived_age):
+        case CrashReport(fingerprint, reported, survived_age):
             found = tuple(
-                crashes.ToldCrash(c.life, c.seconds, c.age) for c in told
+                crashes.ReportedCrash(c.life, c.seconds, c.age)
+                for c in reported
             )
             hint = crashes.CrashReport(fingerprint, found, survived_age)
-        case CrashesWanted():
-            hint = crashes.Wanted()
-        case Heartbeat() | Forwarded() as other:
-            return datagram.incarnation, other
-        case limited:
-            hint = limit_messages.read(limited)
+        case CrashReportsRequest():
+            hint = crashes.CrashReportsRequest()
+        case Heartbeat() | Forwarded() as message:
+            return datagram.incarnation, message
+        case limit_message:
+            hint = limit_messages.from_wire(limit_message)
     return datagram.incarnation, hint
--- a/src/greengagelb/standins/engine.py
+++ b/src/greengagelb/standins/engine.py
@@ -127,7 +127,7 @@
 
     def generate(self, request: server.Request) -> object:
         """Start or continue a generation."""
-        answer_limits.write_answer(
+        answer_limits.set_limit_headers(
             request, self.faults.limit, self.incarnation
         )
         order = codec.decode(request.content.read(), engine_api.GenerateOrder)
@@ -146,7 +146,7 @@
 
     def attach(self, request: server.Request) -> object:
         """Stream a known attempt from a position on."""
-        answer_limits.write_answer(
+        answer_limits.set_limit_headers(
             request, self.faults.limit, self.incarnation
         )
         order = codec.decode(request.content.read(), engine_api.AttachOrder)
@@ -261,15 +261,15 @@
             )
             listener.position += len(fresh)
             listener.request.write(
-                sse.write_event(codec.encode(batch), 'tokens')
+                sse.encode_event(codec.encode(batch), 'tokens')
             )
         if run.ended:
-            ended = engine_api.Ended(
+            ended = engine_api.AttemptEnded(
                 order.generation, order.attempt, len(run.tokens), run.ended
             )
             listener.gone = True
             listener.done.callback(
-                sse.write_event(codec.encode(ended), 'ended')
+                sse.encode_event(codec.encode(ended), 'ended')
             )
 
     def forget_ended(self) -> None:
--- a/src/greengagelb/state/crashes.py
+++ b/src/greengagelb/state/crashes.py
@@ -1,7 +1,7 @@
-"""Engines that crashed while they ran a request.
+"""Engine crashes during a request, to detect requests that cause them.
 
-Times are monotonic seconds of the instance that holds them; what instances
-tell each other are ages.
+Times are monotonic seconds of the local instance. Messages between instances
+carry ages instead, as monotonic clocks of two machines can't be compared.
 """
 
 import dataclasses
@@ -9,10 +9,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """An engine's life that ended while it ran a request.
+    """A crash of an engine while it ran a request.
 
-    ``began_at`` is when it began to run it, as far as that can be seen from
-    outside: the head of its answer, or the send where answers are short.
+    ``life`` is the engine's life (one run of its process) that ended.
+    ``began_at`` is when the engine began to run the request as far as an
+    instance can observe: when the head of its answer arrived, or when the
+    request was sent if answers are short.
     """
 
     life: str
@@ -21,16 +23,17 @@
 
     @property
     def seconds(self) -> float:
-        """Return how long the request had run."""
+        """Return how long the request had run before the crash."""
         return self.ended_at - self.began_at
 
 
 @dataclasses.dataclass(slots=True)
 class CrashHistory:
-    """The crashes under one request, by the life that ended.
+    """The crashes during one request, by the engine's life that ended.
 
-    ``survived_at`` is when an engine last ran it to its end; crashes before
-    that are not its doing. ``changed_at`` is when this was last news here.
+    ``survived_at`` is when an engine last completed the request; crashes
+    before that are not attributed to it. ``changed_at`` is when this instance
+    last learned something new about the request.
     """
 
     crashes: dict[str, Crash] = dataclasses.field(default_factory=dict)
@@ -39,8 +42,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Suspect:
-    """A request and its history at one moment."""
+class SuspectRequest:
+    """Snapshot of the crash history of a suspected request."""
 
     fingerprint: str
     crashes: tuple[Crash, ...]
@@ -49,8 +52,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ToldCrash:
-    """A crash as another instance tells of it, in seconds."""
+class ReportedCrash:
+    """A crash as reported by another instance; times are in seconds."""
 
     life: str
     seconds: float
@@ -58,37 +61,37 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wanted:
-    """The sender asks for all that the receiver knows."""
+class CrashReportsRequest:
+    """Asks the receiver for all its crash reports."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """What an instance knows of the crashes under one request.
+    """The crashes during one request that an instance knows of.
 
-    ``survived_age`` is None where no engine is known to have survived it.
+    ``survived_age`` is None if no engine is known to have completed it.
     """
 
     fingerprint: str
-    crashes: tuple[ToldCrash, ...]
+    crashes: tuple[ReportedCrash, ...]
     survived_age: float | None = None
 
 
-def report_on(suspect: Suspect, now: float) -> CrashReport:
-    """Return what is known of a suspect, as others are told."""
+def build_crash_report(suspect: SuspectRequest, now: float) -> CrashReport:
+    """Return the report about a suspected request for other instances."""
     survived_age = None
     if suspect.survived_at > float('-inf'):
         survived_age = now - suspect.survived_at
-    told = tuple(
-        ToldCrash(crash.life, crash.seconds, now - crash.ended_at)
+    reported = tuple(
+        ReportedCrash(crash.life, crash.seconds, now - crash.ended_at)
         for crash in suspect.crashes
     )
-    return CrashReport(suspect.fingerprint, told, survived_age)
+    return CrashReport(suspect.fingerprint, reported, survived_age)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptCrash:
-    """A crash as the store keeps it; ``ended_at_ms`` is its Unix time."""
+class StoredCrash:
+    """A crash as stored; ``ended_at_ms`` is its Unix time."""
 
     life: str
     seconds: float
@@ -96,19 +99,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KeptCrashes:
-    """The crashes under one request as the store keeps them."""
+class StoredCrashes:
+    """The crashes during one request as stored."""
 
     fingerprint: str
-    crashes: tuple[KeptCrash, ...]
+    crashes: tuple[StoredCrash, ...]
 
 
-def to_keep(report: CrashReport, wall_milliseconds: int) -> KeptCrashes:
-    """Return a report as it is kept."""
-    return KeptCrashes(
+def to_stored_crashes(
+    report: CrashReport, wall_milliseconds: int
+) -> StoredCrashes:
+    """Return a report in the form in which it is stored."""
+    return StoredCrashes(
         report.fingerprint,
         tuple(
-            KeptCrash(
+            StoredCrash(
                 crash.life,
                 crash.seconds,
                 wall_milliseconds - round(crash.age * 1000),
@@ -118,19 +123,21 @@
     )
 
 
-def from_kept(kept: KeptCrashes, wall_milliseconds: int) -> CrashReport:
-    """Return what is kept as a report.
+def to_crash_report(
+    stored: StoredCrashes, wall_milliseconds: int
+) -> CrashReport:
+    """Return stored crashes as a report.
 
-    The clock of who wrote it may have been ahead.
+    Ages are at least 0, as the clock of the writer may have been ahead.
     """
     return CrashReport(
-        kept.fingerprint,
+        stored.fingerprint,
         tuple(
-            ToldCrash(
+            ReportedCrash(
                 crash.life,
                 crash.seconds,
                 max(0, wall_milliseconds - crash.ended_at_ms) / 1000,
             )
-            for crash in kept.crashes
+            for crash in stored.crashes
         ),
     )
--- a/src/greengagelb/state/relay/store_calls.py
+++ b/src/greengagelb/state/relay/store_calls.py
@@ -1,12 +1,12 @@
-"""What this instance has asked of the store, and why."""
+"""Counts this instance's calls to the store by kind and cause."""
 
 import collections
 import dataclasses
 import enum
 
 
-class Call(enum.Enum):
-    """What a call is about."""
+class CallKind(enum.Enum):
+    """Kind of a call."""
 
     REGISTER = 'register'
     UNREGISTER = 'unregister'
@@ -16,7 +16,7 @@
     CRASHES = 'crashes'
 
 
-class Cause(enum.Enum):
+class CallCause(enum.Enum):
     """Why a call is made."""
 
     START = 'start'
@@ -35,22 +35,22 @@
 class CountedCall:
     """A kind of call for one cause."""
 
-    call: Call
-    cause: Cause
+    call: CallKind
+    cause: CallCause
 
 
 class StoreCalls:
-    """Counts calls: each costs, and what they cost adds up over a fleet."""
+    """Counts store calls, as their cost adds up over a fleet."""
 
     def __init__(self) -> None:
         self.counts: collections.Counter[CountedCall] = collections.Counter()
 
-    def count(self, call: Call, cause: Cause) -> None:
+    def count_call(self, call: CallKind, cause: CallCause) -> None:
         """Count a call that is about to be made."""
         self.counts[CountedCall(call, cause)] += 1
 
-    def summary(self) -> str:
-        """Return all counts in a line, the largest first."""
+    def format_summary(self) -> str:
+        """Return all counts in one line, largest first."""
         return ', '.join(
             f'{counted.call.value} {counted.cause.value} {number}'
             for counted, number in self.counts.most_common()
--- a/src/greengagelb/transport/caller_app.py
+++ b/src/greengagelb/transport/caller_app.py
@@ -34,17 +34,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Exchange:
-    """A caller's connection that waits for its answer."""
+    """A caller's connection that is waiting for its final answer."""
 
     request: server.Request
-    done: defer.Deferred
+    final_answer: defer.Deferred
     service: str
     request_id: str
     stream: caller_stream.CallerStream | None = None
 
 
 class CallerApp:
-    """Turns callers' requests into events and actions into answers."""
+    """Turns callers' requests into events, and actions into answers."""
 
     def __init__(
         self,
@@ -63,31 +63,33 @@
             lambda request: self.authenticate(request).name
         )
         self.exchanges: dict[int, Exchange] = {}
-        self.numbers = itertools.count(1)
+        self.exchange_numbers = itertools.count(1)
         self.app = klein.Klein()
-        self.app.route('/v1/chat/completions', methods=['POST'])(self.chat)
+        self.app.route('/v1/chat/completions', methods=['POST'])(
+            self.handle_chat
+        )
         self.app.route('/v1/services/<service>/<operation>', methods=['POST'])(
-            self.call
+            self.handle_call
         )
-        problem_handlers.install(
+        problem_handlers.install_problem_handlers(
             self.app, events_recorder.metrics.count_refusal
         )
 
-    # -- requests -----------------------------------------------------------
-
-    def chat(self, request: server.Request) -> object:
+    def handle_chat(self, request: server.Request) -> object:
         """Handle a request for a streamed generation."""
         account = self.authenticate(request)
         headers = caller_headers.read_headers(request)
         body = codec.decode(request.content.read(), caller_api.ChatCompletion)
         if not body.stream:
-            raise errors.BadValue('stream: write true; every answer streams')
+            raise errors.BadValue(
+                'stream: must be true; every answer is streamed'
+            )
         prompt = '\n'.join(
             f'{message.role}: {message.content}' for message in body.messages
         )
         generation = requests.GenerationRequest(
-            next(self.numbers),
-            identity.RequestId(account.name, self.name_request(headers)),
+            next(self.exchange_numbers),
+            identity.RequestId(account.name, self.choose_request_id(headers)),
             body.model,
             prompt,
             body.max_tokens,
@@ -96,33 +98,37 @@
             headers.first_send,
             headers.priority,
         )
-        event = self.arrival(headers.cursor, generation, tuple(body.received))
-        return self.open(request, generation, event)
+        event = self.event_of_submission(
+            headers.cursor, generation, tuple(body.received)
+        )
+        return self.open_exchange(request, generation, event)
 
-    def arrival(
+    def event_of_submission(
         self,
         cursor: str,
         generation: requests.GenerationRequest,
         received: tuple[str, ...],
     ) -> events.Event:
-        """Return the event of a new or a returning caller.
+        """Return the event of a new or a resuming request.
 
-        A cursor of another account is treated like one that was never
-        sealed, so that nobody learns of another account's requests.
+        A cursor of another account is rejected like one that was never sealed,
+        so that nobody can probe for another account's requests.
         """
         if not cursor:
             if received:
-                raise errors.BadCursor('received: write Last-Event-ID with it')
+                raise errors.BadCursor(
+                    'received: requires the header Last-Event-ID'
+                )
             return events.GenerationSubmitted(generation)
-        sealed = self.seal.open_whole(cursor)
+        sealed = self.seal.open_cursor(cursor)
         point = sealed.point
         if point.request.account != generation.request.account:
             raise errors.BadCursor('cursor was not sealed here')
-        self.recorder.follow(sealed.stamp)
+        self.recorder.observe_stamp(sealed.stamp)
         resumed = dataclasses.replace(generation, request=point.request)
         return events.GenerationResumed(resumed, point, received)
 
-    def call(
+    def handle_call(
         self, request: server.Request, service: str, operation: str
     ) -> object:
         """Handle a call to a plain service."""
@@ -130,8 +136,8 @@
         headers = caller_headers.read_headers(request)
         caller_headers.check_operation(operation)
         call = requests.CallRequest(
-            next(self.numbers),
-            identity.RequestId(account.name, self.name_request(headers)),
+            next(self.exchange_numbers),
+            identity.RequestId(account.name, self.choose_request_id(headers)),
             service,
             operation,
             request.content.read(),
@@ -140,26 +146,28 @@
             headers.first_send,
             headers.priority,
         )
-        return self.open(request, call, events.CallSubmitted(call))
+        return self.open_exchange(request, call, events.CallSubmitted(call))
 
-    def open(
+    def open_exchange(
         self,
         request: server.Request,
         submitted: requests.GenerationRequest | requests.CallRequest,
         event: events.Event,
     ) -> defer.Deferred:
-        """Keep the connection until its final answer."""
+        """Dispatch a request, and return the Deferred of its final answer."""
         number = submitted.exchange
-        done: defer.Deferred = defer.Deferred()
+        final_answer: defer.Deferred = defer.Deferred()
         self.exchanges[number] = Exchange(
-            request, done, submitted.service, submitted.request.request
+            request, final_answer, submitted.service, submitted.request.request
+        )
+        request.notifyFinish().addErrback(
+            lambda _: self.report_caller_gone(number)
         )
-        request.notifyFinish().addErrback(lambda _: self.gone(number))
         self.dispatch(event)
-        return done
+        return final_answer
 
-    def gone(self, number: int) -> None:
-        """Tell that a caller's connection is lost."""
+    def report_caller_gone(self, number: int) -> None:
+        """Report that a caller's connection was lost."""
         if self.exchanges.pop(number, None) is not None:
             self.dispatch(events.CallerGone(number))
 
@@ -168,8 +176,8 @@
     ) -> configuration_state.ClientAccount:
         """Return the client account of the request's API key.
 
-        Every account's digest is compared, in constant time, so that the time
-        taken tells nothing about the keys. Raises
+        The key's digest is compared with every account's, in constant time, so
+        that the time taken reveals nothing about the keys. Raises
         :class:`~greengagelb.errors.Unauthenticated`.
         """
         key = caller_headers.api_key_of(request)
@@ -178,28 +186,26 @@
         for account in self.configuration().accounts:
             if hmac.compare_digest(account.key_digest.encode(), digest):
                 found = account
-        # An account that was given the digest of an empty key would be open
-        # to everybody; no key is nobody's key.
+        # An account with the digest of the empty key would otherwise accept
+        # requests without a key.
         if found is None or not key:
             raise errors.Unauthenticated('unknown API key')
         return found
 
-    def name_request(self, headers: caller_headers.CallerHeaders) -> str:
-        """Return the request's id: the caller's own, or a fresh one."""
+    def choose_request_id(self, headers: caller_headers.CallerHeaders) -> str:
+        """Return the caller's idempotency key, or a new random id."""
         return headers.idempotency_key or secrets.token_urlsafe(12)
 
     def deadline_of(self, headers: caller_headers.CallerHeaders) -> float:
-        """Return the monotonic time by which the caller wants its answer."""
+        """Return the monotonic time of the caller's deadline."""
         return self.reactor.seconds() + headers.deadline_seconds
 
-    # -- answers ------------------------------------------------------------
-
     def send_tokens(self, action: actions.SendTokens) -> None:
         """Write tokens as one event."""
         exchange = self.exchanges.get(action.exchange)
         if exchange is None:
             return
-        stream = self.begin_stream(exchange)
+        stream = self.get_or_open_stream(exchange)
         chunk = caller_api.ChatChunk(
             id=exchange.request_id,
             model=exchange.service,
@@ -210,45 +216,49 @@
             position=action.position,
             tokens=list(action.tokens),
         )
-        cursor = self.seal.seal(action.point, self.recorder.clock.latest)
-        stream.write(sse.write_event(codec.encode(chunk), event_id=cursor))
+        cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
+        stream.write(sse.encode_event(codec.encode(chunk), event_id=cursor))
 
-    def begin_stream(self, exchange: Exchange) -> caller_stream.CallerStream:
-        """Return the stream, after its headers were set."""
+    def get_or_open_stream(
+        self, exchange: Exchange
+    ) -> caller_stream.CallerStream:
+        """Return an exchange's stream; set its headers when it is opened."""
         if exchange.stream is None:
             request = exchange.request
             request.setHeader(b'content-type', b'text/event-stream')
             request.setHeader(b'cache-control', b'no-store')
             exchange.stream = caller_stream.CallerStream(
-                request, lambda: self.cut(request)
+                request, lambda: self.abort_connection(request)
             )
         return exchange.stream
 
-    def cut(self, request: server.Request) -> None:
+    def abort_connection(self, request: server.Request) -> None:
         """Close the connection of a caller that does not read.
 
-        What waits in the transport is dropped too: flushing it would wait
-        for the same caller.
+        Data in the transport's buffer is dropped: flushing it would wait for
+        the same caller.
         """
         request.transport.abortConnection()
 
     def send_restart(self, action: actions.SendRestart) -> None:
-        """Tell the caller to discard what it holds."""
+        """Tell the caller to discard the tokens that it has received."""
         exchange = self.exchanges.get(action.exchange)
         if exchange is None:
             return
-        message = caller_api.Restarted(action.generation, action.reason)
-        cursor = self.seal.seal(action.point, self.recorder.clock.latest)
-        self.begin_stream(exchange).write(
-            sse.write_event(codec.encode(message), 'restart', cursor)
+        message = caller_api.GenerationRestarted(
+            action.generation, action.reason
+        )
+        cursor = self.seal.seal_point(action.point, self.recorder.clock.latest)
+        self.get_or_open_stream(exchange).write(
+            sse.encode_event(codec.encode(message), 'restart', cursor)
         )
 
     def send_end(self, action: actions.SendEnd) -> None:
-        """Write the last events of a whole answer."""
+        """Write the last events of a complete stream."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
-        stream = self.begin_stream(exchange)
+        stream = self.get_or_open_stream(exchange)
         chunk = caller_api.ChatChunk(
             id=exchange.request_id,
             model=exchange.service,
@@ -259,29 +269,31 @@
             position=action.position,
             tokens=[],
         )
-        last = sse.write_event(codec.encode(chunk))
-        last += sse.write_event(b'[DONE]')
-        exchange.done.callback(stream.finish() + last)
+        last = sse.encode_event(codec.encode(chunk))
+        last += sse.encode_event(b'[DONE]')
+        exchange.final_answer.callback(stream.finish() + last)
 
     def send_failure(self, action: actions.SendFailure) -> None:
-        """Give the caller its final answer."""
+        """Send the caller a failure as its final answer."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
-        problem = problems.problem_of(action.failure)
+        problem = problems.to_problem(action.failure)
         if exchange.stream is not None:
-            event = sse.write_event(codec.encode(problem), 'error')
-            exchange.done.callback(exchange.stream.finish() + event)
+            event = sse.encode_event(codec.encode(problem), 'error')
+            exchange.final_answer.callback(exchange.stream.finish() + event)
             return
-        exchange.done.callback(http.problem_answer(exchange.request, problem))
+        exchange.final_answer.callback(
+            http.problem_answer(exchange.request, problem)
+        )
 
     def send_answer(self, action: actions.SendAnswer) -> None:
-        """Pass on a plain service's answer."""
+        """Send the caller a plain service's answer."""
         exchange = self.exchanges.pop(action.exchange, None)
         if exchange is None:
             return
         exchange.request.setResponseCode(action.status)
-        exchange.done.callback(action.body)
+        exchange.final_answer.callback(action.body)
 
 
 def health_app(
@@ -289,7 +301,7 @@
 ) -> klein.Klein:
     """Return an app with ``/healthz``, ``/readyz`` and ``/metrics``."""
     app = klein.Klein()
-    problem_handlers.install(app)
+    problem_handlers.install_problem_handlers(app)
 
     @app.route('/healthz')
     def healthz(request: server.Request) -> bytes:
--- a/src/greengagelb/transport/claim_store.py
+++ b/src/greengagelb/transport/claim_store.py
@@ -1,4 +1,4 @@
-"""Writes claims through the platform's table service."""
+"""Writes claims to the platform's table service."""
 
 import dataclasses
 import time
@@ -16,12 +16,12 @@
 from greengagelb.transport import engine_client
 from greengagelb.transport import platform_client
 
-TABLE = 'claims'
-KEPT_SECONDS = 24 * 3600.0
+CLAIM_TABLE = 'claims'
+CLAIM_RETENTION_SECONDS = 24 * 3600.0
 
 
 class ClaimStore:
-    """Writes claim rows and reports what came of each write."""
+    """Writes claim rows and reports the outcome of each write."""
 
     def __init__(
         self,
@@ -32,22 +32,23 @@
         self.dispatch = dispatch
 
     @defer.inlineCallbacks
-    def write(self, action: actions.WriteClaim) -> Any:
-        """Write a claim row; exactly one event answers it.
+    def write_claim(self, action: actions.WriteClaim) -> Any:
+        """Write a claim row; dispatches exactly one event with the outcome.
 
-        An answer that makes no sense counts as none. Left to raise, it would
-        end up in a log, and the caller would wait until its deadline.
+        A malformed answer counts as a write whose outcome is unknown. If its
+        error propagated, it would only be logged, and the caller would wait
+        until its deadline.
         """
         holder = action.holder
-        expires_at = time.time() + KEPT_SECONDS
+        expires_at = time.time() + CLAIM_RETENTION_SECONDS
         record = dataclasses.replace(action.record, expires_at=expires_at)
         value = codec.encode(record).decode()
         kind = store_budget.RequestKind.DEFERRABLE_WRITE
         if record.stage is claims.ClaimStage.CLAIMED:
             kind = store_budget.RequestKind.WRITE
         try:
-            row = yield self.platform.write(
-                TABLE,
+            row = yield self.platform.write_row(
+                CLAIM_TABLE,
                 action.key,
                 action.expected_version,
                 value,
@@ -56,17 +57,17 @@
             )
             answer = events.ClaimWritten(holder, row.version)
         except errors.VersionConflict as exc:
-            answer = self.conflicted(holder, exc.row)
+            answer = self.event_of_conflict(holder, exc.row)
         except errors.PlatformUnavailable as exc:
             answer = events.ClaimWriteFailed(holder, exc.handed_over)
         except errors.GreengagelbError:
             answer = events.ClaimWriteFailed(holder, True)
         self.dispatch(answer)
 
-    def conflicted(
+    def event_of_conflict(
         self, holder: str, row: platform_api.Row
     ) -> events.ClaimConflicted | events.ClaimWriteFailed:
-        """Report the row that stands in the way, if it can be read."""
+        """Return the event for a conflicting row, if it can be decoded."""
         try:
             record = codec.decode(row.value, claims.ClaimRecord)
         except errors.ProtocolError:
--- a/src/greengagelb/transport/operator_client.py
+++ b/src/greengagelb/transport/operator_client.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' interface of instances, for the command line."""
+"""Client of the instances' operator interface, for the command line."""
 
 from collections.abc import Coroutine
 import dataclasses
@@ -21,12 +21,12 @@
 from greengagelb.transport import http
 
 T = TypeVar('T')
-ANSWER_SECONDS = 10.0
+ANSWER_TIMEOUT_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Address:
-    """IP number and port of an instance's operator interface."""
+    """IP address and port of an instance's operator interface."""
 
     host: str
     port: int
@@ -37,11 +37,11 @@
 
 
 class OperatorClient:
-    """One instance as an operator sees it.
+    """Client of one instance's operator interface.
 
-    Methods raise :class:`~greengagelb.errors.InstanceUnreachable` where no
-    answer came, and :class:`~greengagelb.errors.InstanceRefused` where the
-    answer was no.
+    Methods raise :class:`~greengagelb.errors.InstanceUnreachable` if no answer
+    came, and :class:`~greengagelb.errors.InstanceRefused` if the instance
+    refused the request.
     """
 
     def __init__(
@@ -52,52 +52,52 @@
         self.headers = {'Authorization': f'Bearer {key}'}
         self.treq = http.direct_client(http.fresh_connection_agent(reactor))
 
-    def url(self, path: str) -> str:
+    def url_of(self, path: str) -> str:
         """Return the URL of a path at the instance."""
         return f'http://{self.address}{path}'
 
-    async def propose(self, intent: plan_state.Intent) -> plan_state.Plan:
-        """Return the plan that answers an intent."""
+    async def propose_plan(self, intent: plan_state.Intent) -> plan_state.Plan:
+        """Return the plan for an intent."""
         answer = self.treq.post(
-            self.url('/v1/plans'),
-            data=operator_api.write_intent(intent),
+            self.url_of('/v1/plans'),
+            data=operator_api.encode_intent(intent),
             headers=self.headers,
         )
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def confirm(self, plan_id: str) -> plan_state.Plan:
+    async def confirm_plan(self, plan_id: str) -> plan_state.Plan:
         """Put a plan in force and return it as confirmed."""
-        url = self.url(f'/v1/plans/{quoted(plan_id)}/confirm')
+        url = self.url_of(f'/v1/plans/{quote_path_segment(plan_id)}/confirm')
         answer = self.treq.post(url, headers=self.headers)
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def show(self, plan_id: str) -> plan_state.Plan:
+    async def show_plan(self, plan_id: str) -> plan_state.Plan:
         """Return a plan."""
-        url = self.url(f'/v1/plans/{quoted(plan_id)}')
+        url = self.url_of(f'/v1/plans/{quote_path_segment(plan_id)}')
         answer = self.treq.get(url, headers=self.headers)
-        return await self.receive(answer, plan_state.Plan)
+        return await self.decode_answer(answer, plan_state.Plan)
 
-    async def status(self) -> operator_api.Status:
-        """Return what the instance says of itself."""
-        answer = self.treq.get(self.url('/v1/status'), headers=self.headers)
-        return await self.receive(answer, operator_api.Status)
+    async def fetch_status(self) -> operator_api.Status:
+        """Return the instance's status."""
+        answer = self.treq.get(self.url_of('/v1/status'), headers=self.headers)
+        return await self.decode_answer(answer, operator_api.Status)
 
     async def timeline(
         self, wanted: timeline.Selection
     ) -> timeline_api.TimelinePart:
-        """Return the selected events that the instance still has."""
+        """Return the selected events that the instance still holds."""
         answer = self.treq.get(
-            self.url('/v1/timeline'),
-            params=timeline_api.parameters_of(wanted),
+            self.url_of('/v1/timeline'),
+            params=timeline_api.to_parameters(wanted),
             headers=self.headers,
         )
-        return await self.receive(answer, timeline_api.TimelinePart)
+        return await self.decode_answer(answer, timeline_api.TimelinePart)
 
-    async def receive(
+    async def decode_answer(
         self, answer: 'defer.Deferred[iweb.IResponse]', kind: type[T]
     ) -> T:
-        """Return the decoded answer, or raise what went wrong."""
-        answer.addTimeout(ANSWER_SECONDS, self.reactor)
+        """Return the decoded answer, or raise the error that it reports."""
+        answer.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
         try:
             response = await answer
             raw = await self.read_body(response)
@@ -113,52 +113,52 @@
             raise errors.InstanceRefused(
                 exc.code,
                 f'{self.address} answered with status {response.code} in a '
-                f'way that this release does not know: {exc}',
+                f'format that this release does not support: {exc}',
             ) from exc
         raise errors.InstanceRefused(
             problem.code, f'{self.address}: {problem.detail}'
         )
 
     def read_body(self, response: iweb.IResponse) -> 'defer.Deferred[bytes]':
-        """Return the whole body of an answer, within its time."""
+        """Return the whole body of an answer, with a timeout."""
         body = http.read_whole_body(response)
-        return body.addTimeout(ANSWER_SECONDS, self.reactor)
+        return body.addTimeout(ANSWER_TIMEOUT_SECONDS, self.reactor)
 
 
-def quoted(word: str) -> str:
-    """Return a word as one segment of a path."""
+def quote_path_segment(word: str) -> str:
+    """Return a word quoted as one segment of a path."""
     return urllib.parse.quote(word, safe='')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """An instance that gave no usable answer, and why."""
+    """An instance that gave no usable answer, and the reason."""
 
     address: Address
     code: str
     reason: str
 
 
-async def ask_all(
+async def query_instances(
     clients: list[OperatorClient],
-    question: Any,
+    query: Any,
 ) -> list[Any]:
-    """Ask all instances at once; an :class:`NoAnswer` stands for none.
+    """Query all instances at once; :class:`NoAnswer` stands for a failure.
 
-    One instance that is down must not hide what the others know: that is
-    the moment at which an operator asks.
+    One unreachable instance must not hide the answers of the others, as this
+    is when an operator needs them.
     """
     answers = [
-        defer.Deferred.fromCoroutine(answer_or_unreachable(client, question))
+        defer.Deferred.fromCoroutine(answer_or_unreachable(client, query))
         for client in clients
     ]
     return await defer.gatherResults(answers)
 
 
-async def answer_or_unreachable(client: OperatorClient, question: Any) -> Any:
-    """Return an instance's answer, or why there is none."""
-    asked: Coroutine = question(client)
+async def answer_or_unreachable(client: OperatorClient, query: Any) -> Any:
+    """Return an instance's answer, or the reason why there is none."""
+    answer: Coroutine = query(client)
     try:
-        return await asked
+        return await answer
     except errors.TransportError as exc:
         return NoAnswer(client.address, exc.code, str(exc))
--- a/src/greengagelb/transport/peers.py
+++ b/src/greengagelb/transport/peers.py
@@ -1,10 +1,10 @@
 """Carries messages between instances over one zmq socket.
 
-The socket is a ROUTER that both listens and connects: what is sent goes over
-the connections made here, what comes in over those made by the others. One
-socket has one descriptor in the event loop, however many instances there are.
+The socket is a ROUTER that both listens and connects: it sends over its own
+connections, and receives over those of the other instances. One socket has one
+descriptor in the event loop, independent of the number of instances.
 
-zmq runs a thread of its own in C beside the loop; no Python runs on it.
+zmq runs a background thread in C, which runs no Python code.
 """
 
 from collections.abc import Callable
@@ -27,13 +27,13 @@
 from greengagelb.state import fleet
 from greengagelb.transport import recorder
 
-UNACKNOWLEDGED_MILLISECONDS = 10_000
-PING_MILLISECONDS = 30_000
-LEAST_RECONNECT_MILLISECONDS = 100
-MOST_RECONNECT_MILLISECONDS = 2_000
-MOST_WAITING_MESSAGES = 64
-LAST_WORDS_MILLISECONDS = 200
-FRAMES = 2
+UNACKNOWLEDGED_TIMEOUT_MILLISECONDS = 10_000
+PING_INTERVAL_MILLISECONDS = 30_000
+MIN_RECONNECT_MILLISECONDS = 100
+MAX_RECONNECT_MILLISECONDS = 2_000
+MAX_QUEUED_MESSAGES = 64
+LINGER_MILLISECONDS = 200
+FRAMES_PER_MESSAGE = 2
 
 
 @interface.implementer(interfaces.IReadDescriptor)
@@ -43,32 +43,33 @@
     def __init__(
         self,
         reactor: interfaces.IReactorFDSet,
-        receive: Callable[[bytes], None],
+        receive_frame: Callable[[bytes], None],
     ) -> None:
         self.reactor = reactor
-        self.receive = receive
+        self.receive_frame = receive_frame
         self.context = zmq.Context()
         self.socket = self.context.socket(zmq.ROUTER)
-        self.connected: set[fleet.PeerAddress] = set()
+        self.connected_addresses: set[fleet.PeerAddress] = set()
         self.set_options()
 
     def set_options(self) -> None:
-        """Bound what waits, and notice connections that went silent.
+        """Limit the queues, and detect silent connections.
 
-        A connection that something between the ends has lost track of takes
-        messages for a quarter of an hour before TCP gives up. So TCP is told
-        to give up early, and zmq's own heartbeats notice what acknowledges
-        bytes without passing them on; either way zmq connects afresh.
+        If a device between the ends has lost track of a connection, TCP
+        accepts messages for a quarter of an hour before it gives up. A shorter
+        TCP timeout detects this, and zmq's own heartbeats detect a device that
+        acknowledges bytes without passing them on. In both cases zmq
+        reconnects.
         """
         options = {
-            zmq.LINGER: LAST_WORDS_MILLISECONDS,
-            zmq.SNDHWM: MOST_WAITING_MESSAGES,
-            zmq.MAXMSGSIZE: peer_api.MOST_MESSAGE_BYTES,
-            zmq.TCP_MAXRT: UNACKNOWLEDGED_MILLISECONDS,
-            zmq.HEARTBEAT_IVL: PING_MILLISECONDS,
-            zmq.HEARTBEAT_TIMEOUT: PING_MILLISECONDS,
-            zmq.RECONNECT_IVL: LEAST_RECONNECT_MILLISECONDS,
-            zmq.RECONNECT_IVL_MAX: MOST_RECONNECT_MILLISECONDS,
+            zmq.LINGER: LINGER_MILLISECONDS,
+            zmq.SNDHWM: MAX_QUEUED_MESSAGES,
+            zmq.MAXMSGSIZE: peer_api.MAX_MESSAGE_BYTES,
+            zmq.TCP_MAXRT: UNACKNOWLEDGED_TIMEOUT_MILLISECONDS,
+            zmq.HEARTBEAT_IVL: PING_INTERVAL_MILLISECONDS,
+            zmq.HEARTBEAT_TIMEOUT: PING_INTERVAL_MILLISECONDS,
+            zmq.RECONNECT_IVL: MIN_RECONNECT_MILLISECONDS,
+            zmq.RECONNECT_IVL_MAX: MAX_RECONNECT_MILLISECONDS,
         }
         for option, value in options.items():
             self.socket.setsockopt(option, value)
@@ -82,7 +83,7 @@
         self.context.term()
 
     def bind(self, address: fleet.PeerAddress) -> None:
-        """Listen on an address and begin to read."""
+        """Listen on an address and start reading."""
         try:
             self.socket.bind(endpoint_of(address))
         except zmq.ZMQError as exc:
@@ -93,10 +94,10 @@
         self.reactor.callLater(0, self.doRead)
 
     def send(self, address: fleet.PeerAddress, frame: bytes) -> None:
-        """Send a frame to an address, or drop it where too many wait."""
+        """Send a frame to an address; drop it if its queue is full."""
         if self.socket.closed:
             return
-        if address not in self.connected:
+        if address not in self.connected_addresses:
             self.connect(address)
         route = endpoint_of(address).encode()
         try:
@@ -104,57 +105,56 @@
         except zmq.ZMQError:
             return
         finally:
-            # Sending may consume the one signal that messages have come in.
+            # Sending may consume the one signal that messages are available.
             self.reactor.callLater(0, self.doRead)
 
     def connect(self, address: fleet.PeerAddress) -> None:
-        """Open the connection over which an address is sent to."""
+        """Open the connection used for sending to an address."""
         endpoint = endpoint_of(address)
         self.socket.setsockopt(zmq.CONNECT_ROUTING_ID, endpoint.encode())
         self.socket.connect(endpoint)
-        self.connected.add(address)
+        self.connected_addresses.add(address)
 
     def disconnect(self, address: fleet.PeerAddress) -> None:
         """Close the connection to an address, if there is one."""
-        if address in self.connected:
-            self.connected.remove(address)
+        if address in self.connected_addresses:
+            self.connected_addresses.remove(address)
             self.socket.disconnect(endpoint_of(address))
 
-    # -- names that the event loop calls ------------------------------------
-
     def fileno(self) -> int:
         """Return the descriptor that becomes readable on any change."""
         return -1 if self.socket.closed else self.socket.fileno()
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Return the name under which the loop logs this reader."""
+        """Return the name of this reader in the logs of the reactor."""
         return 'peers'
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
         """Do nothing; the socket outlives its connections."""
 
     def doRead(self) -> None:  # noqa: N802
-        """Read all messages that are there.
+        """Read all available messages.
 
-        The descriptor signals a change once. Messages left unread would stay
-        so until the next one comes, and the instance would seem deaf.
+        The descriptor signals a change only once. Unread messages would stay
+        unread until the next one arrives, and the instance would seem
+        unresponsive.
         """
         while not self.socket.closed:
             try:
                 frames = self.socket.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            if len(frames) == FRAMES:
-                self.receive(frames[1])
+            if len(frames) == FRAMES_PER_MESSAGE:
+                self.receive_frame(frames[1])
 
 
 def endpoint_of(address: fleet.PeerAddress) -> str:
-    """Return an address as zmq writes it."""
+    """Return the zmq endpoint of an address."""
     return f'tcp://{address.host}:{address.port}'
 
 
 class PeerLink:
-    """Carries out what the membership decides, and feeds it."""
+    """Connects the membership to the peer socket and to the decisions."""
 
     def __init__(
         self,
@@ -165,7 +165,7 @@
         configuration: Callable[[], configuration_state.Configuration],
         events_recorder: recorder.Recorder,
     ) -> None:
-        place = instance_settings.instance
+        own_settings = instance_settings.instance
         self.reactor = reactor
         self.dispatch = dispatch
         self.configuration = configuration
@@ -173,15 +173,15 @@
         self.codec = peer_api.PeerCodec(
             instance_settings.secrets.cursor_secret
         )
-        self.socket = PeerSocket(reactor, self.receive)
-        self.me = fleet.PeerId(
-            place.name,
+        self.socket = PeerSocket(reactor, self.receive_frame)
+        self.own_peer = fleet.PeerId(
+            own_settings.name,
             incarnation,
-            place.data_centre,
-            fleet.PeerAddress(place.host, place.peer_port),
+            own_settings.data_centre,
+            fleet.PeerAddress(own_settings.host, own_settings.peer_port),
         )
         self.membership = membership.Membership(
-            self.me,
+            self.own_peer,
             instance_settings.peers.addresses,
             instance_settings.peers.heartbeat_seconds,
         )
@@ -191,71 +191,71 @@
 
     def start(self) -> None:
         """Listen and send the first heartbeats."""
-        self.socket.bind(self.me.address)
+        self.socket.bind(self.own_peer.address)
         self.tick()
 
     def stop(self) -> None:
         """Close the socket."""
         self.socket.__exit__()
 
-    # -- what comes in ------------------------------------------------------
-
     def tick(self) -> None:
-        """Send the regular heartbeats."""
+        """Send the periodic heartbeats."""
         self.membership.stamp = self.recorder.clock.tick(
             recorder.wall_milliseconds()
         )
         self.carry_out(self.membership.tick(self.reactor.seconds()))
 
-    def own_changed(self, own: fleet.OwnState) -> None:
-        """Tell others what has changed here."""
+    def update_own_state(self, own: fleet.OwnState) -> None:
+        """Tell peers about changes of the own state."""
         self.carry_out(
             self.membership.update_own_state(own, self.reactor.seconds())
         )
 
-    def pause_noticed(self, seconds: float) -> None:
-        """Read what has come in meanwhile before anybody is judged."""
+    def handle_own_pause(self, seconds: float) -> None:
+        """Read the messages that arrived during a pause of this process."""
         now = self.reactor.seconds()
         self.membership.handle_own_pause(seconds, now)
         self.socket.doRead()
 
-    def listed(self, instances: Iterable[platform_api.Instance]) -> None:
-        """Take in the platform's list.
+    def apply_instance_list(
+        self, instances: Iterable[platform_api.Instance]
+    ) -> None:
+        """Apply the platform's list of instances.
 
-        It may show upstreams as well; those have no peer port, and matter
-        here only once they are leaving.
+        It may list upstreams as well; those have no peer port, and matter here
+        only once they are leaving.
         """
         found = []
         for instance in instances:
             if instance.peer_port:
                 found.append(listed_instance(instance))
             elif instance.state == platform_api.LEAVING:
-                engine = platform_api.engine_of(instance)
+                engine = platform_api.to_engine_id(instance)
                 source = 'platform list'
                 self.dispatch(events.UpstreamLeaving(engine, source))
         now = self.reactor.seconds()
         self.carry_out(self.membership.apply_instance_list(found, now))
 
-    def receive(self, frame: bytes) -> None:
-        """Take in a message; one that can't be understood is dropped."""
+    def receive_frame(self, frame: bytes) -> None:
+        """Handle a message; one that is invalid is dropped."""
         try:
-            message = self.codec.open(frame)
-            self.take(message)
+            message = self.codec.open_frame(frame)
+            self.handle_message(message)
         except errors.ProtocolError as exc:
             self.record('peer-message-dropped', str(exc))
 
-    def take(self, message: peer_api.Message) -> None:
-        """Pass a message to whom it concerns."""
+    def handle_message(self, message: peer_api.Message) -> None:
+        """Pass a message on according to its type."""
         now = self.reactor.seconds()
         match message:
             case peer_api.HeartbeatMessage():
-                heartbeat = peer_api.heartbeat_of(message)
+                heartbeat = peer_api.to_heartbeat(message)
                 self.observe_clock(heartbeat)
                 self.carry_out(
                     self.membership.handle_heartbeat(heartbeat, now)
                 )
             case peer_api.ConfigurationQuery(host, port):
-                self.answer_query(fleet.PeerAddress(host, port))
+                self.send_configuration(fleet.PeerAddress(host, port))
             case peer_api.ConfigurationCopy(name, document):
                 offered = codec.decompress(
                     document, configuration_state.Configuration
@@ -264,7 +264,7 @@
                     events.ConfigurationOffered(offered, f'peer {name}')
                 )
             case peer_api.LimitMessage(incarnation, wire):
-                told = limit_messages.read(wire)
+                told = limit_messages.from_wire(wire)
                 self.dispatch(events.PeerMessageReceived(incarnation, told))
             case peer_api.Introduction(pairs):
                 addresses = [fleet.PeerAddress(*pair) for pair in pairs]
@@ -273,8 +273,8 @@
                 )
 
     def observe_clock(self, heartbeat: fleet.Heartbeat) -> None:
-        """Keep this instance's stamps behind no other's."""
-        if self.recorder.follow(heartbeat.stamp):
+        """Advance the own clock to a heartbeat's stamp, if it is plausible."""
+        if self.recorder.observe_stamp(heartbeat.stamp):
             return
         if heartbeat.sender.incarnation not in self.clocks_ahead:
             self.clocks_ahead.add(heartbeat.sender.incarnation)
@@ -282,26 +282,25 @@
             lead = heartbeat.stamp.milliseconds - wall
             self.record('clock-ahead', f'{heartbeat.sender.name} by {lead} ms')
 
-    def answer_query(self, address: fleet.PeerAddress) -> None:
-        """Send the configuration in force here."""
+    def send_configuration(self, address: fleet.PeerAddress) -> None:
+        """Send the configuration in force here to a peer."""
         applied = self.configuration()
         if applied.version:
             self.membership.mark_contacted(address)
             document = codec.compress(applied)
             self.send(
-                address, peer_api.ConfigurationCopy(self.me.name, document)
+                address,
+                peer_api.ConfigurationCopy(self.own_peer.name, document),
             )
 
-    # -- what goes out ------------------------------------------------------
-
     def carry_out(self, wanted: Iterable[membership.Action]) -> None:
-        """Carry out what the membership has decided."""
+        """Carry out the actions of the membership."""
         for action in wanted:
             match action:
                 case membership.SendHeartbeat(address, heartbeat):
-                    self.send(address, peer_api.message_of(heartbeat))
+                    self.send(address, peer_api.to_message(heartbeat))
                 case membership.AskForConfiguration(address):
-                    own = self.me.address
+                    own = self.own_peer.address
                     query = peer_api.ConfigurationQuery(own.host, own.port)
                     self.send(address, query)
                 case membership.IntroducePeers(address, peers):
@@ -314,35 +313,35 @@
                 case membership.Explain(kind, reason):
                     self.record(kind, reason)
 
-    def tell(self, action: actions.SendPeerMessage) -> None:
-        """Send what is said about limits to one instance, or to all here."""
+    def send_limit_message(self, action: actions.SendPeerMessage) -> None:
+        """Send a message about limits to one instance or all local ones."""
         members = self.membership
         addresses = {members.address_of(action.incarnation)}
         if not action.incarnation:
             addresses = members.local_addresses()
-        wire = limit_messages.write(action.message)
+        wire = limit_messages.to_wire(action.message)
         for address in addresses - {None}:
-            message = peer_api.LimitMessage(self.me.incarnation, wire)
+            message = peer_api.LimitMessage(self.own_peer.incarnation, wire)
             self.send(address, message)
 
     def send(
         self, address: fleet.PeerAddress, message: peer_api.Message
     ) -> None:
         """Send a message to the instance at an address."""
-        frame = self.codec.seal(message)
+        frame = self.codec.seal_message(message)
         self.sent_bytes += len(frame)
         self.sent_messages += 1
         self.socket.send(address, frame)
 
     def record(self, kind: str, reason: str) -> None:
-        """Put an automatic act on the time line."""
+        """Record an automatic action on the time line."""
         self.recorder.record(actions.Record(kind, reason))
 
 
 def listed_instance(
     instance: platform_api.Instance,
 ) -> fleet.ListedInstance:
-    """Return an entry of the platform's list as the decisions see it."""
+    """Convert an entry of the platform's list for the decisions."""
     return fleet.ListedInstance(
         fleet.PeerId(
             instance.name,
