--- a/src/greengagelb/transport/platform_client.py
+++ b/src/greengagelb/transport/platform_client.py
@@ -1,4 +1,4 @@
-"""Talks to the platform's service: tables and the instance list."""
+"""Client of the platform's service: tables and the instance list."""
 
 from collections.abc import Callable
 import random
@@ -19,25 +19,26 @@
 from greengagelb.protocol import platform_api
 from greengagelb.transport import http
 
-Recorder = Callable[[actions.Record], None]
-Asking = Callable[[], 'defer.Deferred[iweb.IResponse]']
+RecordAction = Callable[[actions.Record], None]
+StartRequest = Callable[[], 'defer.Deferred[iweb.IResponse]']
 
 
 LOAD_RETRY_SECONDS = 1.0
 
 
 class PlatformClient:
-    """Requests to the platform's service, each within its time.
+    """Sends requests to the platform's service, with timeouts and a budget.
 
-    What the budget refuses is raised at once, as unavailable and not handed
-    over: nothing waits in a queue for a store that is down.
+    A request that the budget refuses fails at once with
+    ``PlatformUnavailable`` and ``handed_over`` False; nothing is queued for a
+    store that is down.
     """
 
     def __init__(
         self,
         reactor: interfaces.IReactorTime,
         platform: settings.PlatformSettings,
-        record: Recorder = lambda _: None,
+        record: RecordAction = lambda _: None,
     ) -> None:
         self.reactor = reactor
         self.settings = platform
@@ -51,21 +52,23 @@
         agent = http.fresh_connection_agent(reactor)
         self.treq = http.direct_client(agent)
 
-    def url(self, path: str) -> str:
+    def url_of(self, path: str) -> str:
         """Return the URL of a path at the platform."""
         return f'http://{self.settings.host}:{self.settings.port}{path}'
 
     def row_url(self, table: str, key: str) -> str:
         """Return the URL of a row."""
-        return self.url(f'/tables/{table}/row?key={urllib.parse.quote(key)}')
+        return self.url_of(
+            f'/tables/{table}/row?key={urllib.parse.quote(key)}'
+        )
 
     @defer.inlineCallbacks
-    def read(self, table: str, key: str) -> Any:
+    def read_row(self, table: str, key: str) -> Any:
         """Return a :class:`~.platform_api.Row`, or None if there is none.
 
         Raises :class:`~greengagelb.errors.PlatformUnavailable`.
         """
-        status, body = yield self.ask(
+        status, body = yield self.send_request(
             store_budget.RequestKind.READ,
             lambda: self.treq.get(self.row_url(table, key)),
         )
@@ -76,14 +79,14 @@
     @defer.inlineCallbacks
     def list_rows(self, table: str) -> Any:
         """Return all rows of a table."""
-        _, body = yield self.ask(
+        _, body = yield self.send_request(
             store_budget.RequestKind.READ,
-            lambda: self.treq.get(self.url(f'/tables/{table}/rows')),
+            lambda: self.treq.get(self.url_of(f'/tables/{table}/rows')),
         )
         return codec.decode(body, list[platform_api.Row])
 
     @defer.inlineCallbacks
-    def write(
+    def write_row(
         self,
         table: str,
         key: str,
@@ -94,13 +97,13 @@
     ) -> Any:
         """Write a row if it has the expected version; return the new row.
 
-        Raises :class:`~greengagelb.errors.VersionConflict` where it has
-        another one, and :class:`~greengagelb.errors.PlatformUnavailable`
-        where nobody can tell whether the write took effect.
+        Raises :class:`~greengagelb.errors.VersionConflict` if it has another
+        version, and :class:`~greengagelb.errors.PlatformUnavailable` if it is
+        unknown whether the write took effect.
         """
         write = platform_api.Write(expected_version, value)
         data = codec.encode(write)
-        status, body = yield self.ask(
+        status, body = yield self.send_request(
             kind,
             lambda: self.treq.put(self.row_url(table, key), data=data),
             account,
@@ -112,10 +115,10 @@
 
     @defer.inlineCallbacks
     def list_instances(self) -> Any:
-        """Return the platform's list of instances, which lags."""
-        _, body = yield self.ask(
+        """Return the platform's list of instances, which lags behind."""
+        _, body = yield self.send_request(
             store_budget.RequestKind.READ,
-            lambda: self.treq.get(self.url('/instances')),
+            lambda: self.treq.get(self.url_of('/instances')),
         )
         return codec.decode(body, list[platform_api.Instance])
 
@@ -123,10 +126,10 @@
     def ask_to_load(self, model: str, version: str) -> Any:
         """Ask the weight store for a load; return seconds to wait, or None.
 
-        Not counted with the requests to the tables: a busy weight store must
-        not keep this instance from claims.
+        Not counted in the budget of the table requests: a busy weight store
+        must not block claims.
         """
-        url = self.url(f'/weights/{model}/{version}')
+        url = self.url_of(f'/weights/{model}/{version}')
         answer = self.treq.post(url)
         answer.addTimeout(self.settings.timeout_seconds, self.reactor)
         try:
@@ -138,27 +141,28 @@
             return None
         return LOAD_RETRY_SECONDS
 
-    def ask(
+    def send_request(
         self,
         kind: store_budget.RequestKind,
-        start: Asking,
+        start: StartRequest,
         account: str = '',
     ) -> 'defer.Deferred[tuple[int, bytes]]':
-        """Return status and body, or raise that the platform is away."""
+        """Return status and body; fail if the platform is unavailable."""
         refusal = self.budget.admit(kind, self.reactor.seconds(), account)
         if refusal is not None:
             refused = errors.PlatformUnavailable(refusal.value)
             refused.handed_over = False
             return defer.fail(refused)
-        # What raises here instead of failing would be counted as under way
-        # for good, and as the one probe of a half-open circuit.
+        # An exception raised here, rather than a failed Deferred, would leave
+        # the request counted as in flight forever, and would block the only
+        # probe of a half-open circuit.
         answer = defer.maybeDeferred(start)
-        answer.addCallback(self.read_answer)
+        answer.addCallback(self.read_response)
         answer.addTimeout(self.settings.timeout_seconds, self.reactor)
-        return answer.addCallbacks(self.available, self.unavailable)
+        return answer.addCallbacks(self.handle_success, self.handle_failure)
 
-    def read_answer(self, response: iweb.IResponse) -> defer.Deferred:
-        """Read an answer; an error of the platform's own is none."""
+    def read_response(self, response: iweb.IResponse) -> defer.Deferred:
+        """Return status and body; raise on an error of the platform."""
         code = response.code
         busy = code == http.TOO_MANY_REQUESTS
         if busy or code >= web_http.INTERNAL_SERVER_ERROR:
@@ -167,14 +171,14 @@
         body = http.read_whole_body(response)
         return body.addCallback(lambda raw: (code, raw))
 
-    def available(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
-        """Note that the platform answers."""
+    def handle_success(self, answer: tuple[int, bytes]) -> tuple[int, bytes]:
+        """Record that the platform answered."""
         for action in self.budget.record_success():
             self.record(action)
         return answer
 
-    def unavailable(self, why: failure.Failure) -> None:
-        """Note that the platform is away, and raise it."""
+    def handle_failure(self, why: failure.Failure) -> None:
+        """Record that the platform is unavailable, and raise it."""
         for action in self.budget.record_failure(self.reactor.seconds()):
             self.record(action)
         unavailable = errors.PlatformUnavailable(why.type.__name__)
--- a/src/greengagelb/transport/relay/engine_side.py
+++ b/src/greengagelb/transport/relay/engine_side.py
@@ -1,4 +1,4 @@
-"""Carries sends to engines and turns what comes back into events."""
+"""Sends requests to engines and reports their answers as events."""
 
 from collections.abc import Callable
 
@@ -12,14 +12,14 @@
 from greengagelb.transport.relay import dialect
 from greengagelb.transport.relay import event_stream
 from greengagelb.transport.relay import http_client
-from greengagelb.transport.relay import questions
+from greengagelb.transport.relay import timed_requests
 
-MOST_ANSWER_BYTES = 32 << 20
-# An engine that lives answers a probe in a few milliseconds, and within this
-# many seconds also where a packet was lost on the way.
+MAX_ANSWER_BYTES = 32 << 20
+# A live engine answers a probe in a few milliseconds, and within this time
+# even if a packet is lost.
 PROBE_SECONDS = 0.3
-# A copy of a usual run takes some milliseconds; behind those of a whole data
-# centre's runs it may take a second.
+# Copying a usual run takes some milliseconds, or up to a second while all runs
+# of a data centre are being copied.
 COPY_SECONDS = 2.0
 
 Dispatch = Callable[[relay_events.RelayEvent], None]
@@ -28,111 +28,119 @@
 class EngineAnswer:
     """Receives the answer to one send.
 
-    After the first event that ends the send nothing more is reported.
+    Nothing is reported after the first event that ends the send.
     """
 
     def __init__(self, side: 'EngineSide', send: relay_actions.Send) -> None:
         self.side = side
         self.send = send
         self.head: requests.AnswerHead | None = None
-        self.cutter: event_stream.EventCutter | None = None
+        self.splitter: event_stream.EventSplitter | None = None
         self.body: list[bytes] = []
-        self.size = 0
+        self.body_bytes = 0
 
-    def answer_began(self, response: h11.Response) -> None:
-        """Check whose answer it is before anything of it is used.
+    def answer_started(self, response: h11.Response) -> None:
+        """Check that the answer belongs to the send before it is used.
 
-        A late second answer to an earlier request looks just like the answer
-        to this one, but for the id that it echoes.
+        A late second answer to an earlier request differs from the answer to
+        this one only in the request id that it echoes.
         """
         dialect = self.side.dialect
-        if not dialect.answers(response, self.send):
-            self.spoiled('answer to another request')
+        if not dialect.is_answer_to(response, self.send):
+            self.reject_answer('answer to another request')
             return
-        self.head = dialect.read_answer(response)
-        if self.send.stream and self.head.succeeded:
-            self.cutter = event_stream.EventCutter(dialect.event_number)
-            self.report(
+        self.head = dialect.read_answer_head(response)
+        if self.send.stream and self.head.is_success:
+            self.splitter = event_stream.EventSplitter(
+                dialect.read_event_number
+            )
+            self.dispatch_event(
                 relay_events.AnswerStarted(
                     self.send.exchange, self.send.send, self.head
                 )
             )
 
-    def answer_moved(self, data: bytes) -> None:
-        """Report whole events of a stream; gather any other body."""
-        if self.cutter is None:
-            self.gather(data)
+    def body_received(self, data: bytes) -> None:
+        """Report complete events of a stream; collect any other body."""
+        if self.splitter is None:
+            self.append_body(data)
             return
         try:
-            events = self.cutter.feed(data)
+            events = self.splitter.add_bytes(data)
         except errors.ProtocolError as exc:
-            self.spoiled(str(exc))
+            self.reject_answer(str(exc))
             return
         if events:
-            self.report(
+            self.dispatch_event(
                 relay_events.StreamProgressed(
                     self.send.exchange, self.send.send, events
                 )
             )
 
-    def gather(self, data: bytes) -> None:
-        """Keep a part of a body, within a bound."""
-        self.size += len(data)
-        if self.size > MOST_ANSWER_BYTES:
-            self.spoiled('answer too large')
+    def append_body(self, data: bytes) -> None:
+        """Append a part of a body, up to ``MAX_ANSWER_BYTES``."""
+        self.body_bytes += len(data)
+        if self.body_bytes > MAX_ANSWER_BYTES:
+            self.reject_answer('answer too large')
             return
         self.body.append(data)
 
-    def answer_complete(self) -> None:
-        """Report the end of a whole answer."""
+    def answer_completed(self) -> None:
+        """Report a complete answer."""
         exchange, send = self.send.exchange, self.send.send
-        self.side.forget(self.send)
-        if self.cutter is None:
+        self.side.forget_send(self.send)
+        if self.splitter is None:
             body = b''.join(self.body)
-            self.report(
+            self.dispatch_event(
                 relay_events.AnswerComplete(exchange, send, self.head, body)
             )
             return
-        if self.cutter.rest:
-            self.answer_broken(True, 'ends within an event')
+        if self.splitter.remainder:
+            self.answer_failed(True, 'ends within an event')
             return
-        self.report(relay_events.StreamComplete(exchange, send))
+        self.dispatch_event(relay_events.StreamComplete(exchange, send))
 
-    def answer_broken(self, handed_over: bool, detail: str) -> None:
-        """Report that there will be no whole answer."""
-        self.side.forget(self.send)
-        self.report(
+    def answer_failed(self, handed_over: bool, detail: str) -> None:
+        """Report that there will be no complete answer."""
+        self.side.forget_send(self.send)
+        self.dispatch_event(
             relay_events.SendFailed(
                 self.send.exchange, self.send.send, handed_over, detail
             )
         )
 
-    def spoiled(self, detail: str) -> None:
-        """Close the connection: what comes on it can't be trusted."""
-        self.side.abandon(self.send.exchange, self.send.send)
-        self.answer_broken(True, detail)
+    def reject_answer(self, detail: str) -> None:
+        """Close the connection, since its input can't be trusted."""
+        self.side.abandon_send(self.send.exchange, self.send.send)
+        self.answer_failed(True, detail)
 
-    def report(self, event: relay_events.RelayEvent) -> None:
+    def dispatch_event(self, event: relay_events.RelayEvent) -> None:
         """Hand an event to the decisions."""
         self.side.dispatch(event)
 
 
 class EngineSide:
-    """The sends that are under way."""
+    """The sends, probes and other requests to engines.
+
+    ``pending_sends`` has the sends without a final event, by exchange and
+    number of the send.
+    """
 
     def __init__(
         self,
         pool: http_client.ConnectionPool,
-        wire: dialect.Dialect,
+        wire_dialect: dialect.Dialect,
         dispatch: Dispatch,
     ) -> None:
         self.pool = pool
-        self.dialect = wire
+        self.dialect = wire_dialect
         self.dispatch = dispatch
-        self.under_way: dict[tuple[int, int], http_client.Pending] = {}
+        self.pending_sends: dict[
+            tuple[int, int], http_client.PendingRequest
+        ] = {}
 
-    def send(self, send: relay_actions.Send) -> None:
-        """Send a request to an engine."""
+    def send_request(self, send: relay_actions.Send) -> None:
+        """Send a caller's request to an engine."""
         seconds = self.pool.reactor.seconds
         key = (send.exchange, send.send)
         pending = self.pool.request(
@@ -142,65 +150,77 @@
             EngineAnswer(self, send),
             fresh=send.fresh,
         )
-        if not pending.over:
-            self.under_way[key] = pending
+        if not pending.is_finished:
+            self.pending_sends[key] = pending
 
-    def ask(
+    def query_engine(
         self,
         entry: engines.EngineEntry,
         request: http_client.WireRequest,
         seconds: float,
-        done: Callable[[questions.Answer], None],
+        done: Callable[[timed_requests.Answer], None],
         fresh: bool = False,
     ) -> None:
-        """Ask an engine something of our own, for some seconds at most."""
-        question = questions.Question(
+        """Send an engine a request of this instance, with a timeout.
+
+        ``done`` is called with the answer or its failure.
+        """
+        timed_request = timed_requests.TimedRequest(
             entry.life, entry.address, request, seconds, fresh=fresh
         )
-        questions.ask(self.pool, question, done)
+        timed_requests.send_timed_request(self.pool, timed_request, done)
 
-    def probe(self, probe: relay_actions.ProbeEngine) -> None:
-        """Ask an engine for a sign of life; any answer is one."""
+    def probe_engine(self, probe: relay_actions.ProbeEngine) -> None:
+        """Probe an engine; any answer shows that it is alive."""
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             self.dispatch(
                 relay_events.EngineProbed(
                     probe.exchange,
                     probe.send,
                     answer.response is not None,
-                    self.start_in(answer),
+                    self.read_probed_start_ms(answer),
                 )
             )
 
         request = self.dialect.write_probe(probe.engine)
-        self.ask(probe.engine, request, PROBE_SECONDS, done)
+        self.query_engine(probe.engine, request, PROBE_SECONDS, done)
 
-    def start_in(self, answer: questions.Answer) -> int:
-        """Return when the engine that answered a probe was started."""
+    def read_probed_start_ms(self, answer: timed_requests.Answer) -> int:
+        """Return the engine's start time in the answer to a probe.
+
+        In Unix milliseconds, or ``UNKNOWN_START``.
+        """
         if answer.response is None:
             return engines.UNKNOWN_START
         status = answer.response.status_code
-        return self.dialect.read_start(status, answer.body)
+        return self.dialect.read_started_at_ms(status, answer.body)
+
+    def check_engine(self, check: relay_actions.CheckEngine) -> None:
+        """Check on a new connection whether an engine has ended.
 
-    def check(self, check: relay_actions.CheckEngine) -> None:
-        """Ask whether an engine has ended, on a new connection."""
+        It has if its address refuses connections, or if a later start of it
+        answers there.
+        """
         entry = check.entry
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             fate = relay_events.EngineFate.ALIVE
-            if answer.refused or entry.ended_before(self.start_in(answer)):
+            if answer.connection_refused or entry.is_earlier_than(
+                self.read_probed_start_ms(answer)
+            ):
                 fate = relay_events.EngineFate.ENDED
             elif answer.response is None:
                 fate = relay_events.EngineFate.UNKNOWN
             self.dispatch(relay_events.EngineChecked(entry, fate))
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
     def copy_run(self, copy: relay_actions.CopyRun) -> None:
-        """Have an engine copy a run's memory to another one."""
+        """Have an engine copy a run's memory to another engine."""
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             response = answer.response
             status = response.status_code if response is not None else 0
             self.dispatch(
@@ -208,43 +228,45 @@
                     copy.exchange,
                     copy.send,
                     copy.target.engine,
-                    self.dialect.read_copy(status, answer.body),
+                    self.dialect.read_copy_handle(status, answer.body),
                 )
             )
 
-        request = self.dialect.write_copy(copy)
-        self.ask(copy.source, request, COPY_SECONDS, done)
+        request = self.dialect.write_copy_request(copy)
+        self.query_engine(copy.source, request, COPY_SECONDS, done)
 
-    def ask_successor(self, question: relay_actions.AskSuccessor) -> None:
-        """Ask who answers at an engine's address, on a new connection.
+    def ask_successor(self, question: relay_actions.ProbeAddress) -> None:
+        """Ask on a new connection which engine answers at an address.
 
-        If it is the same identity it is asked for its start too: the engine
-        may have crashed and be back.
+        If it is the same engine, its start time is requested as well, as it
+        may have crashed and restarted.
         """
         entry = question.entry
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             found = ''
             if answer.response is not None:
-                found = self.dialect.read_answer(answer.response).engine
+                found = self.dialect.read_answer_head(answer.response).engine
             if found == entry.engine:
-                self.ask_start(entry)
+                self.ask_for_start(entry)
             elif found and question.may_be_another_service:
-                self.ask_memory(entry, found)
+                self.ask_for_model_memory(entry, found)
             else:
-                self.dispatch(relay_events.SuccessorSeen(entry.engine, found))
+                self.dispatch(relay_events.AddressProbed(entry.engine, found))
 
-        request = self.dialect.write_question(entry, question.path)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        request = self.dialect.write_identity_request(entry, question.path)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def ask_memory(self, entry: engines.EngineEntry, found: str) -> None:
-        """Ask whoever is at an address whether it is a model engine.
+    def ask_for_model_memory(
+        self, entry: engines.EngineEntry, found: str
+    ) -> None:
+        """Ask the engine at an address whether it is a model engine.
 
-        Addresses change hands after seconds, so this is the one that has
-        just named itself there.
+        An address is reused only after seconds, so the engine that answers is
+        the one that has just stated its identity there.
         """
 
-        def done(answer: questions.Answer) -> None:
+        def done(answer: timed_requests.Answer) -> None:
             has_memory = (
                 answer.response is not None
                 and self.dialect.read_has_model_memory(
@@ -252,32 +274,32 @@
                 )
             )
             self.dispatch(
-                relay_events.SuccessorSeen(
+                relay_events.AddressProbed(
                     entry.engine, found, has_model_memory=has_memory
                 )
             )
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def ask_start(self, entry: engines.EngineEntry) -> None:
-        """Ask an engine when it was started."""
+    def ask_for_start(self, entry: engines.EngineEntry) -> None:
+        """Ask an engine for its start time."""
 
-        def done(answer: questions.Answer) -> None:
-            start = self.start_in(answer)
+        def done(answer: timed_requests.Answer) -> None:
+            start = self.read_probed_start_ms(answer)
             self.dispatch(
-                relay_events.SuccessorSeen(entry.engine, entry.engine, start)
+                relay_events.AddressProbed(entry.engine, entry.engine, start)
             )
 
         request = self.dialect.write_probe(entry)
-        self.ask(entry, request, PROBE_SECONDS, done, fresh=True)
+        self.query_engine(entry, request, PROBE_SECONDS, done, fresh=True)
 
-    def abandon(self, exchange: int, send: int) -> None:
-        """Close the connection of a send."""
-        pending = self.under_way.pop((exchange, send), None)
+    def abandon_send(self, exchange: int, send: int) -> None:
+        """Close the connection of a send that is no longer wanted."""
+        pending = self.pending_sends.pop((exchange, send), None)
         if pending is not None:
             pending.abandon()
 
-    def forget(self, send: relay_actions.Send) -> None:
-        """Drop a send that is over."""
-        self.under_way.pop((send.exchange, send.send), None)
+    def forget_send(self, send: relay_actions.Send) -> None:
+        """Remove a send that has ended."""
+        self.pending_sends.pop((send.exchange, send.send), None)
--- a/src/greengagelb/transport/relay/event_stream.py
+++ b/src/greengagelb/transport/relay/event_stream.py
@@ -1,4 +1,4 @@
-"""Cuts a streamed answer into whole events, byte for byte."""
+"""Splits a streamed answer into events, byte for byte."""
 
 from collections.abc import Callable
 
@@ -6,30 +6,30 @@
 from greengagelb.state.relay import requests
 
 END_OF_EVENT = b'\n\n'
-MOST_EVENT_BYTES = 1 << 20
+MAX_EVENT_BYTES = 1 << 20
 
 
-class EventCutter:
-    """Keeps an unfinished event back until the rest of it is here.
+class EventSplitter:
+    """Holds an incomplete event back until the rest of it arrives.
 
-    An engine may die in the middle of an event. Were its beginning passed on,
-    the event of the next engine would be glued to it.
+    An engine may die in the middle of an event. If the first part had been
+    passed on, the next engine's event would be appended to it.
     """
 
-    def __init__(self, number_of: Callable[[bytes], int]) -> None:
-        self.number_of = number_of
-        self.rest = b''
+    def __init__(self, read_number: Callable[[bytes], int]) -> None:
+        self.read_number = read_number
+        self.remainder = b''
 
-    def feed(self, data: bytes) -> tuple[requests.StreamEvent, ...]:
-        """Return the events that are whole now.
+    def add_bytes(self, data: bytes) -> tuple[requests.StreamEvent, ...]:
+        """Return the events that are complete with the added bytes.
 
-        Raises :class:`~greengagelb.errors.ProtocolError` for an event
-        without a number, or one that never ends.
+        Raises :class:`~greengagelb.errors.ProtocolError` for an event without
+        a number or of more than ``MAX_EVENT_BYTES``.
         """
-        *whole, self.rest = (self.rest + data).split(END_OF_EVENT)
-        if len(self.rest) > MOST_EVENT_BYTES:
+        *whole, self.remainder = (self.remainder + data).split(END_OF_EVENT)
+        if len(self.remainder) > MAX_EVENT_BYTES:
             raise errors.ProtocolError('event without an end')
         return tuple(
-            requests.StreamEvent(self.number_of(raw), raw + END_OF_EVENT)
+            requests.StreamEvent(self.read_number(raw), raw + END_OF_EVENT)
             for raw in whole
         )
--- a/src/greengagelb/transport/relay/relay_metrics.py
+++ b/src/greengagelb/transport/relay/relay_metrics.py
@@ -1,7 +1,7 @@
-"""Figures of a relaying instance for scrapers.
+"""Metrics of a relaying instance.
 
-Times go into histograms, as on call it is the slow ones that count. Labels
-are never taken from callers, so that nobody can make the series grow.
+Durations are histograms, as operators need the slow ones. Labels are never
+taken from callers, so that callers can't increase the number of series.
 """
 
 from collections.abc import Callable
@@ -14,49 +14,61 @@
 from greengagelb.transport import metrics
 from greengagelb.transport.relay import unusable_entries
 
-# Bounds of the histograms, in seconds. The finest lie around the pause that
-# callers of streams do not notice and the goals of short calls.
-BOUNDS = (0.02, 0.05, 0.1, 0.2, 0.4, 0.7, 1.0, 2.0, 4.5, 10.0, 30.0)
+# The bounds are closest around the pause that callers of streams do not notice
+# and the goals of short calls.
+HISTOGRAM_BOUNDS_SECONDS = (
+    0.02,
+    0.05,
+    0.1,
+    0.2,
+    0.4,
+    0.7,
+    1.0,
+    2.0,
+    4.5,
+    10.0,
+    30.0,
+)
 
 
 class RelayMetrics(metrics.Metrics):
-    """Counts what a relaying instance does.
+    """Counters and histograms of a relaying instance.
 
-    ``unusable`` returns the unusable entries of the store's lists, by what
-    they tell of, and ``store_calls`` are those made so far.
+    ``get_unusable_entries`` returns the unusable entries by the kind of list,
+    and ``store_calls`` counts the calls to the store.
     """
 
     def __init__(self) -> None:
         super().__init__()
-        self.unusable: Callable[
+        self.get_unusable_entries: Callable[
             [], Mapping[str, unusable_entries.UnusableEntries]
         ] = dict
         self.store_calls = store_calls.StoreCalls()
-        self.answers: dict[str, int] = {}
-        self.sends = 0
-        self.events_passed = 0
-        self.answer_counter = self.counter(
+        self.answer_counts: dict[str, int] = {}
+        self.send_count = 0
+        self.passed_event_count = 0
+        self.answer_counter = self.new_counter(
             'answers', 'Final answers by kind and status'
         )
-        self.send_counter = self.counter(
+        self.send_counter = self.new_counter(
             'sends', 'Requests sent to engines, repeats included'
         )
-        self.passed_counter = self.counter(
+        self.passed_counter = self.new_counter(
             'stream_events', 'Events of streams given to callers'
         )
-        self.connection_counter = self.counter(
+        self.connection_counter = self.new_counter(
             'engine_connections', 'Connections opened to engines and store'
         )
-        self.store_call_counter = self.counter(
+        self.store_call_counter = self.new_counter(
             'store_calls', 'Calls to the store by what they ask, and why'
         )
-        self.unusable_gauge = self.gauge(
+        self.unusable_gauge = self.new_gauge(
             'unusable_entries', 'Entries in the store that can not be used now'
         )
-        self.unusable_counter = self.counter(
+        self.unusable_counter = self.new_counter(
             'unusable_entries_told', 'Mistakes in entries that were logged'
         )
-        self.times = {
+        self.duration_histograms = {
             relay_actions.DurationKind.FIRST_EVENT: self.histogram(
                 'first_event_seconds', 'Time to the first event of a stream'
             ),
@@ -70,47 +82,50 @@
         }
 
     def histogram(self, name: str, doc: str) -> aioprometheus.Histogram:
-        """Return a new histogram of seconds."""
+        """Return a new histogram of durations in seconds."""
         return aioprometheus.Histogram(
             f'{metrics.PREFIX}_{name}',
             doc,
             registry=self.registry,
-            buckets=list(BOUNDS),
+            buckets=list(HISTOGRAM_BOUNDS_SECONDS),
         )
 
-    def count(self, action: relay_actions.RelayAction) -> None:
-        """Count an action, if it is one that is counted."""
+    def count_action(self, action: relay_actions.RelayAction) -> None:
+        """Count an action, if there is a metric for it."""
         match action:
             case relay_actions.Send():
-                self.sends += 1
+                self.send_count += 1
             case relay_actions.PassEvents(events=events):
-                self.events_passed += len(events)
+                self.passed_event_count += len(events)
             case relay_actions.PassAnswer(head=head):
-                self.answered(f'engine {head.status}')
+                self.count_answer(f'engine {head.status}')
             case relay_actions.EndStream():
-                self.answered('stream whole')
+                self.count_answer('stream whole')
             case relay_actions.AbortStream():
-                self.answered('stream broken off')
+                self.count_answer('stream broken off')
             case relay_actions.Refuse(status=status, code=code):
-                self.answered(f'own {status} {code}')
+                self.count_answer(f'own {status} {code}')
             case relay_actions.ObserveDuration(kind, seconds):
-                self.times[kind].observe({}, seconds)
+                self.duration_histograms[kind].observe({}, seconds)
 
-    def answered(self, kind: str) -> None:
-        """Count a final answer."""
-        self.answers[kind] = self.answers.get(kind, 0) + 1
+    def count_answer(self, kind: str) -> None:
+        """Count a final answer by its kind."""
+        self.answer_counts[kind] = self.answer_counts.get(kind, 0) + 1
 
-    def render_relay(self, opened: int) -> bytes:
-        """Return all figures in the text format that scrapers read."""
-        for kind, number in self.answers.items():
+    def render_relay(self, connections_opened: int) -> bytes:
+        """Return all metrics in the text format of Prometheus."""
+        for kind, number in self.answer_counts.items():
             self.answer_counter.set({'kind': kind}, number)
-        self.send_counter.set({}, self.sends)
-        self.passed_counter.set({}, self.events_passed)
-        self.connection_counter.set({}, opened)
-        for counted, number in self.store_calls.counts.items():
-            labels = {'call': counted.call.value, 'cause': counted.cause.value}
+        self.send_counter.set({}, self.send_count)
+        self.passed_counter.set({}, self.passed_event_count)
+        self.connection_counter.set({}, connections_opened)
+        for call_and_cause, number in self.store_calls.counts.items():
+            labels = {
+                'call': call_and_cause.call.value,
+                'cause': call_and_cause.cause.value,
+            }
             self.store_call_counter.set(labels, number)
-        for kind, entries in self.unusable().items():
+        for kind, entries in self.get_unusable_entries().items():
             self.unusable_gauge.set({'kind': kind}, len(entries.reasons))
-            self.unusable_counter.set({'kind': kind}, entries.told)
+            self.unusable_counter.set({'kind': kind}, entries.reported_count)
         return self.render()
--- /dev/null
+++ b/src/greengagelb/transport/relay/timed_requests.py
@@ -0,0 +1,160 @@
+"""Requests of this instance, with a timeout and a bounded answer."""
+
+from collections.abc import Callable
+import dataclasses
+
+import h11
+from twisted.internet import interfaces
+
+from greengagelb.state.relay import engines
+from greengagelb.transport.relay import http_client
+
+# Engines' answers to probes have a few hundred bytes.
+DEFAULT_MAX_BYTES = 65_536
+# The longest pause within an answer. A lost packet is retransmitted within a
+# quarter of a second; a connection without input for longer may be dead.
+MAX_PAUSE_SECONDS = 0.6
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class TimedRequest:
+    """A request whose answer is collected completely.
+
+    ``key`` selects the connections that may carry it. The request fails if no
+    answer is complete after ``seconds``, or if the body exceeds ``max_bytes``.
+    An answer that has started by then may take ``receive_seconds`` from its
+    start, as long as it does not pause: a long answer takes time on a slow
+    link, and a repeated request would take as long again.
+    """
+
+    key: str
+    address: engines.Address
+    request: http_client.WireRequest
+    seconds: float
+    max_bytes: int = DEFAULT_MAX_BYTES
+    fresh: bool = False
+    receive_seconds: float = 0.0
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Answer:
+    """The complete answer to a request, or the reason why there is none.
+
+    ``response`` is None on a failure, and ``detail`` its reason. ``too_long``
+    tells that the answer was too large or still being received at the timeout,
+    and ``connection_refused`` that the address refused the connection.
+    """
+
+    response: h11.Response | None
+    body: bytes = b''
+    detail: str = ''
+    too_long: bool = False
+    connection_refused: bool = False
+
+
+class AnswerCollector:
+    """Collects one answer; ``done`` is called exactly once.
+
+    ``answer_started_at`` and ``last_received_at`` are when the first and the
+    last part of the answer arrived.
+    """
+
+    def __init__(
+        self,
+        reactor: interfaces.IReactorTime,
+        timed_request: TimedRequest,
+        done: Callable[[Answer], None],
+    ) -> None:
+        self.reactor = reactor
+        self.timed_request = timed_request
+        self.done = done
+        self.asked_at = reactor.seconds()
+        self.answer_started_at: float | None = None
+        self.last_received_at = float('-inf')
+        self.response: h11.Response | None = None
+        self.body: list[bytes] = []
+        self.body_bytes = 0
+        self.is_finished = False
+
+    @property
+    def expires_at(self) -> float:
+        """Return when the request times out if no more input arrives."""
+        timed_request = self.timed_request
+        first = self.asked_at + timed_request.seconds
+        if self.answer_started_at is None:
+            return first
+        last = self.answer_started_at + timed_request.receive_seconds
+        return max(first, min(self.last_received_at + MAX_PAUSE_SECONDS, last))
+
+    def answer_started(self, response: h11.Response) -> None:
+        """Note the head of the answer."""
+        self.response = response
+        self.answer_started_at = self.last_received_at = self.reactor.seconds()
+
+    def body_received(self, data: bytes) -> None:
+        """Append a part of the body, up to ``max_bytes``."""
+        self.last_received_at = self.reactor.seconds()
+        self.body_bytes += len(data)
+        if self.body_bytes <= self.timed_request.max_bytes:
+            self.body.append(data)
+
+    def answer_completed(self) -> None:
+        """Deliver the answer, or a failure if it is too large."""
+        if self.body_bytes > self.timed_request.max_bytes:
+            why = f'answer too large, {self.body_bytes} bytes'
+            self.deliver_answer(Answer(None, detail=why, too_long=True))
+        else:
+            self.deliver_answer(Answer(self.response, b''.join(self.body)))
+
+    def answer_failed(self, handed_over: bool, detail: str) -> None:
+        """Deliver the failure of the request."""
+        self.deliver_answer(Answer(None, detail=detail))
+
+    def deliver_timeout(self) -> None:
+        """Deliver a timeout, with the number of bytes received."""
+        is_receiving = (
+            self.reactor.seconds() < self.last_received_at + MAX_PAUSE_SECONDS
+        )
+        why = f'no complete answer in time, {self.body_bytes} bytes received'
+        self.deliver_answer(Answer(None, detail=why, too_long=is_receiving))
+
+    def deliver_answer(self, answer: Answer) -> None:
+        """Call ``done``, unless it was called before."""
+        if not self.is_finished:
+            self.is_finished = True
+            self.done(answer)
+
+
+def send_timed_request(
+    pool: http_client.ConnectionPool,
+    timed_request: TimedRequest,
+    done: Callable[[Answer], None],
+) -> None:
+    """Send a request; call ``done`` with the answer or its failure."""
+
+    def deliver_answer(answer: Answer) -> None:
+        if timer.active():
+            timer.cancel()
+        if pending is not None and pending.connection_refused:
+            answer = dataclasses.replace(answer, connection_refused=True)
+        done(answer)
+
+    def check_expiry() -> None:
+        nonlocal timer
+        left = collector.expires_at - pool.reactor.seconds()
+        if left > 0:
+            timer = pool.reactor.callLater(left, check_expiry)
+            return
+        pending.abandon()
+        collector.deliver_timeout()
+
+    pending: http_client.PendingRequest | None = None
+    collector = AnswerCollector(pool.reactor, timed_request, deliver_answer)
+    timer = pool.reactor.callLater(timed_request.seconds, check_expiry)
+    pending = pool.request(
+        timed_request.key,
+        timed_request.address,
+        lambda: timed_request.request,
+        collector,
+        timed_request.fresh,
+    )
--- a/src/greengagelb/transport/service_client.py
+++ b/src/greengagelb/transport/service_client.py
@@ -1,4 +1,4 @@
-"""Talks to plain services: one connection per call, never reused."""
+"""HTTP client for plain services: one connection per call, never reused."""
 
 from twisted.internet import defer
 from twisted.internet import interfaces
@@ -16,7 +16,7 @@
 
 
 class ServiceClient:
-    """All calls of this instance that are under way."""
+    """This instance's calls that are in flight."""
 
     def __init__(
         self,
@@ -26,10 +26,10 @@
         self.dispatch = dispatch
         agent = http.fresh_connection_agent(reactor)
         self.treq = http.direct_client(agent)
-        self.under_way: dict[int, dict[int, defer.Deferred]] = {}
+        self.tries_in_flight: dict[int, dict[int, defer.Deferred]] = {}
 
-    def call(self, action: actions.DispatchCall) -> None:
-        """Hand a call to a plain service."""
+    def send_call(self, action: actions.DispatchCall) -> None:
+        """Send a call to a plain service."""
         request = action.request
         path = f'/call/{request.operation}'
         url = engine_client.url_of(action.upstream, path)
@@ -43,32 +43,32 @@
             headers=headers,
             unbuffered=True,
         )
-        tries = self.under_way.setdefault(action.exchange, {})
+        tries = self.tries_in_flight.setdefault(action.exchange, {})
         tries[action.try_number] = answer
-        answer.addCallback(self.read, action)
-        answer.addErrback(self.failed, action)
+        answer.addCallback(self.read_response, action)
+        answer.addErrback(self.report_failure, action)
 
-    def read(
+    def read_response(
         self, response: iweb.IResponse, action: actions.DispatchCall
     ) -> defer.Deferred:
-        """Read an answer, if it is the one to this call."""
+        """Read an answer, if it belongs to this call."""
         try:
-            self.check(response.headers, action)
+            self.check_echo(response.headers, action)
         except errors.ProtocolError:
             http.discard_body(response)
             raise
         body = http.read_whole_body(response)
-        return body.addCallback(self.answered, response, action)
+        return body.addCallback(self.report_answer, response, action)
 
-    def check(
+    def check_echo(
         self,
         headers: http_headers.Headers,
         action: actions.DispatchCall,
     ) -> None:
-        """Refuse an answer that belongs to another request.
+        """Raise if an answer belongs to another request.
 
-        A service that crosses two answers would otherwise show one caller
-        what was meant for another.
+        If a service mixed up two answers, a caller would otherwise receive
+        data meant for another one.
         """
         echoed = (
             first_header(headers, service_api.ACCOUNT_HEADER),
@@ -78,31 +78,31 @@
         if echoed != (request.account, request.request):
             raise errors.ProtocolError('answer to another request')
 
-    def answered(
+    def report_answer(
         self,
         body: bytes,
         response: iweb.IResponse,
         action: actions.DispatchCall,
     ) -> None:
         """Report an answer, or that the service refused before running."""
-        if not self.end(action):
+        if not self.forget_try(action):
             return
         exchange, number = action.exchange, action.try_number
-        said = answer_limits.read_answer(response.headers)
+        limit = answer_limits.read_limit_headers(response.headers)
         if first_header(response.headers, service_api.NOT_RUN_HEADER) == '1':
             self.dispatch(
-                events.CallBroken(exchange, 'refused', False, number, said)
+                events.CallBroken(exchange, 'refused', False, number, limit)
             )
             return
         self.dispatch(
-            events.CallAnswered(exchange, response.code, body, number, said)
+            events.CallAnswered(exchange, response.code, body, number, limit)
         )
 
-    def failed(
+    def report_failure(
         self, why: failure.Failure, action: actions.DispatchCall
     ) -> None:
         """Report a try that ended without an answer."""
-        if not self.end(action):
+        if not self.forget_try(action):
             return
         self.dispatch(
             events.CallBroken(
@@ -113,21 +113,21 @@
             )
         )
 
-    def end(self, action: actions.DispatchCall) -> bool:
-        """Forget a try; return false where it was abandoned before."""
-        tries = self.under_way.get(action.exchange, {})
-        known = tries.pop(action.try_number, None) is not None
+    def forget_try(self, action: actions.DispatchCall) -> bool:
+        """Forget a try; return False if it was abandoned before."""
+        tries = self.tries_in_flight.get(action.exchange, {})
+        was_known = tries.pop(action.try_number, None) is not None
         if not tries:
-            self.under_way.pop(action.exchange, None)
-        return known
+            self.tries_in_flight.pop(action.exchange, None)
+        return was_known
 
-    def abandon(self, exchange: int) -> None:
-        """Close the connections of a call that nobody waits for."""
-        for answer in self.under_way.pop(exchange, {}).values():
+    def abandon_call(self, exchange: int) -> None:
+        """Close the connections of a call whose answer is not needed."""
+        for answer in self.tries_in_flight.pop(exchange, {}).values():
             answer.cancel()
 
 
 def first_header(headers: http_headers.Headers, name: str) -> str:
-    """Return the first value of a header, or the empty string."""
+    """Return the first value of a header, or an empty string."""
     values = headers.getRawHeaders(name, [])
     return values[0] if values else ''
--- a/src/greengagelb/transport/settings_file.py
+++ b/src/greengagelb/transport/settings_file.py
@@ -1,43 +1,43 @@
-"""Notices that the file of the settings was replaced."""
+"""Detects that the settings file was replaced."""
 
 from collections.abc import Callable
 import pathlib
 
 
 class WatchedFile:
-    """Calls back when a file has changed.
+    """Calls ``on_change`` when a file has changed.
 
-    A platform may replace the file and send no signal, or send the signal
-    late. Whoever only read it at the start would go by old bounds until the
-    next one.
+    A platform may replace the file without sending a signal, or send it late.
+    A process that only read the file at its start would keep old settings
+    until then.
     """
 
     def __init__(
-        self, path: pathlib.Path, call_back: Callable[[], None]
+        self, path: pathlib.Path, on_change: Callable[[], None]
     ) -> None:
         self.path = path
-        self.call_back = call_back
-        self.known = self.stamp()
+        self.on_change = on_change
+        self.last_stamp = self.read_stamp()
 
-    def stamp(self) -> tuple[int, int, int] | None:
-        """Return what differs once the file was written, or None."""
+    def read_stamp(self) -> tuple[int, int, int] | None:
+        """Return values that change when the file is written, or None."""
         try:
             found = self.path.stat()
         except OSError:
             return None
         return found.st_ino, found.st_size, found.st_mtime_ns
 
-    def look(self) -> None:
-        """Call back if the file is another one than before.
+    def check_for_change(self) -> None:
+        """Call ``on_change`` if the file differs from the last check.
 
-        A file that is missing just now is being replaced.
+        A missing file is ignored, as it is being replaced.
         """
-        stamp = self.stamp()
-        if stamp is not None and stamp != self.known:
-            self.known = stamp
-            self.call_back()
-
-    def changed(self) -> None:
-        """Call back, as somebody says that the file has changed."""
-        self.known = self.stamp()
-        self.call_back()
+        stamp = self.read_stamp()
+        if stamp is not None and stamp != self.last_stamp:
+            self.last_stamp = stamp
+            self.on_change()
+
+    def handle_change_notice(self) -> None:
+        """Call ``on_change`` on an external notice, such as a signal."""
+        self.last_stamp = self.read_stamp()
+        self.on_change()
--- a/tests/callers/test_bad_input.py
+++ b/tests/callers/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Each kind of bad input has its clear answer, and no event comes of it."""
+"""Each kind of invalid input gets a specific answer and causes no event."""
 
 import dataclasses
 
@@ -27,7 +27,7 @@
 def sealed(account='teratak', seal=None):
     seal = seal or caller_sites.CallerSite().seal
     point = caller_sites.sample_point(account)
-    return seal.seal(point).encode()
+    return seal.seal_point(point).encode()
 
 
 def header(name, value):
@@ -120,7 +120,7 @@
     assert site.events == []
 
 
-def test_right_request_becomes_an_event():
+def test_valid_request_becomes_an_event():
     site = caller_sites.CallerSite()
     assert answer_to(caller_sites.request(), site) is None
     assert [type(event) for event in site.events] == [
@@ -128,10 +128,10 @@
     ]
 
 
-def test_cursor_of_another_account_is_answered_like_one_that_never_was():
+def test_cursor_of_another_account_is_answered_like_a_forged_one():
     """A caller guesses or steals the cursor of another client account.
 
-    The answer must not tell whether that account's request exists.
+    The answer must not reveal whether that account's request exists.
     """
     site = caller_sites.CallerSite()
     foreign = sealed('karri', site.seal)
@@ -156,7 +156,7 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(cursor=strategies.binary(max_size=120))
-def test_no_cursor_that_was_not_sealed_is_opened(cursor):
+def test_forged_cursor_is_rejected(cursor):
     clean = bytes(byte for byte in cursor if byte not in b'\r\n\0')
     site = caller_sites.CallerSite()
     answer = answer_to(
@@ -173,12 +173,12 @@
 def test_too_large_body_is_refused_before_it_is_in_memory(chunked):
     """A sender announces or sends more than the process may hold.
 
-    It gets its answer before the rest has come in, and the connection is
-    closed; nothing past the bound is kept.
+    It is answered before the rest has arrived, and the connection is closed;
+    nothing beyond the limit is kept.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
-    size = serving.MOST_BODY_BYTES
+    size = serving.MAX_BODY_BYTES
     key = b'Authorization: Bearer ' + fleet.ACCOUNT_KEY.encode()
     if chunked:
         connection.send(
@@ -206,8 +206,8 @@
     assert site.events == []
 
 
-def test_body_of_many_bytes_makes_no_file(monkeypatch):
-    """The library keeps a long body in a file; instances have no disks."""
+def test_large_body_creates_no_temporary_file(monkeypatch):
+    """Twisted writes long bodies to a file; instances have no disks."""
     monkeypatch.setattr(
         'tempfile.TemporaryFile', lambda *_: pytest.fail('opened a file')
     )
@@ -220,11 +220,11 @@
     assert content in site.events[0].request.prompt
 
 
-def test_slow_sender_is_told_so_and_cut():
-    """A sender gives a byte now and then, and never ends.
+def test_slow_sender_is_refused_and_disconnected():
+    """A sender sends a byte at a time and never finishes.
 
-    The connection is answered and closed after some time, however steadily
-    the bytes come.
+    It is answered and disconnected after a time limit, however steadily the
+    bytes arrive.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -235,14 +235,14 @@
         connection.send(bytes([byte]))
     answer = connection.answer()
     assert answer.status == 408
-    assert answer.problem()['code'] == serving.SLOW_CODE
+    assert answer.problem()['code'] == serving.TOO_SLOW_CODE
     assert answer.headers['retry-after'] == '1'
     assert not connection.transport.connected
     assert site.events == []
 
 
-def test_half_a_request_leads_to_nothing():
-    """A caller dies while it sends; no request must come of the half."""
+def test_incomplete_request_causes_no_event():
+    """A caller dies while sending; its incomplete request must be ignored."""
     site = caller_sites.CallerSite()
     connection = site.connect()
     connection.send(caller_sites.request()[:-10])
@@ -251,13 +251,13 @@
     assert not site.clock.getDelayedCalls()
 
 
-def test_error_of_the_program_says_that_the_outcome_is_unknown(monkeypatch):
-    """A fault in the program itself hits a request.
+def test_internal_error_reports_an_unknown_outcome(monkeypatch):
+    """A bug of the program affects a request.
 
-    The caller is not told "not run", since nobody knows.
+    The caller must not be told "not run", since this is unknown.
     """
     site = caller_sites.CallerSite()
-    monkeypatch.setattr(site.app, 'arrival', None)
+    monkeypatch.setattr(site.app, 'event_of_submission', None)
     answer = answer_to(caller_sites.request(), site)
     assert answer.status == 500
     assert answer.problem()['ran'] == 'outcome-unknown'
@@ -278,10 +278,10 @@
     ]
 
 
-def test_body_of_nobody_is_not_taken_in():
+def test_body_without_a_valid_key_is_not_read():
     """A sender without a key announces a body.
 
-    It is refused before it has sent any of it, and fills no memory.
+    It is refused before it sends any of the body, and uses no memory.
     """
     site = caller_sites.CallerSite()
     connection = site.connect()
@@ -291,17 +291,17 @@
     assert connection.answer().problem()['code'] == 'unauthenticated'
     connection.send(body)
     assert not connection.transport.connected
-    assert not site.app.budget.held
+    assert not site.app.budget.held_bytes
 
 
-def test_large_bodies_of_one_account_leave_the_others_alone():
+def test_body_memory_is_bounded_per_account():
     """One account keeps many large requests open.
 
-    Its next one is refused, while another account's is taken, and what was
-    held is given back as its callers leave.
+    Its next one is refused, while another account's is accepted, and the held
+    bytes are released when its callers disconnect.
     """
     site = caller_sites.CallerSite()
-    size = serving.MOST_BODY_BYTES - 1000
+    size = serving.MAX_BODY_BYTES - 1000
     message = {'role': 'user', 'content': 'x' * size}
     large = caller_sites.request(body=caller_sites.chat(messages=[message]))
     opened = []
@@ -313,9 +313,9 @@
     refused = opened[-1].answer()
     assert refused.problem()['code'] == 'account-bodies-full'
     assert refused.headers['retry-after'] == '1'
-    assert len(opened) == body_budget.MOST_ACCOUNT_BYTES // size + 1
+    assert len(opened) == body_budget.MAX_ACCOUNT_BODY_BYTES // size + 1
     other = caller_sites.request(key=fleet.OTHER_KEY.encode())
     assert answer_to(other, site) is None
     for connection in opened:
         connection.transport.loseConnection()
-    assert set(site.app.budget.held) == {'karri'}
+    assert set(site.app.budget.held_bytes) == {'karri'}
--- a/tests/calls/test_platform_client.py
+++ b/tests/calls/test_platform_client.py
@@ -1,4 +1,4 @@
-"""What the platform's client proves about a write that failed."""
+"""What a failed write of the platform's client proves."""
 
 from greengagelb import errors
 from greengagelb import settings
@@ -14,20 +14,22 @@
 
 
 class Store:
-    """A claim store and what it reports."""
+    """A claim store and the events that it reports."""
 
     def __init__(self):
         self.network = wires.Network()
         self.events = []
         self.records = []
-        place = settings.PlatformSettings(wires.ADDRESS, wires.PORT)
+        platform_settings = settings.PlatformSettings(
+            wires.ADDRESS, wires.PORT
+        )
         self.platform = platform_client.PlatformClient(
-            self.network.reactor, place, self.records.append
+            self.network.reactor, platform_settings, self.records.append
         )
         self.claims = claim_store.ClaimStore(self.platform, self.events.append)
 
     def write(self):
-        self.claims.write(actions.WriteClaim('i.1', 'key', 0, RECORD))
+        self.claims.write_claim(actions.WriteClaim('i.1', 'key', 0, RECORD))
 
     def only_event(self):
         (found,) = self.events
@@ -60,10 +62,11 @@
     assert not store.only_event().handed_over
 
 
-def test_silent_store_proves_nothing_and_its_connection_is_closed():
-    """The store takes a claim and says nothing.
+def test_store_timeout_leaves_the_outcome_unknown_and_closes_the_connection():
+    """The store receives a claim and does not answer.
 
-    Taken for "not written", the claim could land later and be in the way.
+    If the claim were taken for not written, it could still be written later
+    and block the request.
     """
     store = Store()
     store.write()
@@ -73,10 +76,10 @@
     assert wire.closed or wire.transport.disconnected
 
 
-def test_answer_that_makes_no_sense_still_ends_the_wait():
-    """Something between answers in the store's place with a page of HTML.
+def test_malformed_store_answer_fails_the_write():
+    """A proxy answers in place of the store with an HTML page.
 
-    The caller would wait for its answer until its deadline.
+    If this were ignored, the caller would wait until its deadline.
     """
     for status, body in [('200 OK', b'<html>'), ('409 Conflict', b'{}')]:
         store = Store()
@@ -102,21 +105,22 @@
 def test_busy_store_counts_as_a_failure():
     store = Store()
     failed = []
-    store.platform.read('t', 'k').addErrback(failed.append)
+    store.platform.read_row('t', 'k').addErrback(failed.append)
     store.network.accept().answer(b'', status='429 Busy', length=5)
     (why,) = failed
     assert why.check(errors.PlatformUnavailable)
     assert store.platform.budget.consecutive_failures == 1
 
 
-def test_request_that_can_not_be_built_is_not_counted_as_under_way():
-    """A bug of this program raises while a request is put together.
+def test_request_that_can_not_be_built_is_not_counted_as_in_flight():
+    """A bug raises an exception while a request is built.
 
-    Counted as under way for good, 64 of them would shut the store off.
+    If each counted as in flight forever, 64 of them would block all requests
+    to the store.
     """
     store = Store()
     failed = []
     kind = store_budget.RequestKind.READ
-    store.platform.ask(kind, lambda: 1 // 0).addErrback(failed.append)
+    store.platform.send_request(kind, lambda: 1 // 0).addErrback(failed.append)
     assert len(failed) == 1
     assert store.platform.budget.in_flight == 0
--- a/tests/cli/test_in_force.py
+++ b/tests/cli/test_in_force.py
@@ -1,4 +1,4 @@
-"""What is in force on which instance, as the command compares it."""
+"""The comparison of what is in force on each instance."""
 
 import json
 import pathlib
@@ -20,16 +20,18 @@
 
 ROOT = pathlib.Path(__file__).parents[2]
 Code = exit_codes.ExitCode
-GOOD = in_force.InForce('a', 'north', '0.1.0', False, 255, 3.0, 7, 2, 1, 0.5)
+GOOD = in_force.InstanceReport(
+    'a', 'north', '0.1.0', False, 255, 3.0, 7, 2, 1, 0.5
+)
 
 
-def other(**changed):
+def alter_page(**changed):
     fields = {name: getattr(GOOD, name) for name in GOOD.__slots__}
-    return in_force.InForce(**{**fields, **changed})
+    return in_force.InstanceReport(**{**fields, **changed})
 
 
-def page_of(**changed):
-    """Return the page of metrics of an instance."""
+def render_metrics_page(**changed):
+    """Return the metrics page of an instance."""
     figures = relay_metrics.RelayMetrics()
     sample = {
         'identity': metrics.Identity('a', 'north'),
@@ -42,12 +44,12 @@
         'configuration_version': 12,
     }
     figures.sample = lambda: metrics.Sample(**{**sample, **changed})
-    return figures.render_relay(opened=1)
+    return figures.render_relay(connections_opened=1)
 
 
 def test_a_page_of_metrics_is_read():
-    """Guards against a command that no page of this release satisfies."""
-    found = metrics_page.read(page_of())
+    """Guards against a command that can't read this release's metrics."""
+    found = metrics_page.parse_page(render_metrics_page())
     assert (found.name, found.data_centre) == ('a', 'north')
     assert found.stopping
     assert found.settings_digest == 4_000_000_000
@@ -57,8 +59,13 @@
 
 
 def test_a_page_without_an_age_of_the_store_is_read():
-    """Guards against instances that are left out as they follow no store."""
-    assert metrics_page.read(page_of(store_seconds=None)).store_seconds is None
+    """Guards against rejecting instances that read no store."""
+    assert (
+        metrics_page.parse_page(
+            render_metrics_page(store_seconds=None)
+        ).store_seconds
+        is None
+    )
 
 
 @pytest.mark.parametrize(
@@ -67,39 +74,41 @@
         b'',
         b'\xff\xfe',
         b'<html>hello</html>',
-        page_of(identity=None),
-        page_of().replace(b'settings_digest 4000000000', b'settings_digest x'),
-        page_of().replace(b'engines 6', b'engines -1'),
-        page_of().replace(b'engines 6', b'engines nan'),
-        page_of().replace(b'engines 6', b'engines 1e999'),
+        render_metrics_page(identity=None),
+        render_metrics_page().replace(
+            b'settings_digest 4000000000', b'settings_digest x'
+        ),
+        render_metrics_page().replace(b'engines 6', b'engines -1'),
+        render_metrics_page().replace(b'engines 6', b'engines nan'),
+        render_metrics_page().replace(b'engines 6', b'engines 1e999'),
     ],
 )
-def test_what_is_no_page_of_an_instance_is_told(raw):
-    """Guards against strangers that are taken for instances."""
+def test_invalid_metrics_page_is_rejected(raw):
+    """Guards against treating other servers as instances."""
     with pytest.raises(errors.ProtocolError):
-        metrics_page.read(raw)
+        metrics_page.parse_page(raw)
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=400))
-def test_nothing_that_is_sent_ends_the_command(raw):
-    """Guards against one address that hides all others."""
+def test_arbitrary_metrics_page_raises_only_protocol_errors(raw):
+    """Guards against one address whose answer ends the whole command."""
     try:
-        metrics_page.read(page_of() + raw)
+        metrics_page.parse_page(render_metrics_page() + raw)
     except errors.ProtocolError:
         return
 
 
-def test_those_that_differ_come_first_with_the_reason():
-    """Guards against one old file among three hundred lines."""
+def test_differing_instances_come_first_with_the_reason():
+    """Guards against missing one outdated instance among three hundred."""
     found = [
         ('1.0.0.1:1', GOOD),
-        ('1.0.0.2:1', other(settings_digest=1)),
+        ('1.0.0.2:1', alter_page(settings_digest=1)),
         ('1.0.0.3:1', GOOD),
-        ('1.0.0.4:1', in_force.NoPage('no answer')),
-        ('1.0.0.5:1', other(configuration_version=6, release='0.0.9')),
+        ('1.0.0.4:1', in_force.ReportUnavailable('no answer')),
+        ('1.0.0.5:1', alter_page(configuration_version=6, release='0.0.9')),
     ]
-    seen = in_force.compare(found)
+    seen = in_force.compare_reports(found)
     assert [one.address for one in seen] == [
         '1.0.0.4:1',
         '1.0.0.2:1',
@@ -120,9 +129,9 @@
 @given(
     st.lists(
         st.one_of(
-            st.builds(in_force.NoPage, st.just('gone')),
+            st.builds(in_force.ReportUnavailable, st.just('gone')),
             st.builds(
-                other,
+                alter_page,
                 settings_digest=st.integers(0, 2),
                 configuration_version=st.integers(0, 2),
             ),
@@ -131,38 +140,38 @@
     )
 )
 def test_each_address_has_one_line_and_most_agree_with_most(pages):
-    """Guards against addresses that are lost, and a wrong majority."""
+    """Guards against missing addresses and a wrong majority."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
-    seen = in_force.compare(found)
+    seen = in_force.compare_reports(found)
     assert sorted(one.address for one in seen) == sorted(a for a, _ in found)
-    answers = [p for p in pages if isinstance(p, in_force.InForce)]
+    answers = [p for p in pages if isinstance(p, in_force.InstanceReport)]
     for value in {page.digest for page in answers}:
         same = sum(page.digest == value for page in answers)
-        told = sum(
+        differing = sum(
             any(why.startswith('settings') for why in one.differences)
             for one in seen
         )
-        assert same <= len(answers) - told
+        assert same <= len(answers) - differing
 
 
 @pytest.mark.parametrize(
     ('pages', 'code'),
     [
         ([GOOD, GOOD], Code.SUCCESS),
-        ([GOOD, other(settings_digest=1)], Code.DIFFERENT),
-        ([GOOD, in_force.NoPage('gone')], Code.UNREACHABLE),
-        ([in_force.NoPage('gone')], Code.NOTHING_FOUND),
+        ([GOOD, alter_page(settings_digest=1)], Code.DIFFERENT),
+        ([GOOD, in_force.ReportUnavailable('gone')], Code.UNREACHABLE),
+        ([in_force.ReportUnavailable('gone')], Code.NOTHING_FOUND),
     ],
 )
 def test_scripts_can_tell_what_was_found(pages, code):
-    """Guards against a roll-out that goes on while instances differ."""
+    """Guards against a rollout that continues while instances differ."""
     found = [(f'1.0.0.{n}:1', page) for n, page in enumerate(pages)]
-    assert command.exit_code_of(in_force.compare(found), None) is code
+    assert command.exit_code_of(in_force.compare_reports(found), None) is code
 
 
 def test_what_is_waited_for_decides_and_not_the_majority():
-    """Guards against a wait that ends as all agree on the old version."""
-    seen = in_force.compare([('1.0.0.1:1', GOOD), ('1.0.0.2:1', GOOD)])
+    """Guards against a wait that ends when all agree on the old version."""
+    seen = in_force.compare_reports([('1.0.0.1:1', GOOD), ('1.0.0.2:1', GOOD)])
 
     def has(page):
         return page.configuration_version >= 8
@@ -172,28 +181,33 @@
 
 
 def test_lines_of_json_hold_what_the_table_does():
-    """Guards against scripts that have to read a table."""
-    seen = in_force.compare(
-        [('1.0.0.1:1', GOOD), ('1.0.0.2:1', in_force.NoPage('gone'))]
+    """Guards against scripts that have to parse a table."""
+    seen = in_force.compare_reports(
+        [
+            ('1.0.0.1:1', GOOD),
+            ('1.0.0.2:1', in_force.ReportUnavailable('gone')),
+        ]
     )
-    lines = [json.loads(line) for line in command.as_json(seen).splitlines()]
+    lines = [
+        json.loads(line) for line in command.render_json(seen).splitlines()
+    ]
     assert lines[0] == {'address': '1.0.0.2:1', 'differences': ['gone']}
     assert lines[1]['settings_digest'] == 255
-    assert '1 of 2 agree' in command.as_table(seen)
+    assert '1 of 2 agree' in command.render_table(seen)
 
 
 def test_no_address_and_bad_addresses_are_mistakes(tmp_path):
-    """Guards against a command that finds that nothing differs."""
+    """Guards against reporting agreement when no instance was asked."""
     assert runner.run_here('in-force').code == Code.USAGE
-    told = runner.run_here('in-force', '--pages=nowhere:1')
-    assert told.code == Code.USAGE
-    assert '--pages=nowhere:1' in told.complaint
+    outcome = runner.run_here('in-force', '--pages=nowhere:1')
+    assert outcome.code == Code.USAGE
+    assert '--pages=nowhere:1' in outcome.complaint
     missing = runner.run_here('in-force', f'--pages_file={tmp_path}/none')
     assert missing.code == Code.USAGE
 
 
 def test_the_page_shows_the_table_that_the_command_prints():
-    """Guards against a page that tells of another program than this one."""
+    """Guards against documentation that is out of date."""
     page = (ROOT / 'docs' / 'OPERATIONS.md').read_text('utf-8')
     shown = page.partition('<!-- output in-force -->\n')[2]
     shown = textwrap.dedent(shown.partition('   <!-- end in-force')[0])
@@ -203,9 +217,9 @@
         address, name, *_, state, digest, since = line.split()[:7]
         if name == '?':
             why = line.partition('no answer')[1:]
-            found.append((address, in_force.NoPage(''.join(why))))
+            found.append((address, in_force.ReportUnavailable(''.join(why))))
             continue
-        page_there = other(
+        page_there = alter_page(
             name=name,
             stopping=state == 'stopping',
             settings_digest=digests[digest],
@@ -216,4 +230,4 @@
             store_seconds=None,
         )
         found.append((address, page_there))
-    assert command.as_table(in_force.compare(found)) == shown
+    assert command.render_table(in_force.compare_reports(found)) == shown
--- a/tests/common/instance_world.py
+++ b/tests/common/instance_world.py
@@ -65,7 +65,7 @@
         self.registers = registers
         self.removals = []
 
-    def move_to(self, address):
+    def use_address(self, address):
         """Nothing depends on it here."""
 
     def read_configuration(self, position, wait_seconds):
@@ -134,7 +134,7 @@
     def configure(self):
         """Give it a configuration and engines."""
         table = relay_world.route_table()
-        self.handle(relay_events.RoutesOffered(table, 'test'))
+        self.handle(relay_events.ConfigurationOffered(table, 'test'))
         self.handle(relay_events.EnginesListed(relay_world.fleet()))
 
     def note_end(self, result):
--- a/tests/common/store_fleet.py
+++ b/tests/common/store_fleet.py
@@ -48,7 +48,7 @@
 
     @property
     def here(self):
-        return positions.Position(self.era, self.position)
+        return positions.StorePosition(self.era, self.position)
 
     def count(self, kind):
         return sum(call[0] == kind for call in self.calls)
@@ -196,7 +196,9 @@
     def knows(self, engine):
         """Return whether an engine may get work here."""
         state = self.relay.engines.states.get(engine)
-        return state is not None and state.usable(self.fleet.clock.seconds())
+        return state is not None and state.is_usable(
+            self.fleet.clock.seconds()
+        )
 
     def dispatch(self, event):
         if not self.alive:
@@ -206,7 +208,7 @@
             return
         for action in self.relay.handle(event, self.fleet.clock.seconds()):
             match action:
-                case relay_actions.ForwardHints(told):
+                case relay_actions.BroadcastHints(told):
                     self.fleet.told += len(told)
                     for hint in told:
                         event = relay_events.PeerTold(
@@ -214,7 +216,7 @@
                         )
                         self.fleet.tell_others(self, event)
                 case relay_actions.RescheduleStoreRead():
-                    self.watch.look_again()
+                    self.watch.schedule_read_check()
 
     def beat(self):
         if not self.alive:
--- a/tests/common/wire_store.py
+++ b/tests/common/wire_store.py
@@ -265,7 +265,7 @@
         for action in self.relay.handle(event, self.reactor.seconds()):
             match action:
                 case relay_actions.RescheduleStoreRead():
-                    self.watch.look_again()
+                    self.watch.schedule_read_check()
                 case actions.SetTimer(name, deadline):
                     wait = max(0.0, deadline - self.reactor.seconds())
                     fired = events.TimerFired(name)
@@ -279,7 +279,7 @@
     def knows(self, engine):
         """Return whether an engine may get work."""
         state = self.relay.engines.states.get(engine)
-        return state is not None and state.usable(self.reactor.seconds())
+        return state is not None and state.is_usable(self.reactor.seconds())
 
     def play(self, seconds):
         """Let time pass."""
--- a/tests/logs/test_bounded_log.py
+++ b/tests/logs/test_bounded_log.py
@@ -1,4 +1,4 @@
-"""Log lines while nobody reads them, and while there are too many."""
+"""Log lines whose reader has stopped, and bursts of log lines."""
 
 import json
 import os
@@ -9,7 +9,7 @@
 
 
 class Pipe:
-    """A pipe with a clock; its reader reads only when told to."""
+    """A pipe with a clock; its reader only reads when told to."""
 
     def __init__(self):
         self.out, descriptor = os.pipe()
@@ -26,7 +26,7 @@
         os.close(self.descriptor)
 
     def read_all(self):
-        """Read until nothing waits any more."""
+        """Read until nothing is waiting."""
         found = b''
         while raw := self.read_raw():
             found += raw
@@ -46,32 +46,33 @@
             found += part
 
 
-def test_reader_that_stops_reading_holds_nobody_up():
+def test_stalled_log_reader_does_not_block_writes():
     """The process that collects the logs hangs.
 
-    A write that waits for it would stop every caller's stream. What is left
-    out is counted.
+    A blocking write would stop every caller's stream. Dropped lines are
+    counted.
     """
     with Pipe() as pipe:
         for number in range(1_900):
             pipe.log.write('x' * 400 + f' {number}\n')
-        assert len(pipe.log.waiting) <= bounded_log.MOST_WAITING_BYTES
-        assert pipe.log.dropped > 0
-        dropped = pipe.log.dropped
-        rest = pipe.read_all()
+        assert len(pipe.log.pending) <= bounded_log.MAX_PENDING_BYTES
+        assert pipe.log.unreported_drops > 0
+        dropped = pipe.log.unreported_drops
+        lines = pipe.read_all()
         pipe.now += 10.0
         pipe.log.write('after\n')
-        rest += pipe.read_all()
-        told = [json.loads(line) for line in rest if line.startswith('{')]
-        assert told == [{'event': 'log-lines-dropped', 'count': dropped}]
-        assert len(rest) == 1_900 - dropped + 2
-        assert rest[-1] == 'after'
+        lines += pipe.read_all()
+        reports = [json.loads(line) for line in lines if line.startswith('{')]
+        assert reports == [{'event': 'log-lines-dropped', 'count': dropped}]
+        assert len(lines) == 1_900 - dropped + 2
+        assert lines[-1] == 'after'
 
 
 def test_burst_of_lines_is_bounded():
     """Everything fails at once, and each failure writes a line.
 
-    The report would take the processor from those who are still being served.
+    Without a limit, logging would use up the processor time needed to serve
+    callers.
     """
     with Pipe() as pipe:
         lines = 0
@@ -80,16 +81,16 @@
                 pipe.log.write('line\n')
             lines += len(pipe.read())
             pipe.now += 0.01
-        most = bounded_log.MOST_LINES_AT_ONCE + bounded_log.LINES_PER_SECOND
-        assert lines <= most + 1
-        assert pipe.log.dropped_in_all >= 10_000 - most - 1
+        max_lines = bounded_log.MAX_BURST_LINES + bounded_log.LINES_PER_SECOND
+        assert lines <= max_lines + 1
+        assert pipe.log.total_dropped >= 10_000 - max_lines - 1
 
 
-def test_reader_that_is_gone_costs_nothing():
+def test_closed_log_pipe_discards_lines():
     pipe = Pipe()
     os.close(pipe.out)
     pipe.log.write('line\n')
-    assert not pipe.log.waiting
+    assert not pipe.log.pending
     os.close(pipe.descriptor)
     with pytest.raises(OSError, match='descriptor'):
         os.write(pipe.descriptor, b'')
--- a/tests/logs/test_crash_evidence.py
+++ b/tests/logs/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""What the log tells of requests that are under way when engines crash."""
+"""Log entries about requests that are in flight when engines crash."""
 
 from greengagelb.coordination import actions as common_actions
 from tests.common import relay_world
@@ -23,10 +23,10 @@
     return found
 
 
-def test_a_request_that_comes_again_is_told_as_the_same():
-    """Guards against repeats that the log can't connect.
+def test_repeated_request_has_the_same_fingerprint():
+    """Guards against repeated requests that can't be correlated in the log.
 
-    A caller sends what failed again, with a new id and at another instance.
+    A caller repeats a failed request with a new id at another instance.
     """
     here = relay_world.RelayWorld(seed=1)
     there = relay_world.RelayWorld(seed=2)
@@ -35,8 +35,8 @@
     assert fingerprint_sent(there, body=BODY) == first
 
 
-def test_other_requests_are_told_apart():
-    """Guards against a log that takes two requests for one."""
+def test_different_requests_have_different_fingerprints():
+    """Guards against a log in which two requests look the same."""
     world = relay_world.RelayWorld()
     told = {
         fingerprint_sent(world, body=BODY),
@@ -48,8 +48,8 @@
     assert len(told) == 5
 
 
-def test_a_lost_send_tells_whether_its_engine_had_begun_to_answer():
-    """Guards against losses of which the log hides what the engine did."""
+def test_lost_send_records_whether_the_answer_had_begun():
+    """Guards against log entries that omit how far a lost answer had come."""
     world = relay_world.RelayWorld()
     waiting = world.last_send(world.ask())
     world.lose(waiting)
--- a/tests/logs/test_limit_evidence.py
+++ b/tests/logs/test_limit_evidence.py
@@ -1,4 +1,4 @@
-"""What the log tells of limits that engines name."""
+"""Log entries and metrics about request limits that engines announce."""
 
 import pytest
 
@@ -18,17 +18,17 @@
     return [record.reason for record in records if record.kind == kind]
 
 
-def lone_world():
-    """Return the only instance, before one engine."""
+def single_instance_world():
+    """Return a world with a single instance and one engine."""
     world = relay_world.RelayWorld([relay_world.fleet()[-1]])
     world.handle(relay_events.MembersListed(()))
     world.advance(4.0)
     return world
 
 
-def test_a_limit_that_an_answer_names_is_told_once_until_it_changes():
-    """Guards against a log that hides from when on an instance knew it."""
-    world = lone_world()
+def test_limit_is_recorded_once_until_it_changes():
+    """Guards against a log that omits since when a limit was known."""
+    world = single_instance_world()
     for rate in (2.1, 2.1, 4.0, None):
         exchange = world.call()
         world.now += 1.0
@@ -42,9 +42,9 @@
     ]
 
 
-def test_a_send_tells_which_limit_was_known_and_for_how_long():
-    """Guards against sends of which nobody can say why they were made."""
-    world = lone_world()
+def test_send_records_the_known_limit_and_its_age():
+    """Guards against sends whose reason the log does not show."""
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
     world.answer(first, limit=2.5)
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize('kind', ['stream', 'refused', 'error'])
-def test_each_kind_of_answer_names_a_limit(kind):
-    """Guards against limits in refusals, errors or heads of streams."""
+def test_limit_is_read_from_each_kind_of_answer(kind):
+    """Guards against ignored limits in refusals, errors or stream headers."""
     world = relay_world.RelayWorld()
     exchange = world.ask() if kind == 'stream' else world.query()
     send = world.last_send(exchange)
@@ -73,24 +73,24 @@
     assert reasons(world, 'engine-limit') == ['3 a second, version 1']
 
 
-def test_an_unusable_limit_is_told_and_changes_nothing():
-    """Guards against a bad header that hides an answer, or the last limit."""
-    world = lone_world()
+def test_invalid_limit_is_recorded_and_ignored():
+    """Guards against a bad header that drops the answer or the last limit."""
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.answer(first, limit=2.5)
     world.advance(4.0)
     world.call()
     world.advance(0.1)
-    world.answer(world.sends()[-1], limit=limits.Unusable('-1'))
+    world.answer(world.sends()[-1], limit=limits.UnusableLimit('-1'))
     assert reasons(world, 'engine-limit-refused') == ['limit-unusable: -1']
     life = first.engine.life
     assert world.relay.keeper.table.rate_of(life) == 2.5
     assert len(world.answered()) == 2
 
 
-def test_the_own_interface_tells_of_limits_too():
-    """Guards against limits of engines that only one interface tells of."""
-    said = limits.Said(2.5, 'life-1')
+def test_limits_of_the_native_interface_are_recorded():
+    """Guards against limits that are only recorded for one interface."""
+    said = limits.UpstreamAdvertisement(2.5, 'life-1')
     node = loaded_node.new_node([loaded_node.account('one')], engines=1)
     done = node.handle(loaded_node.draft(1, 'one'), 0.0)
     [start] = loaded_node.only(common_actions.StartAttempt, done)
@@ -109,9 +109,9 @@
     assert node.limits.rate('e0') is None
 
 
-def test_metrics_tell_of_limits_and_of_what_they_hold():
-    """Guards against limits whose use and whose price nobody can see."""
-    world = lone_world()
+def test_metrics_show_limits_and_held_requests():
+    """Guards against limits whose use and cost are not visible."""
+    world = single_instance_world()
     first = world.last_send(world.call())
     world.now += 0.5
     world.answer(first, limit=20.0)
--- a/tests/platform/test_crashes.py
+++ b/tests/platform/test_crashes.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of crashes, and what the store keeps."""
+"""Crash reports between instances, and crashes kept in the store."""
 
 import base64
 
@@ -19,11 +19,11 @@
 
 OWN = hints.Member('n1', 'n1-x', '127.0.0.1', 'north')
 WALL = 1_800_000_000_000
-# What fits a datagram that no link on the way has to split.
-MOST_DATAGRAM_BYTES = 1400
+# The largest datagram that no link has to fragment.
+MAX_DATAGRAM_BYTES = 1400
 
 TOLD = st.builds(
-    crashes.ToldCrash,
+    crashes.ReportedCrash,
     st.text(max_size=40),
     st.floats(0.0, 600.0),
     st.floats(0.0, 600.0),
@@ -37,35 +37,40 @@
 
 
 @given(REPORTS)
-def test_a_report_comes_out_as_it_went_in(report):
+def test_crash_report_round_trips(report):
     raw = relay_hints.encode_hint('x', report)
-    assert relay_hints.decode(raw) == ('x', report)
+    assert relay_hints.decode_datagram(raw) == ('x', report)
 
 
-def test_a_question_for_reports_comes_out_as_it_went_in():
-    raw = relay_hints.encode_hint('x', crashes.Wanted())
-    assert relay_hints.decode(raw) == ('x', crashes.Wanted())
+def test_request_for_crash_reports_round_trips():
+    raw = relay_hints.encode_hint('x', crashes.CrashReportsRequest())
+    assert relay_hints.decode_datagram(raw) == (
+        'x',
+        crashes.CrashReportsRequest(),
+    )
 
 
 def test_the_longest_report_fits_a_datagram():
     """Guards against reports that a lossy link loses more often than others.
 
-    Split into packets, each of them has to arrive.
+    A fragmented datagram is lost with any of its fragments.
     """
     life = f'i-{"f" * 10} {WALL}'
-    told = tuple(crashes.ToldCrash(f'{n}{life}', 0.1, 1.5) for n in range(8))
+    told = tuple(
+        crashes.ReportedCrash(f'{n}{life}', 0.1, 1.5) for n in range(8)
+    )
     report = crashes.CrashReport('f' * 32, told, 0.5)
     assert len(relay_hints.encode_hint('12345678', report)) < (
-        MOST_DATAGRAM_BYTES
+        MAX_DATAGRAM_BYTES
     )
 
 
 def test_heartbeats_of_a_release_without_crashes_are_understood():
-    """Guards against instances that go deaf while a release is replaced."""
+    """Guards against ignored heartbeats while releases are mixed."""
     old = msgspec.msgpack.encode(
         ['n-x', ['h', 'n', '1.2.3.4', 'north', False]]
     )
-    sender, beat = relay_hints.decode(old)
+    sender, beat = relay_hints.decode_datagram(old)
     assert (sender, beat.name, beat.crashes_digest) == ('n-x', 'n', 0)
 
 
@@ -73,16 +78,15 @@
     'report',
     [
         crashes.CrashReport('f' * 65, ()),
-        crashes.CrashReport('f', (crashes.ToldCrash('e' * 257, 0.0, 0.0),)),
+        crashes.CrashReport(
+            'f', (crashes.ReportedCrash('e' * 257, 0.0, 0.0),)
+        ),
     ],
 )
 def test_names_without_bound_are_refused(report):
-    """Guards against memory that a stranger's datagrams fill."""
+    """Guards against datagrams of strangers that use unbounded memory."""
     with pytest.raises(errors.ProtocolError):
-        relay_hints.decode(relay_hints.encode_hint('x', report))
-
-
-# -- the store --------------------------------------------------------------
+        relay_hints.decode_datagram(relay_hints.encode_hint('x', report))
 
 
 class RowStore(store.PlatformStore):
@@ -92,14 +96,14 @@
         super().__init__(None, engines.Address('127.0.0.1', 1))
         self.rows = {}
 
-    def write(self, change):
-        for row in change.set_keys:
+    def commit_transaction(self, transaction):
+        for row in transaction.set_keys:
             self.rows[row.key] = rows.Row(row.key, row.value, 1)
-        for name in change.remove:
+        for name in transaction.remove:
             self.rows.pop(name.key, None)
         return defer.succeed(b'')
 
-    def read_all(self, table):
+    def read_whole_table(self, table):
         return defer.succeed(rows.Rows(list(self.rows.values()), 1))
 
     def members(self):
@@ -108,25 +112,27 @@
         return read[0]
 
 
-KEPT = crashes.KeptCrashes('ab12', (crashes.KeptCrash('e1 7', 0.05, WALL),))
+KEPT = crashes.StoredCrashes(
+    'ab12', (crashes.StoredCrash('e1 7', 0.05, WALL),)
+)
 
 
-def test_crashes_stand_beside_the_instances():
-    """Guards against crashes that are taken for an instance's bad entry."""
+def test_crashes_are_read_with_the_instances():
+    """Guards against crashes that are read as invalid instance entries."""
     found = RowStore()
     found.register(OWN)
-    found.keep_crashes(KEPT)
+    found.write_crashes(KEPT)
     read = found.members()
     assert read.members == (OWN,)
     assert read.kept_crashes == (KEPT,)
     assert not read.mistakes
-    found.drop_crashes('ab12')
+    found.delete_crashes('ab12')
     assert found.members().kept_crashes == ()
 
 
 @pytest.mark.parametrize('key', ['crashes/other', 'crashes/'])
-def test_an_entry_of_another_writer_names_no_request(key):
-    """Guards against entries that have innocent requests refused."""
+def test_crash_entry_of_another_writer_is_rejected(key):
+    """Guards against entries of others that get harmless requests refused."""
     found = RowStore()
     text = base64.b64encode(codec.encode(KEPT)).decode()
     found.rows[key] = rows.Row(key, text, 1)
@@ -137,10 +143,10 @@
 
 
 @given(st.integers(-5_000, 600_000))
-def test_what_is_kept_ages_by_the_clock(waited):
-    """Guards against blocks that never end, or end as a clock is set back."""
-    report = crashes.CrashReport('f', (crashes.ToldCrash('e', 0.25, 2.0),))
-    kept = crashes.to_keep(report, WALL)
-    [told] = crashes.from_kept(kept, WALL + waited).crashes
+def test_stored_crashes_age_by_the_wall_clock(waited):
+    """Guards against blocks that never end, or end as a clock goes back."""
+    report = crashes.CrashReport('f', (crashes.ReportedCrash('e', 0.25, 2.0),))
+    kept = crashes.to_stored_crashes(report, WALL)
+    [told] = crashes.to_crash_report(kept, WALL + waited).crashes
     assert told.seconds == 0.25
     assert told.age == pytest.approx(max(0.0, 2.0 + waited / 1000))
--- a/tests/platform/test_long_lists.py
+++ b/tests/platform/test_long_lists.py
@@ -1,4 +1,4 @@
-"""Lists that don't fit into one answer of the platform's store."""
+"""Lists that need several answers of the platform's store."""
 
 import base64
 import json
@@ -7,18 +7,18 @@
 from twisted.internet import defer
 
 from greengagelb import errors
-from greengagelb.platform import row_answers
+from greengagelb.platform import row_decoding
 from greengagelb.platform import rows
 from greengagelb.platform import store
 from greengagelb.state.relay import engines
 
-# An answer holds 500 rows; the fleet to design for has 630 engines.
-PAGE = 500
-ENGINES = 630
+# An answer has at most 500 rows; the largest planned fleet has 630 engines.
+ROWS_PER_PAGE = 500
+ENGINE_COUNT = 630
 
 
-def entry(number):
-    """Return an engine's row."""
+def engine_row(number):
+    """Return the row of an engine."""
     value = {
         'service': 's',
         'address': f'10.0.{number // 250}.9:{number + 1}',
@@ -32,36 +32,40 @@
 
 
 class PagedStore(store.PlatformStore):
-    """A store that answers from a list, a page at a time.
+    """A store that returns a list one page at a time.
 
-    An engine that comes between two pages makes the version grow.
+    Its version grows between two pages, as if an engine registered.
     """
 
     def __init__(self):
         super().__init__(None, engines.Address('127.0.0.1', 1))
-        self.kept = [entry(number) for number in range(ENGINES)]
+        self.engine_rows = [
+            engine_row(number) for number in range(ENGINE_COUNT)
+        ]
         self.version = 10
 
-    def get(self, target, seconds, coming_seconds):
+    def get_rows(self, target, seconds, coming_seconds):
         path, _, query = target.partition('?')
         assert path == '/api/rows-get'
         fields = urllib.parse.parse_qs(query)
         begin = fields.get('from', [''])[0]
-        found = [row for row in self.kept if row.key >= begin]
+        found = [row for row in self.engine_rows if row.key >= begin]
         answer = rows.Rows(
-            found[:PAGE], self.version, has_more=len(found) > PAGE
+            found[:ROWS_PER_PAGE],
+            self.version,
+            has_more=len(found) > ROWS_PER_PAGE,
         )
         self.version += 1
-        return defer.succeed(decoded(answer))
+        return defer.succeed(decode_answer(answer))
 
 
-def decoded(answer):
-    """Return an answer as it comes out of the store's bytes."""
-    return row_answers.read_rows(json.dumps(as_json(answer)).encode())
+def decode_answer(answer):
+    """Return an answer after encoding and decoding it."""
+    return row_decoding.read_rows(json.dumps(answer_fields(answer)).encode())
 
 
-def as_json(answer):
-    """Return an answer as the store writes it."""
+def answer_fields(answer):
+    """Return the JSON document of an answer."""
     return {
         'ver': answer.ver,
         'has_more': answer.has_more,
@@ -73,27 +77,27 @@
 
 
 def test_list_of_engines_longer_than_an_answer_is_read_whole():
-    """A large fleet starts, and its list needs two answers.
+    """Guards against a list of engines that ends with the first answer.
 
-    Engines that only the second one names would get no work; and when the
-    list is read whole again they would all be taken as gone at once.
+    Engines in the second one would get no work, and would all be considered
+    gone when the list is next read as a whole.
     """
     read = []
     PagedStore().read_engines(None).addCallback(read.append)
-    assert len({found.engine for found in read[0].entries}) == ENGINES
+    assert len({found.engine for found in read[0].entries}) == ENGINE_COUNT
 
 
-def test_pages_that_do_not_lead_on_are_refused():
-    """The store says that there is more, and sends the same page again.
+def test_repeated_page_is_rejected():
+    """Guards against a read that requests the same page forever.
 
-    Asked for the next page for ever, it would keep the list from being read,
-    and nobody would see why.
+    The store reports more rows but sends the same page again. The list would
+    never be read, and no error would show why.
     """
 
     class StuckStore(PagedStore):
-        def get(self, target, seconds, coming_seconds):
-            answer = rows.Rows([entry(0)], self.version, has_more=True)
-            return defer.succeed(decoded(answer))
+        def get_rows(self, target, seconds, coming_seconds):
+            answer = rows.Rows([engine_row(0)], self.version, has_more=True)
+            return defer.succeed(decode_answer(answer))
 
     failed = []
     StuckStore().read_engines(None).addErrback(failed.append)
@@ -101,10 +105,10 @@
 
 
 def test_changes_between_two_answers_are_read_again():
-    """The list changes while its second part is being fetched.
+    """Guards against changes that are missed while a list is read.
 
-    Followed from the second answer's version on, changes to rows of the first
-    part would never be seen.
+    If changes were read from the second answer's version on, a row of the
+    first answer that changed in between would stay outdated.
     """
     read = []
     PagedStore().read_engines(None).addCallback(read.append)
--- a/tests/platform/test_rows.py
+++ b/tests/platform/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store."""
+"""Decoding of rows of the platform's store."""
 
 import base64
 import json
@@ -12,7 +12,7 @@
 from greengagelb.state.relay import engines
 from greengagelb.state.relay import positions
 from greengagelb.state.relay import routes
-from greengagelb.transport.relay import questions
+from greengagelb.transport.relay import timed_requests
 
 CONFIG = {
     'version': 7,
@@ -53,7 +53,7 @@
 
 def answer(status):
     """Return an answer of the store without a body."""
-    return questions.Answer(h11.Response(status_code=status, headers=[]))
+    return timed_requests.Answer(h11.Response(status_code=status, headers=[]))
 
 
 def row(value, key='config'):
@@ -62,15 +62,15 @@
 
 
 def test_configuration_is_decoded():
-    table = rows.read_table(row(CONFIG))
+    table = rows.read_route_table(row(CONFIG))
     assert table.version == 7
-    assert table.find('api.example', '/a/x').name == 'r-1'
-    assert table.find('API.EXAMPLE', '/a/b/x').name == 'r-2'
-    assert table.find('api.example', '/c/') is None
-    assert table.account_of('k2').name == 'cottages'
-    assert table.account_of('k3') is None
-    route = table.find('api.example', '/a/x')
-    assert route.repeat is routes.Repeat.STREAM
+    assert table.find_route('api.example', '/a/x').name == 'r-1'
+    assert table.find_route('API.EXAMPLE', '/a/b/x').name == 'r-2'
+    assert table.find_route('api.example', '/c/') is None
+    assert table.find_account('k2').name == 'cottages'
+    assert table.find_account('k3') is None
+    route = table.find_route('api.example', '/a/x')
+    assert route.repeat is routes.RepeatPolicy.STREAM
     assert route.gap_goal == 0.7
     assert table.services['s-1'].engines.memory_tokens == 88_000
 
@@ -91,20 +91,22 @@
         },
     ],
 )
-def test_bad_configuration_is_told_and_the_last_good_one_stays(change):
-    """An operator's mistake, or a row that was written half.
+def test_invalid_configuration_is_rejected(change):
+    """Guards against an invalid configuration that is applied in part.
 
-    Applied as far as it can be read, it would send requests to where no route
-    allows it.
+    It may be an operator's mistake or a partial write, and could send requests
+    to services that no route allows.
     """
-    read = store.configuration_of(rows.Rows([row({**CONFIG, **change})], 9))
+    read = store.configuration_from_rows(
+        rows.Rows([row({**CONFIG, **change})], 9)
+    )
     assert read.table is None
     assert read.mistake
-    assert read.position == positions.Position(positions.NO_ERA, 9)
+    assert read.position == positions.StorePosition(positions.NO_ERA, 9)
 
 
-def test_row_that_is_no_json_is_told():
-    read = store.configuration_of(rows.Rows([row(b'\xff\xfe')], 9))
+def test_row_without_valid_json_is_rejected():
+    read = store.configuration_from_rows(rows.Rows([row(b'\xff\xfe')], 9))
     assert read.mistake
 
 
@@ -119,24 +121,26 @@
 
 
 def test_start_of_an_engine_is_decoded():
-    """It alone tells two lives of an engine under one identity apart."""
+    """Only the start time tells a restarted engine with the same identity."""
     entry = rows.read_engine(row({**ENGINE, 'born': 1_796_000_000_123}))
     assert entry.started_at_ms == 1_796_000_000_123
 
 
 def test_engine_that_does_not_say_when_it_started_is_used():
-    """Older engines have another identity after each start."""
+    """Older engines send no start time but change identity at each start."""
     entry = rows.read_engine(row(ENGINE))
     assert entry.started_at_ms == engines.UNKNOWN_START
 
 
 @pytest.mark.parametrize('start', [-1, 2**60, 10**40, 1.5, '17', None])
-def test_entry_whose_start_is_no_time_names_no_engine(start):
-    """Another writer put something else where the start should stand.
+def test_entry_with_invalid_start_time_is_rejected(start):
+    """Guards against an invalid start that counts as the latest one.
 
-    Taken as the greatest start of all, it would outlive all true ones.
+    It would take precedence over every valid start.
     """
-    read = store.engines_of(rows.Rows([row({**ENGINE, 'born': start})], 9))
+    read = store.engines_from_rows(
+        rows.Rows([row({**ENGINE, 'born': start})], 9)
+    )
     assert not read.entries
     assert read.mistakes
 
@@ -150,7 +154,7 @@
         'state': 'draining',
         'seq': 4,
     }
-    found = store.engines_of(
+    found = store.engines_from_rows(
         rows.Rows(
             [
                 row(good, 'i-1'),
@@ -168,7 +172,7 @@
 
 
 def test_lost_history_is_told_apart_from_a_store_that_is_away():
-    """After the one all has to be read anew, after the other only later."""
+    """The first needs a full read; the second only a later attempt."""
     with pytest.raises(errors.HistoryGone):
         store.check_status(answer(410))
     with pytest.raises(errors.PlatformUnavailable):
--- a/tests/process/test_calls_across_instances.py
+++ b/tests/process/test_calls_across_instances.py
@@ -1,4 +1,4 @@
-"""Charges across real instances whose store, claimant or service fails."""
+"""Charges across real instances when the store, claimant or service fails."""
 
 import signal
 import threading
@@ -14,8 +14,14 @@
 
 
 def charge(process, key='k1', **headers):
-    named = {name.replace('_', '-'): text for name, text in headers.items()}
-    sent = fleet.bearer(fleet.ACCOUNT_KEY) | {'Idempotency-Key': key} | named
+    extra_headers = {
+        name.replace('_', '-'): text for name, text in headers.items()
+    }
+    sent = (
+        fleet.bearer(fleet.ACCOUNT_KEY)
+        | {'Idempotency-Key': key}
+        | extra_headers
+    )
     return fleet.ask(process.port, CHARGE, {'amount': 1}, headers=sent)
 
 
@@ -46,26 +52,26 @@
 
 
 def test_charge_runs_once_though_the_store_loses_every_answer(tmp_path):
-    """The store carries each write out and its answers never arrive.
+    """The store executes each write, but its answers are lost.
 
-    The charge must run, once, and its retry must get the first answer.
+    The charge must run exactly once, and its retry must get the first answer.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         set_faults(running.platform, lose_write_answers=True)
         first = charge(running.instances['router-0'])
         assert first.status == 200
-        again = fleet.ask_until_known(
+        retry = fleet.ask_until_known(
             lambda: charge(running.instances['router-1'])
         )
-        assert again.body == first.body
+        assert retry.body == first.body
         assert runs_of(running) == 1
 
 
 def test_killed_claimant_leaves_its_charge_unknown(tmp_path):
-    """The instance that has sent a charge on dies before the answer.
+    """An instance that has sent a charge to a service dies before the answer.
 
-    The caller's retry reaches the other instance, which can't know how the
-    charge ended: it neither runs it again nor says that it did not run.
+    The caller's retry reaches the other instance, which can't know the outcome
+    of the charge: it must neither run it again nor report that it did not run.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         service = running.services['plain-0']
@@ -74,18 +80,18 @@
         fleet.wait_until(lambda: runs_of(running) == 1)
         running.instances['router-0'].send_signal(signal.SIGKILL)
         thread.join(20.0)
-        again = charge(running.instances['router-1'])
-        assert again.json()['ran'] == 'outcome-unknown'
-        assert again.json()['code'] == 'twin-outcome-unknown'
-        assert int(again.headers['Retry-After']) >= 1
+        retry = charge(running.instances['router-1'])
+        assert retry.json()['ran'] == 'outcome-unknown'
+        assert retry.json()['code'] == 'twin-outcome-unknown'
+        assert int(retry.headers['Retry-After']) >= 1
         assert runs_of(running) == 1
 
 
-def test_claimant_that_wakes_late_gives_its_charge_up(tmp_path):
-    """An instance is stopped while it claims, and wakes after the deadline.
+def test_claimant_resumed_after_the_deadline_abandons_its_charge(tmp_path):
+    """An instance is paused during a claim, and resumed after the deadline.
 
-    It must not run a charge that nobody waits for any more, and the retry
-    must not be turned away for good.
+    It must not run a charge that no caller waits for, and the retry must not
+    be refused permanently.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
         first, other = running.instances.values()
@@ -104,10 +110,10 @@
         assert runs_of(running) == 1
 
 
-def test_store_outage_is_answered_and_leaves_other_calls_alone(tmp_path):
-    """The platform's store is away.
+def test_store_outage_is_answered_and_does_not_affect_other_calls(tmp_path):
+    """The platform's store is unavailable.
 
-    Lookups go on. A charge gets its final answer, which says "not run" only
+    Lookups continue. A charge gets a final answer, which only says "not run"
     to a caller that has never sent its key before.
     """
     with fleet.small_fleet(tmp_path, engines=0) as running:
@@ -127,15 +133,15 @@
         assert runs_of(running) == 1
 
 
-def test_lookups_are_answered_while_one_service_stands_still(tmp_path):
+def test_lookups_are_answered_while_one_service_is_paused(tmp_path):
     """A plain service's process is paused; its connections stay open.
 
-    Lookups that went there would show no availability until their deadline.
+    Lookups sent to it would otherwise wait until their deadline.
     """
     with fleet.Fleet(tmp_path) as running:
-        running.service('plain-0')
-        running.service('plain-1')
-        running.instance('router-0')
+        running.start_service('plain-0')
+        running.start_service('plain-1')
+        running.start_instance('router-0')
         running.configure(running.configuration())
         running.services['plain-0'].send_signal(signal.SIGSTOP)
         headers = fleet.bearer(fleet.ACCOUNT_KEY)
--- a/tests/process/test_crashing_requests.py
+++ b/tests/process/test_crashing_requests.py
@@ -1,6 +1,6 @@
-"""Requests that bring down real processes, sent to one instance after another.
+"""Requests that crash real processes, sent to one instance after another.
 
-What they brought down stays down here, so that each is one upstream less.
+Crashed processes are not restarted here, so each crash removes an upstream.
 """
 
 import functools
@@ -13,51 +13,52 @@
 
 pytestmark = pytest.mark.slow
 
-DEADLY = 'a deadly prompt'
+CRASHING_TEXT = 'a deadly prompt'
 UPSTREAMS = 5
-MOST_CRASHES = 3
-# After so long the same request comes again.
-PAUSE_SECONDS = 0.3
+MAX_CRASHES = 3
+RESEND_INTERVAL_SECONDS = 0.3
 
 
 @pytest.fixture
-def fragile(tmp_path):
-    """Run two instances, with engines and services that die of a text."""
+def crash_prone_fleet(tmp_path):
+    """Run two instances, with engines and services that crash on a text."""
     with fleet.Fleet(tmp_path) as running:
         for number in range(UPSTREAMS):
-            running.engine(f'engine-{number}')
-            running.service(f'plain-{number}')
-        first = running.instance('router-0')
-        running.instance('router-1', peers=(first,))
+            running.start_engine(f'engine-{number}')
+            running.start_service(f'plain-{number}')
+        first = running.start_instance('router-0')
+        running.start_instance('router-1', peers=(first,))
         running.configure(running.configuration())
         for process in (*running.engines.values(), *running.services.values()):
-            faults = {'dies_of': DEADLY}
+            faults = {'dies_of': CRASHING_TEXT}
             fleet.ask(process.port, '/standin/faults', faults)
         yield running
 
 
-def dead(processes):
+def dead_processes(processes):
     return sum(p.popen.poll() is not None for p in processes.values())
 
 
 def ask_for_stream(router, number):
-    """Ask for a deadly generation; return the code of the answer."""
-    caller = callers.StreamCaller(DEADLY, 50)
+    """Request a crashing generation; return the code of the answer."""
+    caller = callers.StreamCaller(CRASHING_TEXT, 50)
     caller.read_all(router.port)
     return caller.error['code']
 
 
 def ask_for_call(router, number, service):
-    """Send a deadly call under a new key; return the code of the answer."""
+    """Send a crashing call with a new key; return the code of the answer."""
     headers = fleet.bearer(fleet.ACCOUNT_KEY)
     headers['Idempotency-Key'] = f'key-{number}'
     path = f'/v1/services/{service}/book'
-    answer = fleet.ask(router.port, path, {'text': DEADLY}, headers=headers)
+    answer = fleet.ask(
+        router.port, path, {'text': CRASHING_TEXT}, headers=headers
+    )
     return answer.json()['code']
 
 
 def has_blocked(router):
-    """Return whether an instance has put a block on its time line."""
+    """Return whether an instance has recorded a block on its time line."""
     answer = fleet.ask(
         router.operator_port,
         '/v1/timeline',
@@ -68,39 +69,39 @@
 
 
 def ask_until_blocked(routers, ask):
-    """Ask one instance after the other; return the codes after the block."""
+    """Ask the instances in turn; return the codes after the block."""
     number = 0
     while not any(map(has_blocked, routers)):
         ask(routers[number % 2], number)
         number += 1
-        time.sleep(PAUSE_SECONDS)
+        time.sleep(RESEND_INTERVAL_SECONDS)
     for router in routers:
         fleet.wait_until(lambda r=router: has_blocked(r))
     return [ask(router, number + n) for n, router in enumerate(routers)]
 
 
-def test_a_deadly_prompt_ends_three_engines_and_no_more(fragile):
-    """Guards against a prompt that takes a pool down, engine by engine."""
-    routers = list(fragile.instances.values())
+def test_crashing_prompt_crashes_at_most_three_engines(crash_prone_fleet):
+    """Guards against a prompt that crashes a pool, engine by engine."""
+    routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(routers, ask_for_stream)
     assert codes == ['request-crashes-engines'] * 2
-    assert dead(fragile.engines) == MOST_CRASHES
+    assert dead_processes(crash_prone_fleet.engines) == MAX_CRASHES
     other = callers.StreamCaller('hello', 20)
     other.read_all(routers[0].port)
     assert other.tokens == other.right_answer()
 
 
 @pytest.mark.parametrize('service', ['lookup', 'charge'])
-def test_a_deadly_call_is_refused_by_instances_that_share_the_crashes(
-    fragile, service
+def test_crashing_call_is_refused_by_instances_that_share_crash_counts(
+    crash_prone_fleet, service
 ):
-    """Guards against a call that ends upstreams, with a new key each time.
+    """Guards against a call that crashes upstreams, with a new key each time.
 
-    Of a charge each instance alone sees every second crash only.
+    Each instance alone only sees every second crash of a charge.
     """
-    routers = list(fragile.instances.values())
+    routers = list(crash_prone_fleet.instances.values())
     codes = ask_until_blocked(
         routers, functools.partial(ask_for_call, service=service)
     )
     assert codes == ['request-crashes-engines'] * 2
-    assert dead(fragile.services) < UPSTREAMS
+    assert dead_processes(crash_prone_fleet.services) < UPSTREAMS
--- a/tests/process/test_fleet_orders.py
+++ b/tests/process/test_fleet_orders.py
@@ -1,4 +1,4 @@
-"""A confirmed change of version is carried out at real engines."""
+"""A confirmed change of version is carried out on real engines."""
 
 import threading
 
@@ -19,11 +19,11 @@
     }
 
 
-def test_rollout_cuts_no_stream_and_reaches_a_restarted_engine(tmp_path):
+def test_rollout_interrupts_no_stream_and_reaches_a_restarted_engine(tmp_path):
     """An operator changes a pool's version while drafts are streamed.
 
-    Each draft ends on the version it began with. Then an engine dies and
-    comes back with the old version, as its start script has it.
+    Each draft ends on the version that it began with. Then an engine dies and
+    restarts with the old version from its start script.
     """
     with fleet.small_fleet(tmp_path) as running:
         routers = list(running.instances.values())
@@ -51,8 +51,10 @@
             assert reader.finish_reason == 'length'
             assert reader.tokens == reader.right_answer()
         port = running.engines['engine-0'].port
-        running.end(running.engines['engine-0'].popen)
+        running.terminate_process(running.engines['engine-0'].popen)
         words = ['stand-in', 'engine', f'--port={port}', '--name=engine-0']
-        running.engines['engine-0'] = running.start('again', words, [port])
+        running.engines['engine-0'] = running.start_process(
+            'again', words, [port]
+        )
         fleet.wait_until(lambda: fleet.listens(port))
         fleet.wait_until(lambda: versions(running) == {'2'}, ROLLOUT_SECONDS)
--- a/tests/process/test_fleet_plans.py
+++ b/tests/process/test_fleet_plans.py
@@ -1,4 +1,4 @@
-"""Plans are confirmed at real instances while the store misbehaves."""
+"""Plans are confirmed on real instances while the store has faults."""
 
 import concurrent.futures
 import signal
@@ -40,11 +40,11 @@
     fleet.ask(running.platform.port, '/standin/faults', faults)
 
 
-def test_of_many_operators_at_once_one_wins_and_all_learn_it(tmp_path):
-    """Eight operators confirm plans of one version at two instances at once.
+def test_concurrent_confirmations_have_one_winner_known_to_all(tmp_path):
+    """Eight operators confirm plans on one version at two instances at once.
 
-    The store takes writes and loses the answers meanwhile. Whoever is told
-    of a conflict also learns which plan won and what it did.
+    Meanwhile the store executes writes but loses the answers. Each operator
+    that gets a conflict also learns which plan won and what it changed.
     """
     with fleet.small_fleet(tmp_path) as running:
         routers = list(running.instances.values())
@@ -59,25 +59,27 @@
                 )
             )
         set_faults(running)
-        won = [n // 2 for n, a in enumerate(answers) if a.status == 200]
-        assert len(set(won)) == 1
-        winner = plans[won[0]]
+        winning_numbers = [
+            n // 2 for n, a in enumerate(answers) if a.status == 200
+        ]
+        assert len(set(winning_numbers)) == 1
+        winner = plans[winning_numbers[0]]
         for answer in answers:
             if answer.status != 200:
                 assert answer.status == 409
                 assert answer.json()['code'] == 'version-conflict'
                 assert answer.json()['changes'][0]['plan_id'] == winner
         for plan_id in plans:
-            wanted = 'confirmed' if plan_id == winner else 'overtaken'
-            assert stage(routers[1], plan_id) == wanted
+            expected = 'confirmed' if plan_id == winner else 'overtaken'
+            assert stage(routers[1], plan_id) == expected
         assert confirm(routers[1], winner).status == 200
 
 
-def test_confirm_at_a_slow_store_is_unsettled_and_found_out_later(tmp_path):
-    """The store takes longer than an instance waits for it.
+def test_confirm_at_a_slow_store_is_unsettled_and_resolved_later(tmp_path):
+    """The store takes longer than an instance's timeout.
 
-    The operator is told that nobody knows, never that nothing happened, and
-    asks for the plan again once the store is well.
+    The operator is told that the outcome is unknown, never that nothing
+    changed, and reads the plan again once the store has recovered.
     """
     with fleet.small_fleet(tmp_path) as running:
         router = running.instances['router-0']
@@ -92,21 +94,20 @@
         assert stage(router, plan_id) == 'confirmed'
 
 
-def test_operator_is_told_when_to_come_back_to_a_store_that_was_late(
+def test_operator_is_told_when_to_retry_after_a_late_store_start(
     tmp_path,
 ):
-    """The platform comes up seconds after the instances.
+    """The platform starts seconds after the instances.
 
-    They have stopped asking it for a moment by then, so an operator who comes
-    in that moment gets no plan although everything runs. The answer has to
-    say that nothing has happened, and when to ask again; who does so gets
-    the plan.
+    Their circuit breakers are open by then, so an operator gets no plan for a
+    moment although everything runs. The answer must say that nothing has
+    changed, and when to retry; the retry gets the plan.
     """
     with fleet.Fleet(tmp_path) as running:
         running.platform.send_signal(signal.SIGSTOP)
-        running.engine('engine-0')
-        running.service('plain-0')
-        router = running.instance('router-0')
+        running.start_engine('engine-0')
+        running.start_service('plain-0')
+        router = running.start_instance('router-0')
         fleet.wait_until(lambda: fleet.listens(router.operator_port))
         first = fleet.ask(
             router.operator_port,
@@ -121,8 +122,8 @@
         running.configure(running.configuration())
 
 
-def test_plan_is_had_after_the_store_stood_still(tmp_path):
-    """The platform stands still for some seconds and goes on."""
+def test_plan_can_be_made_after_a_store_pause(tmp_path):
+    """The platform is paused for some seconds and resumed."""
     with fleet.small_fleet(tmp_path, engines=1, instances=1) as running:
         running.platform.send_signal(signal.SIGSTOP)
         time.sleep(6.5)
--- a/tests/process/test_in_force.py
+++ b/tests/process/test_in_force.py
@@ -1,4 +1,4 @@
-"""Which instances have a change of settings, seen from outside."""
+"""Which instances have a change of settings in force, seen from outside."""
 
 import contextlib
 import http.server
@@ -22,7 +22,7 @@
 
 
 class Relay:
-    """A relaying instance without a store, and its settings file."""
+    """A relay instance without a store, and its settings file."""
 
     def __init__(self, folder, name):
         self.path = folder / f'{name}.ini'
@@ -34,7 +34,7 @@
             'host': '127.0.0.1',
             'heartbeat': 1_200,
             'grace': 2.0,
-            # Nobody listens there; all have the same.
+            # Nothing listens on this port; all instances use it.
             'store': 1,
             **{port: fleet.free_port() for port in ports},
         }
@@ -48,22 +48,22 @@
             )
 
     @property
-    def page(self):
+    def page_address(self):
         return f'127.0.0.1:{self.fields["metrics"]}'
 
     def write(self, grace):
-        """Put other settings in the place of the file."""
+        """Replace the settings file with other settings."""
         text = instances.SETTINGS.format(**{**self.fields, 'grace': grace})
         new = self.path.with_suffix('.new')
         new.write_text(text)
         new.replace(self.path)
 
-    def logged(self, what):
+    def has_logged(self, what):
         return what in self.log.read_text()
 
 
-class Stranger(http.server.BaseHTTPRequestHandler):
-    """Answers with something that is no page of an instance."""
+class ForeignServer(http.server.BaseHTTPRequestHandler):
+    """Answers with a page that is not that of an instance."""
 
     def do_GET(self):
         self.send_response(200)
@@ -75,9 +75,9 @@
 
 
 @contextlib.contextmanager
-def stranger():
-    """Serve a stranger's page; give its address."""
-    server = http.server.HTTPServer(('127.0.0.1', 0), Stranger)
+def foreign_server():
+    """Serve a foreign page; yield its address."""
+    server = http.server.HTTPServer(('127.0.0.1', 0), ForeignServer)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
     try:
@@ -89,11 +89,11 @@
 
 @pytest.fixture
 def relays(tmp_path):
-    """Run instances; end them with the test."""
+    """Run instances; stop them after the test."""
     running = {name: Relay(tmp_path, name) for name in NAMES}
     try:
         for relay in running.values():
-            fleet.wait_until(lambda r=relay: r.logged('started'))
+            fleet.wait_until(lambda r=relay: r.has_logged('started'))
         yield running
     finally:
         for relay in running.values():
@@ -102,7 +102,7 @@
 
 
 def ask(*arguments):
-    """Run the command; return its exit code, lines of JSON and messages."""
+    """Run the command; return its exit code, JSON lines and messages."""
     done = subprocess.run(
         [sys.executable, '-m', 'greengagelb', 'in-force', '--json']
         + list(arguments),
@@ -116,14 +116,16 @@
 
 
 def pages(relays, *others):
-    return '--pages=' + ','.join([r.page for r in relays.values()] + [*others])
+    return '--pages=' + ','.join(
+        [r.page_address for r in relays.values()] + [*others]
+    )
 
 
-def test_those_without_the_change_are_named(relays, tmp_path):
-    """Guards against a change of which nobody can tell who has it.
+def test_instances_without_the_change_are_listed(relays, tmp_path):
+    """Guards against a change whose rollout can't be checked.
 
-    One instance is frozen, one keeps an old file, one address is a stranger's
-    and at one nobody listens.
+    One instance is frozen, one has an old file, one address belongs to a
+    foreign server and at one nothing listens.
     """
     code, lines, _ = ask(pages(relays))
     assert code == Code.SUCCESS
@@ -131,33 +133,35 @@
     before = lines[0]['settings_digest']
     for name in ('first', 'second'):
         relays[name].write(grace=3.0)
-        fleet.wait_until(lambda n=name: relays[n].logged('settings-reloaded'))
+        fleet.wait_until(
+            lambda n=name: relays[n].has_logged('settings-reloaded')
+        )
     relays['frozen'].process.send_signal(signal.SIGSTOP)
-    nobody = f'127.0.0.1:{fleet.free_port()}'
-    with stranger() as address:
-        code, lines, _ = ask(pages(relays, address, nobody))
+    unused_address = f'127.0.0.1:{fleet.free_port()}'
+    with foreign_server() as address:
+        code, lines, _ = ask(pages(relays, address, unused_address))
     assert code == Code.UNREACHABLE
     silent = {line['address'] for line in lines if 'name' not in line}
-    assert silent == {relays['frozen'].page, address, nobody}
-    named = {line['name']: line for line in lines if 'name' in line}
-    assert named['third']['settings_digest'] == before
-    assert named['third']['differences']
-    assert not named['first']['differences']
+    assert silent == {relays['frozen'].page_address, address, unused_address}
+    by_name = {line['name']: line for line in lines if 'name' in line}
+    assert by_name['third']['settings_digest'] == before
+    assert by_name['third']['differences']
+    assert not by_name['first']['differences']
     relays['frozen'].process.send_signal(signal.SIGCONT)
 
 
-def test_a_wait_ends_once_all_have_the_change(relays):
-    """Guards against a script that goes on too early, or never."""
-    wanted = relays['first']
-    wanted.write(grace=3.0)
-    fleet.wait_until(lambda: wanted.logged('settings-reloaded'))
-    _, [line], _ = ask(f'--pages={wanted.page}')
+def test_wait_ends_once_all_instances_have_the_change(relays):
+    """Guards against a wait that ends too early, or never."""
+    updated = relays['first']
+    updated.write(grace=3.0)
+    fleet.wait_until(lambda: updated.has_logged('settings-reloaded'))
+    _, [line], _ = ask(f'--pages={updated.page_address}')
     digest = f'--wait_for_digest={line["settings_digest"]:08x}'
-    code, lines, told = ask(pages(relays), digest, '--deadline_seconds=0.2')
+    code, lines, notes = ask(pages(relays), digest, '--deadline_seconds=0.2')
     assert code == Code.DIFFERENT
-    assert f'1 of {len(NAMES)} have it' in told
+    assert f'1 of {len(NAMES)} have it' in notes
     for relay in relays.values():
         relay.write(grace=3.0)
-    code, lines, told = ask(pages(relays), digest, '--deadline_seconds=20')
+    code, lines, notes = ask(pages(relays), digest, '--deadline_seconds=20')
     assert code == Code.SUCCESS
-    assert f'{len(NAMES)} of {len(NAMES)} have it' in told
+    assert f'{len(NAMES)} of {len(NAMES)} have it' in notes
--- a/tests/relay/test_caller_connections.py
+++ b/tests/relay/test_caller_connections.py
@@ -1,4 +1,4 @@
-"""Callers that are slow, large, torn or gone, on connections of their own."""
+"""Connections of callers: timeouts, limits, errors and disconnections."""
 
 import pytest
 from twisted.internet import testing
@@ -17,13 +17,13 @@
 HEAD = requests.AnswerHead(
     200, b'OK', ((b'Seal', b's'), (b'Content-Length', b'9')), True, False
 )
-LIMITS = routes.Limits(
+LIMITS = routes.CallerLimits(
     header_bytes=1_000, body_bytes=10_000, header_seconds=3.0, idle_seconds=15
 )
 
 
 class Callers:
-    """A caller side whose decisions are the test's."""
+    """A caller side whose actions the test chooses."""
 
     def __init__(self):
         self.clock = testing.MemoryReactorClock()
@@ -42,7 +42,7 @@
         connection.makeConnection(relay_wires.Wire())
         return connection
 
-    def arrived(self):
+    def arrived_requests(self):
         return [
             event.request
             for event in self.events
@@ -62,9 +62,9 @@
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST[:-1])
-    assert not callers.arrived()
+    assert not callers.arrived_requests()
     connection.dataReceived(REQUEST[-1:])
-    [request] = callers.arrived()
+    [request] = callers.arrived_requests()
     assert request.body == b'hi'
 
 
@@ -72,16 +72,16 @@
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST + REQUEST)
-    assert len(callers.arrived()) == 1
+    assert len(callers.arrived_requests()) == 1
     pass_answer(callers, 1, b'one')
-    assert len(callers.arrived()) == 2
+    assert len(callers.arrived_requests()) == 2
     pass_answer(callers, 2, b'two')
     assert answers(connection) == [(200, b'one'), (200, b'two')]
     assert not connection.transport.disconnecting
 
 
-def test_caller_that_leaves_is_told_to_the_decisions():
-    """Otherwise its engine would go on working for nobody."""
+def test_disconnected_caller_is_reported():
+    """Guards against an engine that goes on working without a caller."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
@@ -90,16 +90,17 @@
 
 
 def test_broken_stream_does_not_look_complete():
-    """An engine is lost for good in the middle of a stream.
+    """A stream is aborted after its engine is lost.
 
-    An orderly end would tell the caller that its text is whole.
+    Guards against an orderly end, after which the caller would take the text
+    for complete.
     """
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
     callers.side.carry_out(relay_actions.BeginStream(1, HEAD))
-    moved = (requests.StreamEvent(1, b'id: 1\n\n'),)
-    callers.side.carry_out(relay_actions.PassEvents(1, moved))
+    stream_events = (requests.StreamEvent(1, b'id: 1\n\n'),)
+    callers.side.carry_out(relay_actions.PassEvents(1, stream_events))
     callers.side.carry_out(relay_actions.AbortStream(1))
     assert connection.transport.aborted
     assert answers(connection) == [(200, None)]
@@ -110,8 +111,8 @@
     connection = callers.connect()
     connection.dataReceived(REQUEST)
     callers.side.carry_out(relay_actions.BeginStream(1, HEAD))
-    moved = (requests.StreamEvent(1, b'id: 1\n\n'),)
-    callers.side.carry_out(relay_actions.PassEvents(1, moved))
+    stream_events = (requests.StreamEvent(1, b'id: 1\n\n'),)
+    callers.side.carry_out(relay_actions.PassEvents(1, stream_events))
     callers.side.carry_out(relay_actions.EndStream(1))
     assert answers(connection) == [(200, b'id: 1\n\n')]
 
@@ -139,9 +140,9 @@
     ],
 )
 def test_bad_request_gets_its_answer_and_costs_no_engine(raw, status):
-    """What a caller sends wrong is told with a status of its own.
+    """Invalid requests get a status, and the connection closes later.
 
-    The connection is not reset under the answer, which could be lost with it.
+    Guards against a reset right after the answer, which could lose it.
     """
     callers = Callers()
     connection = callers.connect()
@@ -149,7 +150,7 @@
     assert answers(connection)[0][0] == status
     assert connection.transport.half_closed
     assert not connection.transport.aborted
-    assert not callers.arrived()
+    assert not callers.arrived_requests()
     callers.clock.advance(2.0)
     assert connection.transport.aborted
 
@@ -160,11 +161,11 @@
     connection.dataReceived(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
     connection.dataReceived(REQUEST)
     assert answers(connection)[0][0] == 400
-    assert len(callers.arrived()) == 1
+    assert len(callers.arrived_requests()) == 1
 
 
 def test_slow_header_is_given_up():
-    """Callers that never finish would hold descriptors until none is left."""
+    """Guards against slow callers that use up all file descriptors."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(b'GET / HT')
@@ -184,11 +185,11 @@
 
 
 def test_answer_while_stopping_closes_its_connection():
-    """A caller that went on using it would find it cut a moment later."""
+    """Guards against callers that reuse a connection about to be closed."""
     callers = Callers()
     connection = callers.connect()
     connection.dataReceived(REQUEST)
-    callers.side.closing = True
+    callers.side.is_closing = True
     pass_answer(callers, 1)
     assert b'Connection: close' in connection.transport.value()
     assert connection.transport.disconnecting
@@ -197,8 +198,7 @@
 def test_caller_that_does_not_read_is_given_up():
     """A caller stops reading in the middle of a long stream.
 
-    What waits for it would fill the memory of the instance, at the cost of all
-    others.
+    Guards against unsent events that fill the memory of the instance.
     """
     callers = Callers()
     connection = callers.connect()
--- a/tests/relay/test_engine_lives_machine.py
+++ b/tests/relay/test_engine_lives_machine.py
@@ -45,7 +45,7 @@
         self.copies = {}
 
     def note_start(self, name, start, *, leaving=False):
-        """Note a reported start; those of past lives are ignored."""
+        """Note a reported start; those of former lives are ignored."""
         if start and start < self.latest[name]:
             return
         if start > self.latest[name]:
@@ -77,7 +77,7 @@
             self.leaving_engines.discard(name)
 
     def check_send(self, send):
-        """Check that no send goes to a past life, or relies on its copies."""
+        """Check that no send goes to a former life or uses its copies."""
         assert self.is_latest_life(send.engine)
         self.sent[send.exchange, send.send] = send
         held = self.copies.setdefault(send.exchange, [])
@@ -111,7 +111,7 @@
         for name in names:
             self.note_start(name, start, leaving=leaving)
         if from_peer:
-            hint = hints.EnginesTold(entries, ())
+            hint = hints.EngineListChanged(entries, ())
             self.world.handle(relay_events.PeerTold('other', hint))
         else:
             self.world.change_engines(*entries)
@@ -134,13 +134,13 @@
     @stateful.rule(name=NAMES, start=REPORTED_LIVES)
     def engine_is_found_at_its_address(self, name, start):
         self.note_reported_start(name, start)
-        self.world.handle(relay_events.SuccessorSeen(name, name, start))
+        self.world.handle(relay_events.AddressProbed(name, name, start))
         self.process_actions()
 
     @stateful.rule(name=NAMES, start=LIVES)
     def peer_reports_a_restart(self, name, start):
         self.note_reported_start(name, start)
-        hint = hints.Restarted(name, start)
+        hint = hints.EngineRestarted(name, start)
         self.world.handle(relay_events.PeerTold('other', hint))
         self.process_actions()
 
@@ -161,14 +161,14 @@
     @stateful.rule(
         name=NAMES,
         start=REPORTED_LIVES,
-        kind=st.sampled_from([hints.Failed, hints.Silent]),
+        kind=st.sampled_from([hints.EngineFailed, hints.StreamSilent]),
     )
     def peer_reports_a_failure(self, name, start, kind):
-        is_past = 0 < start < self.latest[name]
-        before = self.state(name).doubted_until if is_past else None
+        is_former = 0 < start < self.latest[name]
+        before = self.state(name).doubted_until if is_former else None
         hint = kind(name, start)
         self.world.handle(relay_events.PeerTold('other', hint))
-        if is_past:
+        if is_former:
             assert self.state(name).doubted_until == before
         self.process_actions()
 
@@ -211,12 +211,14 @@
         number=st.integers(1, 4),
         name=NAMES,
         copy_to=NAMES,
-        is_past=st.booleans(),
+        is_former=st.booleans(),
     )
-    def peer_starts_or_ends_a_run(self, number, name, copy_to, is_past):
-        hint = hints.Placed(number, name, 400, 400, copy_to, f'part{number}')
-        if is_past:
-            hint = hints.Ended(number)
+    def peer_starts_or_ends_a_run(self, number, name, copy_to, is_former):
+        hint = hints.RunPlaced(
+            number, name, 400, 400, copy_to, f'part{number}'
+        )
+        if is_former:
+            hint = hints.RunEnded(number)
         self.world.handle(relay_events.PeerTold('other', hint))
 
     @stateful.rule(seconds=st.sampled_from([0.1, 0.6, 2.0, 5.0]))
--- a/tests/relay/test_foreign_entries.py
+++ b/tests/relay/test_foreign_entries.py
@@ -167,14 +167,16 @@
     reader.read_for_all()
     follower = relay_world.RelayWorld()
     make_unusable(reader, AFFECTED_ENGINE, 'unheard-of')
-    actions = reader.of_kind(relay_actions.ForwardHints)
+    actions = reader.of_kind(relay_actions.BroadcastHints)
     told = [hint for action in actions for hint in action.hints]
     [news] = [
-        h for h in told if isinstance(h, hints.EnginesTold) and h.unusable
+        h
+        for h in told
+        if isinstance(h, hints.EngineListChanged) and h.unusable
     ]
     assert news.unusable == (AFFECTED_ENGINE,)
     raw = relay_hints.encode_hint(READER, news)
-    assert relay_hints.decode(raw) == (READER, news)
+    assert relay_hints.decode_datagram(raw) == (READER, news)
     follower.handle(relay_events.PeerTold(READER, news))
     assert AFFECTED_ENGINE not in engines_used(follower)
     assert follower.relay.engines.digest() == reader.relay.engines.digest()
@@ -194,9 +196,9 @@
     assert not [
         hint
         for a in later_actions
-        if isinstance(a, relay_actions.ForwardHints)
+        if isinstance(a, relay_actions.BroadcastHints)
         for hint in a.hints
-        if isinstance(hint, hints.EnginesTold)
+        if isinstance(hint, hints.EngineListChanged)
     ]
 
 
@@ -256,7 +258,7 @@
     return unusable_entries.UnusableEntry(name, why)
 
 
-POSITION = positions.Position(positions.NO_ERA, 7)
+POSITION = positions.StorePosition(positions.NO_ERA, 7)
 
 
 class StoreOfOthers:
@@ -347,7 +349,7 @@
     clock, watch, _ = start_watch(source)
     clock.pump([0.1] * 30)
     figures = relay_metrics.RelayMetrics()
-    figures.unusable = watch.unusable_counts
+    figures.get_unusable_entries = watch.unusable_entries_by_list
     shown = figures.render_relay(0).decode()
     for kind in ('engine', 'instance', 'configuration'):
         told = f'greengagelb_unusable_entries_told{{kind="{kind}"}} 1'
@@ -395,8 +397,8 @@
     reader.handle(relay_events.PeerHeard('6-other', 'south'))
     listed = (hints.Member('other', '6-other', '127.0.0.2', 'south'),)
     done = reader.handle(relay_events.MembersListed(listed))
-    [told] = [a for a in done if isinstance(a, relay_actions.ForwardHints)]
-    assert told.hints == (hints.NotListed(('5-own',)),)
+    [told] = [a for a in done if isinstance(a, relay_actions.BroadcastHints)]
+    assert told.hints == (hints.InstancesNotListed(('5-own',)),)
     unlisted_instance.relay.sharing.note_members_read(unlisted_instance.now)
     assert (
         unlisted_instance.relay.sharing.members_due_at(unlisted_instance.now)
@@ -440,7 +442,7 @@
         '1-a': peer_link.Peer('front.example', watches.OWN.data_centre),
         '2-b': peer_link.Peer('127.0.0.2', watches.OWN.data_centre),
     }
-    link.beat()
+    link.send_heartbeat()
     assert link.transport.sent == [('127.0.0.2', 7000)]
     assert len(bad) == 1
 
--- a/tests/seam/test_layers.py
+++ b/tests/seam/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go one way, and each layer uses only the libraries it may."""
+"""Layers import only lower layers and their own set of libraries."""
 
 import ast
 import pathlib
@@ -28,7 +28,7 @@
         'zope',
     },
 }
-# A decision that reads a clock, the environment or the global random state
+# Decision code that reads a clock, the environment or global random state
 # can't be replayed from its events.
 FORBIDDEN_IN_DECISIONS = {
     'asyncio',
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(('number', 'path'), MODULES)
-def test_layer_imports_only_what_lies_below(number, path):
+def test_layer_imports_only_lower_layers(number, path):
     above = set(LAYERS[number + 1 :]) | ABOVE_ALL_LAYERS
     for name in imported_modules(path):
         package, _, rest = name.partition('.')
--- a/tests/timeline/test_order.py
+++ b/tests/timeline/test_order.py
@@ -1,4 +1,4 @@
-"""A cause always sorts before its effect, whatever the clocks say."""
+"""A cause always sorts before its effect, whatever the clocks show."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -24,7 +24,7 @@
         max_size=60,
     )
 )
-def test_stamps_rise_in_each_process_and_along_each_message(history):
+def test_stamps_increase_in_each_process_and_along_each_message(history):
     clocks = [timeline.HybridClock() for _ in range(3)]
     for sender, receiver, wall in history:
         before = clocks[receiver].latest
@@ -34,18 +34,18 @@
         assert arrived > before
 
 
-def test_resumed_stream_sorts_behind_the_lost_instance(monkeypatch):
-    """The clock of the instance that dies runs ahead of the next one's.
+def test_resumed_stream_sorts_after_the_lost_instance(monkeypatch):
+    """The clock of a lost instance is ahead of its successor's clock.
 
-    The caller brings its cursor to the next instance. Without the stamp in
-    the cursor, an operator would read that the stream was resumed before it
-    had begun.
+    The caller sends its cursor to the next instance. Without the stamp in the
+    cursor, the time line would show the resumption of the stream before its
+    start.
     """
     wall = recorder.wall_milliseconds()
     ahead = timeline.Stamp(wall + 5_000, 3)
     site = caller_sites.CallerSite()
     point = caller_sites.sample_point('teratak')
-    cursor = site.seal.seal(point, ahead).encode()
+    cursor = site.seal.seal_point(point, ahead).encode()
     site.connect().send(
         caller_sites.request(
             '/v1/chat/completions', None, b'Last-Event-ID: ' + cursor
@@ -56,13 +56,14 @@
     assert site.recorder.timeline.events[-1].stamp > ahead
 
 
-def test_clock_far_ahead_is_not_followed():
+def test_stamp_far_ahead_is_not_adopted():
     """A machine's clock is an hour ahead.
 
-    Following it would put an hour into all later stamps of the fleet.
+    If its stamps were adopted, all later stamps of the fleet would be an hour
+    ahead.
     """
     found = recorder.Recorder('instance-0', 10)
     wall = recorder.wall_milliseconds()
-    assert not found.follow(timeline.Stamp(wall + HOUR, 0))
+    assert not found.observe_stamp(timeline.Stamp(wall + HOUR, 0))
     found.record(actions.Record('stopping', 'stop requested'))
     assert found.timeline.events[-1].stamp.milliseconds < wall + HOUR
--- a/tests/transport/test_compressed_rows.py
+++ b/tests/transport/test_compressed_rows.py
@@ -1,4 +1,4 @@
-"""Documents in the platform's rows and between instances are compressed."""
+"""Compression of documents in the platform's rows and between instances."""
 
 import base64
 import zlib
@@ -10,7 +10,7 @@
 from greengagelb.state import plans
 
 
-def test_row_gives_back_what_was_written():
+def test_document_is_unchanged_after_compression_and_decompression():
     plan = plans.Confirmation(7, 'p' * 16)
     text = codec.compress_to_text(plan)
     assert codec.decompress_from_text(text, plans.Confirmation) == plan
@@ -23,11 +23,11 @@
         base64.b64encode(b'not compressed').decode(),
         base64.b64encode(zlib.compress(b'{"version": "x"}')).decode(),
         base64.b64encode(
-            zlib.compress(bytes(codec.MOST_DOCUMENT_BYTES + 1))
+            zlib.compress(bytes(codec.MAX_DOCUMENT_BYTES + 1))
         ).decode(),
     ],
 )
-def test_row_that_says_nothing_is_refused(text):
-    """Somebody has written over a row of the platform's table by hand."""
+def test_row_that_cannot_be_decoded_is_rejected(text):
+    """A row of the platform's table was overwritten by hand."""
     with pytest.raises(errors.ProtocolError):
         codec.decompress_from_text(text, plans.Confirmation)
--- a/tests/transport/test_decision_loop.py
+++ b/tests/transport/test_decision_loop.py
@@ -1,4 +1,4 @@
-"""The loop goes on where a part of the program fails."""
+"""The decision loop continues after errors in its callbacks."""
 
 import random
 
@@ -19,11 +19,11 @@
     )
 
 
-def test_poll_that_fails_once_is_called_again():
-    """The platform answers with something that nobody foresaw.
+def test_periodic_call_continues_after_an_error():
+    """Polling the platform raises an unexpected error.
 
-    An instance that stopped polling there would serve on with an old
-    configuration for as long as it lives.
+    An instance whose polling stopped there would serve with an old
+    configuration for as long as it runs.
     """
     calls = []
 
@@ -33,13 +33,13 @@
             raise KeyError('unforeseen')
 
     loop = new_loop(lambda action: None)
-    loop.repeat(1.0, poll)
+    loop.call_periodically(1.0, poll)
     loop.reactor.pump([1.0, 1.0])
     assert calls == [0, 1, 2]
     assert loop.recorder.metrics.decision_errors == 1
 
 
-def test_event_that_comes_up_meanwhile_waits_its_turn():
+def test_event_dispatched_during_an_action_is_queued():
     seen = []
 
     def carry_out(action):
@@ -53,10 +53,10 @@
     assert seen == ['own-pause', 'first action done', 'own-pause']
 
 
-def test_error_of_a_decision_does_not_reach_who_brought_the_event():
-    """An action can't be carried out, within a callback of a connection.
+def test_decision_error_does_not_propagate_to_the_dispatcher():
+    """Carrying out an action raises within a connection's callback.
 
-    Let out, the error would count as that engine's broken connection.
+    A propagated error would count as a broken connection to that engine.
     """
 
     def carry_out(action):
--- a/tests/transport/test_draining.py
+++ b/tests/transport/test_draining.py
@@ -1,4 +1,4 @@
-"""The end of an instance's own interface: nothing that is asked is cut."""
+"""Draining of the native interface: no request is cut off."""
 
 import json
 
@@ -12,16 +12,16 @@
 from greengagelb.transport import serving
 
 CONFIRM = b'POST /plans/1/confirm HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n'
-WHOLE = CONFIRM + b'\r\n{}'
-HALF = CONFIRM + b'\r\n{'
+COMPLETE_REQUEST = CONFIRM + b'\r\n{}'
+INCOMPLETE_REQUEST = CONFIRM + b'\r\n{'
 
 
-class Operators:
-    """An interface whose answers come when the test says so."""
+class OperatorSite:
+    """An interface whose answers are sent when the test says so."""
 
     def __init__(self):
         self.clock = task.Clock()
-        self.asked = []
+        self.pending_answers = []
         app = klein.Klein()
         app.route('/plans/<plan>/confirm', methods=['POST'])(self.confirm)
         site = serving.bounded_site(app.resource(), self.clock)
@@ -29,10 +29,10 @@
         self.factory.startFactory()
 
     def confirm(self, request, plan):
-        """Answer later, as one does who waits for the store."""
-        asked = defer.Deferred()
-        self.asked.append(asked)
-        return asked
+        """Answer later, as a request that waits for the store does."""
+        answer = defer.Deferred()
+        self.pending_answers.append(answer)
+        return answer
 
     def connect(self):
         transport = testing.StringTransportWithDisconnection()
@@ -42,71 +42,72 @@
         return connection
 
 
-def test_answer_that_waits_for_the_store_is_given_before_the_end():
-    """An operator confirms a plan while the instance stops.
+def test_drain_waits_for_a_pending_answer():
+    """An operator confirms a plan while the instance is stopping.
 
-    No caller is served any more, so the instance is about to end, but the
-    store has not answered yet. With the connection closed the operator would
-    not know whether the plan is in force.
+    No caller is being served, so the instance is about to exit, but the store
+    has not answered yet. If the connection were closed, the operator would not
+    know whether the plan is in force.
     """
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(WHOLE)
+    connection.dataReceived(COMPLETE_REQUEST)
     drained = operators.factory.drain(operators.clock)
     ended = []
     drained.addCallback(ended.append)
     assert connection.transport.connected
     assert not ended
-    operators.asked[0].callback(b'confirmed')
+    operators.pending_answers[0].callback(b'confirmed')
     assert b'confirmed' in connection.transport.value()
     assert not connection.transport.connected
     assert ended
 
 
-def test_half_read_request_is_told_that_it_has_not_run():
-    """A request is still coming in when the instance ends.
+def test_incomplete_request_is_refused_as_not_run_on_drain():
+    """A request is still arriving when the instance exits.
 
-    Closed without a word, its sender could not know whether it has run.
+    If the connection were closed without an answer, the sender could not know
+    whether the request had run.
     """
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(HALF)
+    connection.dataReceived(INCOMPLETE_REQUEST)
     operators.factory.drain(operators.clock)
     head, _, body = connection.transport.value().partition(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 503')
     assert json.loads(body)['ran'] == requests.Ran.NO.value
-    assert not operators.asked
+    assert not operators.pending_answers
 
 
-def test_end_does_not_wait_for_an_answer_that_never_comes():
-    """The store is silent; the platform would kill the process in the end."""
-    operators = Operators()
+def test_drain_times_out_when_an_answer_never_comes():
+    """The store is silent; the platform would finally kill the process."""
+    operators = OperatorSite()
     connection = operators.connect()
-    connection.dataReceived(WHOLE)
+    connection.dataReceived(COMPLETE_REQUEST)
     drained = operators.factory.drain(operators.clock)
     ended = []
     drained.addBoth(ended.append)
-    operators.clock.advance(listening.FLUSH_SECONDS)
+    operators.clock.advance(listening.DRAIN_TIMEOUT_SECONDS)
     assert ended
 
 
-def test_request_that_comes_while_answers_are_waited_for_is_refused():
-    """Another operator confirms on a connection that was open already.
+def test_new_request_during_drain_is_refused():
+    """Another operator confirms on a connection that is already open.
 
-    Taken, it would be cut when the time is over, with its plan perhaps in
-    force; and each one taken would put off the end.
+    If accepted, the request could be cut off at the end of the timeout with
+    its plan in force; and each accepted request would delay the end.
     """
-    operators = Operators()
+    operators = OperatorSite()
     waiting, late = operators.connect(), operators.connect()
-    waiting.dataReceived(WHOLE)
+    waiting.dataReceived(COMPLETE_REQUEST)
     operators.factory.drain(operators.clock)
-    late.dataReceived(WHOLE)
+    late.dataReceived(COMPLETE_REQUEST)
     assert late.transport.value().startswith(b'HTTP/1.1 503')
-    assert len(operators.asked) == 1
+    assert len(operators.pending_answers) == 1
 
 
 def test_idle_connection_is_closed_at_once():
-    operators = Operators()
+    operators = OperatorSite()
     connection = operators.connect()
     drained = operators.factory.drain(operators.clock)
     ended = []
--- a/tests/transport/test_engine_control.py
+++ b/tests/transport/test_engine_control.py
@@ -1,4 +1,4 @@
-"""Short orders to engines, over connections that exist in memory only."""
+"""Short requests to engines, over connections in memory."""
 
 from greengagelb.coordination import actions
 from greengagelb.coordination import events
@@ -15,20 +15,20 @@
 ATTEMPT = identity.AttemptId(identity.RequestId('teratak', 'r'), 1, 'i.1')
 
 
-def client_on(network):
+def create_client(network):
     found = []
     client = engine_client.EngineClient(network.reactor, found.append)
     return client, found
 
 
 def test_redirect_of_a_probe_is_not_followed():
-    """Something in front of an engine answers with a redirect.
+    """A proxy in front of an engine answers with a redirect.
 
-    Followed, the report of another engine would be taken for this one's.
+    Guards against taking the report of another engine for this one's.
     """
     network = wires.Network()
-    client, found = client_on(network)
-    client.probe(actions.ProbeUpstream(UPSTREAM))
+    client, found = create_client(network)
+    client.probe_upstream(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
     wire.answer(b'', 'Location: http://10.0.0.2:1/', status='302 Found')
     assert network.connections == 1
@@ -36,14 +36,14 @@
 
 
 def test_refused_cancellation_closes_its_connection():
-    """An engine refuses a cancellation, again and again.
+    """An engine refuses cancellations repeatedly.
 
-    An answer that nobody reads keeps its connection open for good; after
-    some thousands of them the instance can open no more.
+    Guards against unread answers that keep their connections open: after some
+    thousands of them the instance can open no more.
     """
     network = wires.Network()
-    client, found = client_on(network)
-    client.cancel(actions.CancelAttempt(ATTEMPT, UPSTREAM))
+    client, found = create_client(network)
+    client.cancel_attempt(actions.CancelAttempt(ATTEMPT, UPSTREAM))
     wire = network.accept()
     wire.answer(b'no', status='500 Internal Server Error', length=1000)
     assert found == [events.CancelFailed(ATTEMPT)]
@@ -51,28 +51,28 @@
 
 
 def test_endless_report_is_cut_at_the_bound():
-    """An engine gone wrong sends a report that never ends.
+    """A faulty engine sends a report that never ends.
 
-    Kept whole, it would fill the memory that all callers' streams need.
+    Guards against a report that fills the memory of the instance.
     """
     network = wires.Network()
-    client, found = client_on(network)
-    client.probe(actions.ProbeUpstream(UPSTREAM))
+    client, found = create_client(network)
+    client.probe_upstream(actions.ProbeUpstream(UPSTREAM))
     wire = network.accept()
-    wire.answer(bytes(http.MOST_BODY_BYTES + 1), length=1 << 40)
+    wire.answer(bytes(http.MAX_BODY_BYTES + 1), length=1 << 40)
     assert found == [events.UpstreamUnreachable('e0')]
     assert wire.closed
 
 
 def test_stream_that_has_ended_is_forgotten():
-    """An instance serves one answer after the other, for weeks.
+    """An instance serves many streams over weeks.
 
-    Kept after its end, each of them would take some memory for good, until
-    the instance ends and breaks the streams that it serves.
+    Guards against a memory leak: if each ended stream were kept, the instance
+    would run out of memory and break the streams that it serves.
     """
     network = wires.Network()
-    client, found = client_on(network)
-    client.start(
+    client, found = create_client(network)
+    client.start_attempt(
         actions.StartAttempt(
             ATTEMPT,
             UPSTREAM,
@@ -86,7 +86,7 @@
             60.0,
         )
     )
-    ended = engine_api.Ended(1, 'i.1', 0, 'length')
-    network.accept().answer(sse.write_event(codec.encode(ended), 'ended'))
+    ended = engine_api.AttemptEnded(1, 'i.1', 0, 'length')
+    network.accept().answer(sse.encode_event(codec.encode(ended), 'ended'))
     assert found[-1] == events.AttemptEnded(ATTEMPT, 0, 'length')
     assert client.open_streams == {}
--- a/tests/transport/test_engine_fate.py
+++ b/tests/transport/test_engine_fate.py
@@ -1,4 +1,4 @@
-"""What becomes of an engine whose connections broke, by sockets."""
+"""Checks whether an engine whose connections failed has ended."""
 
 import h11
 import pytest
@@ -26,51 +26,51 @@
         host = (b'Host', b'e')
         return http_client.WireRequest(b'GET', b'/report', (host,))
 
-    def read_start(self, status, body):
+    def read_started_at_ms(self, status, body):
         return int(body)
 
 
 class Reactor(task.Clock):
-    """Keeps the connections that are being opened."""
+    """Records the factory of the connection that is being opened."""
 
     def connectTCP(self, host, port, factory, **named):  # noqa: N802
         self.factory = factory
         return self
 
     def disconnect(self):
-        """Stop connecting."""
+        """Ignore the end of the attempt to connect."""
 
 
-def check():
-    """Ask an engine for its fate; return the reactor and what is reported."""
+def check_engine():
+    """Check an engine; return the reactor and the reported events."""
     reactor = Reactor()
     found = []
     pool = http_client.ConnectionPool(reactor)
     side = engine_side.EngineSide(pool, Dialect(), found.append)
-    side.check(relay_actions.CheckEngine(ENTRY))
+    side.check_engine(relay_actions.CheckEngine(ENTRY))
     return reactor, found
 
 
-def test_an_engine_where_nobody_listens_has_ended():
-    """Guards against crashes that count for nothing."""
-    reactor, found = check()
+def test_engine_that_refuses_connections_has_ended():
+    """Guards against crashes that are not counted."""
+    reactor, found = check_engine()
     refused = failure.Failure(error.ConnectionRefusedError())
     reactor.factory.clientConnectionFailed(None, refused)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.ENDED)]
 
 
 @pytest.mark.parametrize('why', [error.TimeoutError, error.NoRouteError])
-def test_an_engine_that_can_not_be_reached_may_live(why):
-    """Guards against links that are down and count as crashes."""
-    reactor, found = check()
+def test_fate_of_an_unreachable_engine_is_unknown(why):
+    """Guards against failures of links that are counted as crashes."""
+    reactor, found = check_engine()
     failed = failure.Failure(why())
     reactor.factory.clientConnectionFailed(None, failed)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
 
 
-def test_an_engine_that_gives_no_answer_may_live():
-    """Guards against engines that are dark and count as crashed."""
-    reactor, found = check()
+def test_fate_of_an_unresponsive_engine_is_unknown():
+    """Guards against unresponsive engines that are counted as crashed."""
+    reactor, found = check_engine()
     reactor.advance(1.0)
     assert found == [relay_events.EngineChecked(ENTRY, FATE.UNKNOWN)]
 
@@ -79,9 +79,9 @@
     ('start', 'fate'),
     [(1000, FATE.ALIVE), (0, FATE.ALIVE), (1001, FATE.ENDED)],
 )
-def test_an_engine_that_answers_tells_whether_it_is_a_later_life(start, fate):
-    """Guards against an engine that is back before it is asked."""
-    reactor, found = check()
+def test_engine_with_a_later_start_has_restarted(start, fate):
+    """Guards against missing the crash of an engine that has restarted."""
+    reactor, found = check_engine()
     connection = reactor.factory.buildProtocol(None)
     connection.makeConnection(relay_wires.Wire())
     server = h11.Connection(h11.SERVER)
--- a/tests/transport/test_reactors.py
+++ b/tests/transport/test_reactors.py
@@ -1,4 +1,4 @@
-"""Timers while the time of day is set."""
+"""Timers while the wall clock is changed."""
 
 import time
 
@@ -8,11 +8,12 @@
 from greengagelb.transport import reactors
 
 
-def test_timers_do_not_follow_the_time_of_day(monkeypatch):
+def test_timers_ignore_wall_clock_changes(monkeypatch):
     """The machine's clock is set forward.
 
-    Timers that follow it all fire at once: every engine looks silent, every
-    caller is overdue, and all streams are moved or cut at the same moment.
+    Timers that follow it would all fire at once: every engine would look
+    silent and every caller overdue, and all streams would be moved or aborted
+    at the same moment.
     """
     reactor = epollreactor.EPollReactor()
     reactors.use_monotonic_clock(reactor)
@@ -23,8 +24,8 @@
     assert not fired
 
 
-def test_timers_that_were_set_by_the_other_clock_are_noticed():
-    """They would fire years late, or at once."""
+def test_clock_change_after_setting_timers_is_rejected():
+    """Such timers would fire years late, or at once."""
     reactor = epollreactor.EPollReactor()
     reactor.callLater(10.0, print)
     with pytest.raises(RuntimeError):
--- a/tests/transport/test_relay.py
+++ b/tests/transport/test_relay.py
@@ -1,4 +1,4 @@
-"""Tokens are gathered between relays, and none is lost or reordered by it."""
+"""Batching of an engine's tokens keeps them complete and in order."""
 
 from twisted.internet import task
 
@@ -12,24 +12,31 @@
 ATTEMPT = identity.AttemptId(identity.RequestId('teratak', 'r'), 1, 'i.1')
 
 
-class Relay:
-    """An engine stream fed by hand, with the events that came of it."""
+class GatheredStream:
+    """An engine stream with input from the test, and its events."""
 
     def __init__(self):
         self.clock = task.Clock()
         self.events = []
         client = engine_client.EngineClient(self.clock, self.events.append)
         self.stream = engine_client.EngineStream(
-            ATTEMPT, self.events.append, client.gather, client.forget
+            ATTEMPT,
+            self.events.append,
+            client.delay_relay,
+            client.forget_stream,
         )
 
     def receive(self, position, *tokens):
         batch = engine_api.TokenBatch(1, 'i.1', position, list(tokens))
-        self.stream.receive(sse.write_event(codec.encode(batch), 'tokens'))
+        self.stream.receive_bytes(
+            sse.encode_event(codec.encode(batch), 'tokens')
+        )
 
     def receive_end(self, position):
-        ended = engine_api.Ended(1, 'i.1', position, 'stop')
-        self.stream.receive(sse.write_event(codec.encode(ended), 'ended'))
+        ended = engine_api.AttemptEnded(1, 'i.1', position, 'stop')
+        self.stream.receive_bytes(
+            sse.encode_event(codec.encode(ended), 'ended')
+        )
 
     def tokens(self):
         return [
@@ -39,52 +46,52 @@
         ]
 
 
-def test_first_token_goes_on_at_once():
-    relay = Relay()
-    relay.receive(0, 'a')
-    assert relay.tokens() == [(0, ('a',))]
+def test_first_token_is_passed_on_at_once():
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    assert gathered.tokens() == [(0, ('a',))]
 
 
-def test_tokens_between_two_relays_go_on_together():
-    relay = Relay()
+def test_tokens_within_one_interval_are_passed_on_together():
+    gathered = GatheredStream()
     for position, token in enumerate('abc'):
-        relay.receive(position, token)
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',)), (1, ('b', 'c'))]
+        gathered.receive(position, token)
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b', 'c'))]
 
 
-def test_gathered_tokens_go_before_the_end():
-    """The last tokens and the end of an answer come in one read.
+def test_gathered_tokens_are_passed_on_before_the_end():
+    """The last tokens and the end of an answer arrive in one read.
 
-    An end that overtook them would look like an answer with a gap.
+    Guards against an end that overtakes them, which looks like missing tokens.
     """
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.receive_end(2)
-    assert relay.tokens() == [(0, ('a',)), (1, ('b',))]
-    assert relay.events[-1] == events.AttemptEnded(ATTEMPT, 2, 'stop')
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.receive_end(2)
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b',))]
+    assert gathered.events[-1] == events.AttemptEnded(ATTEMPT, 2, 'stop')
 
 
 def test_gap_between_batches_stays_visible():
     """An engine skips a position.
 
-    Gathered as if they followed on, the tokens would reach the caller with
-    one missing; kept apart, the gap is seen and the stream recovers.
+    Guards against batching tokens across the gap: the caller would miss one.
+    Separate batches show the gap, and the stream recovers.
     """
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.receive(3, 'd')
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',)), (1, ('b',)), (3, ('d',))]
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.receive(3, 'd')
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',)), (1, ('b',)), (3, ('d',))]
 
 
 def test_abandoned_connection_reports_nothing_more():
-    """A connection is replaced while tokens of it wait to be relayed."""
-    relay = Relay()
-    relay.receive(0, 'a')
-    relay.receive(1, 'b')
-    relay.stream.close()
-    relay.clock.pump([engine_client.RELAY_SECONDS, 0.0])
-    assert relay.tokens() == [(0, ('a',))]
+    """A connection is replaced while some of its tokens are still batched."""
+    gathered = GatheredStream()
+    gathered.receive(0, 'a')
+    gathered.receive(1, 'b')
+    gathered.stream.close()
+    gathered.clock.pump([engine_client.RELAY_INTERVAL_SECONDS, 0.0])
+    assert gathered.tokens() == [(0, ('a',))]
